--- /dev/null
+++ b/tests/test_forms.py
@@ -0,0 +1,559 @@
+"""Every form that leaves the process, byte by byte: messages, stored records, orders and calls.
+
+`fixtures/forms.json` holds the bytes as the code wrote them before it was restructured. Names of
+examples say what is on the wire, never what the code calls it. An ordinary run only reads the
+file; `BEAMSPAR_WRITE_FORMS=1 python -m tests.test_forms` writes it anew, which is right only when
+a form is meant to change. Objects are made by position, so that a new field name changes nothing.
+"""
+
+from __future__ import annotations
+
+import json
+import os
+from collections.abc import Awaitable, Callable, Iterator
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+from twisted.internet.defer import Deferred, ensureDeferred, succeed
+
+from beamspar import cloud, http, settings, state, wire, workers
+from beamspar.control import messages, records, session, shares
+from beamspar.placement import Room
+from beamspar.sharing import leave
+from beamspar.sharing import messages as sharing
+from beamspar.standby import decisions as log
+from beamspar.standby import messages as standby
+from beamspar.standby import standby as standing
+from tests.standins.clock import SimClock
+
+FIXTURE = Path(__file__).parent / "fixtures" / "forms.json"
+WRITE = "BEAMSPAR_WRITE_FORMS"
+
+JOB = {
+    "id": "j-000412",
+    "lane": "train",
+    "owner": "vision",
+    "shape": "ensemble",
+    "urgency": "high",
+    "parcels": 16,
+    "cpus": 8.5,
+    "accelerators": 1.5,
+    "memory_gb": 64.25,
+    "crate": "img-07",
+    "size_gb": 6.5,
+    "rig_kinds": ["g8", "c4"],
+    "yard": "b",
+    "together": True,
+    "scatter": True,
+    "standby": True,
+    "eta_s": 240.5,
+    "stamp_every_s": 30.5,
+    "stamp_s": 4.5,
+    "due_s": 900.5,
+}
+OPTIONAL = ("rig_kinds", "yard", "due_s")
+PLACE = ("g8", "b", True)
+
+
+def machine() -> Any:
+    return session.Machine("host-7", "10.1.0.7:9000", "g8", "b", True)
+
+
+def want() -> Any:
+    amounts = (8.5, 1.5, 64.25, "img-07", 6.5)
+    return messages.Want(
+        "host-7", 41, "j-1/3", 2, messages.RUN, *amounts, 1, True, 4.5, True, True, True
+    )
+
+
+def room() -> Any:
+    free = (88.5, 6.5, 700.25, {"img-07": 6.5}, [(1.5, 2.5, 3.5)])
+    return Room("host-7", "g8", "b", True, *free, False, 3, 2)
+
+
+def view() -> Any:
+    return messages.View(room(), 41, True, True, True, True, True, True, 1.5, 2.5)
+
+
+def job_class() -> Any:
+    return messages.JobClass(JOB, 16, {"b": 5})
+
+
+def heartbeat() -> Any:
+    seen = [msgspec.to_builtins(machine())]
+    caches = {"host-7": {"img-07": 6.5}}
+    told = (7, 9, seen, {"train": job_class()}, 12, caches, ["host-8"], True, 21, 0.25)
+    return messages.Summary("rig-1", 3, [view()], *told)
+
+
+def directions() -> Any:
+    caches = {"host-7": {"img-07": 6.5}}
+    return messages.Directions(True, True, True, (12.5, 96.5), ["host-8"], caches, 13, ["host-9"])
+
+
+def status() -> Any:
+    return messages.Status("host-7", 41, "j-1/3", 2, messages.ENDED, "error", True)
+
+
+def decisions() -> list[Any]:
+    return [
+        log.RentalAsked("rig-1.3-17", PLACE, 12),
+        log.RentalGranted("rig-1.3-17", PLACE, ["host-7", "host-8"], 30.5),
+        log.RentalRefused("rig-1.3-18", PLACE, 60.5),
+        log.RentalAbandoned("rig-1.3-19"),
+        log.MachinesUp(["host-7"]),
+        log.MachinesReturned(["host-8"], [PLACE]),
+        log.CacheChanged("host-7", {"img-07": 6.5}),
+    ]
+
+
+def least_decisions() -> list[Any]:
+    return [
+        log.RentalGranted("rig-1.3-17", PLACE, []),
+        log.MachinesReturned([]),
+    ]
+
+
+def entries(made: list[Any]) -> list[Any]:
+    return [standby.Entry(8 + n, 0.5 + n, decision) for n, decision in enumerate(made)]
+
+
+def handed_over() -> Any:
+    ages = (5, 88, 4, 87, 3, 1.5, 2.5, 3.5)
+    return sharing.MachineState("host-7", 42, 41, True, 0.5, *ages, True, True, {"img-07": 6.5})
+
+
+def least_handed_over() -> Any:
+    return sharing.MachineState(
+        "host-7", 42, 41, False, 0.0, 0, 0, 0, 0, 0, 0.0, 0.0, 0.0, False, False
+    )
+
+
+def shares_shown() -> Any:
+    member = sharing.MemberShare("rig-1", 7, 3, 21.5, 0.25, 6.5, True)
+    move = sharing.MoveShown("b-1", "rig-1", "rig-2", "load", "prepared")
+    return sharing.SharesReply("rig-1", "rig-2", True, "leaving", [member], [move])
+
+
+def chunk() -> Any:
+    return records.Chunk([(3, 2, "host-7")], [(4, 1)], [(0, 2), (5, 9)])
+
+
+def job_record() -> Any:
+    return records.JobRecord(JOB, "rig-1.3", records.WITHDRAWN, 8, 1, chunk(), "rig-1.3-5", 372)
+
+
+def least_job() -> dict[str, Any]:
+    return {key: value for key, value in JOB.items() if key not in OPTIONAL}
+
+
+def report() -> Any:
+    tasks = [wire.TaskReport("j-1/3", 2, "ended", "stopped", True)]
+    return wire.Report("host-7", "10.1.0.7:9000", "g8", "b", 5, 88, 41, tasks, True, 20.5)
+
+
+def machine_type() -> Any:
+    prices = (12.5, 4.5, 45.5, ["a", "b"])
+    return wire.MachineType("g8", 96.5, 8.5, 768.5, 200.5, 1.5, *prices)
+
+
+def rental() -> Any:
+    return wire.Rental("host-7", "10.1.0.7:9000", "g8", "b", True, "starting", 61.5)
+
+
+def commands() -> list[Any]:
+    return [
+        wire.order_start("j-1/4", 2),
+        wire.order_stop("j-1/1", 1, 10.5),
+        wire.order_clear("j-1/0", 3),
+    ]
+
+
+def keys() -> list[str]:
+    first, small = records.Layout(372, True), records.Layout(93)
+    return [
+        records.job_key("j-1"),
+        records.end_key("j-1"),
+        records.mark_key("j-1"),
+        first.prefix("j-1"),
+        first.key("j-1", 4),
+        small.prefix("j-1"),
+        small.key("j-1", 4),
+        session.CONTROL,
+        session.PARTITION,
+        session.BLOCK,
+        session.LEADER,
+        leave.LEAVING,
+    ]
+
+
+def team_record() -> Any:
+    waiting = shares.Share(8.5, 1.5, 2, 4.5, 0.5, 412)
+    unserved = shares.Share(8.5, 1.5, 3, 4.5, 0.5)
+    record = shares.TeamShares({"rig-2.1": [1.5, 0.5]}, 400)
+    return record.with_share("rig-1.3", waiting).with_share("rig-3.1", unserved).raw
+
+
+# Sent between controllers: encoded as JSON. "-least" marks all that may be left out left out.
+PEER: dict[str, Callable[[], Any]] = {
+    "wants": lambda: [messages.Sync("rig-1", "rig-1.3", 412, 3, 9, [want()], ["host-7"])],
+    "wants-least": lambda: [
+        messages.Sync(
+            "rig-1", "rig-1.3", 412, 3, 9, [messages.Want("host-7", 41, "j-1/3", 2, "stop")]
+        )
+    ],
+    "states": lambda: messages.Statuses([status()]),
+    "states-least": lambda: messages.Statuses([messages.Status("host-7", 41, "j-1/3", 2, "gone")]),
+    "actions": lambda: [messages.RUN, messages.STOP, messages.CLEAR, messages.HOLD],
+    "states-of-an-attempt": lambda: [
+        messages.GONE,
+        messages.REFUSED,
+        messages.ENDED,
+        messages.KEPT,
+    ],
+    "ask-for-room": lambda: messages.Asks(
+        "rig-1", [messages.Ask(JOB, 5, {"b": 2}, {"host-7": 1}, ["host-8"], 7.5)]
+    ),
+    "ask-for-room-least": lambda: messages.Asks("rig-1", [messages.Ask({}, 1, {}, {}, [])]),
+    "offer-of-room": lambda: messages.Offers([messages.Placed("j-1", "host-7", True)]),
+    "offer-of-room-least": lambda: messages.Offers([messages.Placed("j-1", "host-7")]),
+    "heartbeat": heartbeat,
+    "heartbeat-least": lambda: messages.Summary("rig-1", 3, []),
+    "heartbeat-parts-least": lambda: messages.Summary(
+        "rig-1",
+        3,
+        [
+            messages.View(
+                Room("host-7", "g8", "b", False, 0.0, 0.0, 0.0),
+                41,
+                *[False] * 6,
+                0.0,
+                0.0,
+            )
+        ],
+        0,
+        0,
+        [],
+        {"train": messages.JobClass({})},
+    ),
+    "heartbeat-answer": directions,
+    "heartbeat-answer-least": lambda: messages.Directions(False),
+    "pulse": lambda: messages.Pulse(0.25),
+    "relayed-request": lambda: messages.Relay("POST", "/submissions", JOB),
+    "relayed-request-least": lambda: messages.Relay("GET", "/submissions/j-1"),
+    "relayed-answer": lambda: messages.Relayed(503, {"error": "busy"}, [("Retry-After", "2")]),
+    "relayed-answer-least": lambda: messages.Relayed(404),
+    "withdrawals": lambda: messages.Withdrawals({"j-1": 412}),
+    "follow": lambda: standby.FollowRequest("rig-1", 412, 9, 512),
+    "follow-least": lambda: standby.FollowRequest("rig-1"),
+    "follow-answer": lambda: standby.FollowReply(
+        412, 14, entries(decisions()), True, 14, 512, False, ["rig-2", "rig-3"]
+    ),
+    "follow-answer-least": lambda: standby.FollowReply(),
+    "log-entries-least": lambda: standby.FollowReply(412, 9, entries(least_decisions())),
+    "hand-over": lambda: standby.HandOverRequest("rig-2"),
+    "hand-over-least": lambda: standby.HandOverRequest(),
+    "hand-over-answer": lambda: standby.HandOverReply(True, "rig-2", "asked for"),
+    "hand-over-answer-least": lambda: standby.HandOverReply(False),
+    "take-lead": lambda: standby.TakeLeadRequest("rig-1", 412, 9),
+    "take-lead-answer": lambda: standby.TakeLeadReply(True),
+    "confirm": lambda: standby.ConfirmRequest("rig-1"),
+    "probe": lambda: standby.ProbeRequest("rig-2"),
+    "probe-answer": lambda: standby.ProbeReply(True),
+    "standby-status": lambda: standing.Status(
+        "rig-1", "rig-2", True, True, 412, 9, 2, ["rig-3"], 4
+    ),
+    "prepare-move": lambda: sharing.PrepareRequest("rig-1", {"b-1": 41}, 7.5),
+    "prepare-move-answer": lambda: sharing.PrepareReply(["b-1"]),
+    "release": lambda: sharing.ReleaseRequest("rig-1", 3, [handed_over()]),
+    "release-least": lambda: sharing.ReleaseRequest("rig-1", 3, [least_handed_over()]),
+    "release-answer": lambda: sharing.ReleaseReply(["host-7"], ["host-8"]),
+    "release-answer-least": lambda: sharing.ReleaseReply([]),
+    "move": lambda: sharing.MoveRequest("b-1", "rig-2"),
+    "leave": lambda: sharing.LeaveRequest(True),
+    "leave-least": lambda: sharing.LeaveRequest(),
+    "command-answer": lambda: sharing.CommandReply(True, "asked for"),
+    "command-answer-least": lambda: sharing.CommandReply(False),
+    "shares": shares_shown,
+    "shares-least": lambda: sharing.SharesReply("rig-1", None, False, "left"),
+}
+# Stored, or exchanged with users, workers, the cloud and the state service: MessagePack.
+OUTER: dict[str, Callable[[], Any]] = {
+    "job-record": job_record,
+    "job-record-least": lambda: records.JobRecord({}, "rig-1.3"),
+    "job-states": lambda: [records.LIVE, records.WITHDRAWN, records.DONE],
+    "tasks-record": chunk,
+    "tasks-record-least": lambda: records.Chunk(),
+    "end-record": lambda: records.EndRecord(records.DONE, 16),
+    "end-record-least": lambda: records.EndRecord(records.WITHDRAWN),
+    "keys": keys,
+    "block-record": lambda: session.block_record("rig-1", [machine()], True, 41),
+    "block-record-least": lambda: session.block_record("rig-1", [machine()]),
+    "block-machine-least": lambda: session.Machine("host-7", "10.1.0.7:9000", "g8", "b"),
+    "team-record": team_record,
+    "release-told": lambda: session.RELEASE,
+    "submission": lambda: wire.parse_spec(JOB),
+    "submission-least": lambda: wire.parse_spec(least_job()),
+    "job-answer": lambda: wire.job_answer("j-1", "running", 3, 13),
+    "job-answer-least": lambda: wire.job_answer("j-1", "pending"),
+    "redirect": lambda: wire.redirect("rig-2"),
+    "redirect-least": lambda: wire.redirect(None),
+    "commands": commands,
+    "orders": lambda: wire.unpack(wire.orders(41, 5, commands())),
+    "report-answer": lambda: wire.report_answer(41, commands()),
+    "report": report,
+    "report-least": lambda: wire.Report("host-7", "10.1.0.7:9000", "g8", "b", 5, 88, 41),
+    "task-report-least": lambda: wire.TaskReport("j-1/3", 2, "running"),
+    "machine-type": machine_type,
+    "machine-type-least": lambda: wire.MachineType("g8", 96.5),
+    "rental": rental,
+    "rental-least": lambda: wire.Rental("host-7"),
+    "put": lambda: state.put("a/b", {"n": 1}, 7),
+    "put-least": lambda: state.put("a/b", None),
+    "drop": lambda: state.drop("a/b"),
+    "stored-item": lambda: state.Item("a/b", {"n": 1}, 412),
+    "change-told": lambda: state.Event(412, "a/b", "c/d", {"n": 1}),
+    "change-told-least": lambda: state.Event(412),
+}
+
+
+class Recorder:
+    """A network that writes down each call and gives the answers that it was made with."""
+
+    def __init__(self, *answers: Any) -> None:
+        self.answers = list(answers)
+        self.calls: list[list[str]] = []
+
+    def request(
+        self, method: str, address: str, path: str, body: bytes | None, limit_s: float
+    ) -> Deferred[http.Answer]:
+        self.calls.append([method, address, path, "no body" if body is None else body.hex()])
+        return succeed(http.Answer(200, wire.pack(msgspec.to_builtins(self.answers.pop(0)))))
+
+
+def deployment() -> settings.Settings:
+    """Settings of one of two controllers."""
+    facts = settings.Facts(
+        settings.WorkerFacts(3.0, 15.0, 45.0),
+        settings.StateFacts(100.0, 100.0, 32.0, 64),
+        settings.CloudFacts(5.0, 5.0),
+        2,
+    )
+    services = settings.Services("cloud:1", "state:1")
+    siblings = [settings.Sibling("rig-2", "rig-2:8")]
+    return settings.Settings("rig-1", "rig-1:7", "rig-1:8", services, facts, "", siblings)
+
+
+def store(net: Recorder) -> state.StateClient:
+    """A client of the state service."""
+    timing = settings.Timing(deployment(), settings.Tuning())
+    return state.StateClient(SimClock(), net, deployment(), timing)  # type: ignore[arg-type]
+
+
+def renter(net: Recorder) -> cloud.CloudClient:
+    """A client of the cloud."""
+    return cloud.CloudClient(net, "cloud:1", 1.0)  # type: ignore[arg-type]
+
+
+async def get_key(net: Recorder) -> None:
+    assert await store(net).get("a/b") == state.Item("a/b", {"n": 1}, 412)
+
+
+async def scan_keys(net: Recorder) -> None:
+    found, revision = await store(net).scan("c/x y")
+    assert found == [state.Item("c/x z", 1, 5), state.Item("c/x&", 2, 6)]
+    assert revision == 431
+
+
+async def write_keys(net: Recorder) -> None:
+    changes = [state.put("a/b", {"n": 1}, 7), state.drop("c/d")]
+    assert await store(net).multi({"a/b": 0, "c/d": 5}, changes) == 432
+
+
+async def compare_keys(net: Recorder) -> None:
+    assert await store(net).multi({"a/b": 412}, []) == 432
+
+
+async def leases(net: Recorder) -> None:
+    client = store(net)
+    assert await client.grant(5.25) == 7
+    await client.extend(7)
+    await client.revoke(7)
+
+
+async def watch_keys(net: Recorder) -> None:
+    events, revision = await store(net).watch("c/", 431, 2.5)
+    assert revision == 433
+    assert events == [state.Event(433, "c/9", None, 1), state.Event(432, None, "c/d")]
+
+
+async def list_types(net: Recorder) -> None:
+    assert await renter(net).types() == [machine_type()]
+
+
+async def rent_machines(net: Recorder) -> None:
+    assert await renter(net).rent("r-17", "g8", "b", True, 12) == ["host-7", "host-8"]
+
+
+async def return_machines(net: Recorder) -> None:
+    await renter(net).give_back(["host-7", "host-8"])
+
+
+async def list_machines(net: Recorder) -> None:
+    client = renter(net)
+    assert await client.machines("") == ([rental()], True)
+    assert await client.machines("host-7") == ([rental()], False)
+
+
+async def direct_orders(net: Recorder) -> None:
+    client = workers.WorkerClient(net, 1.0)  # type: ignore[arg-type]
+    assert await client.order("host-7:9", 41, 5, commands()) == (True, report())
+
+
+def row(key: str, data: Any, version: int) -> dict[str, Any]:
+    """A row as the state service gives it."""
+    return {"key": key, "data": data, "entry_rev": version}
+
+
+# What makes the calls and checks what is read of the answers; and the answers.
+CALLS: dict[str, tuple[Callable[[Recorder], Awaitable[None]], list[Any]]] = {
+    "read-a-key": (get_key, [{**row("a/b", {"n": 1}, 412), "permit": 7}]),
+    "read-below-a-prefix": (
+        scan_keys,
+        [
+            {"rows": [row("c/x z", 1, 5)], "truncated": True, "ledger_rev": 431},
+            {"rows": [row("c/x&", 2, 6)], "truncated": False, "ledger_rev": 432},
+        ],
+    ),
+    "transaction": (write_keys, [{"ledger_rev": 432}]),
+    "comparison": (compare_keys, [{"ledger_rev": 432}]),
+    "leases": (leases, [{"permit": 7}, {}, {}]),
+    "watch": (
+        watch_keys,
+        [
+            {
+                "ledger_rev": 433,
+                "events": [
+                    {"put": "c/9", "data": 1, "entry_rev": 433},
+                    {"drop": "c/d", "entry_rev": 432},
+                ],
+            }
+        ],
+    ),
+    "machine-types": (list_types, [{"rig_kinds": [machine_type()]}]),
+    "rent": (rent_machines, [{"rigs": ["host-7", "host-8"]}]),
+    "give-back": (return_machines, [{"rigs": []}]),
+    "list-machines": (
+        list_machines,
+        [{"rigs": [rental()], "truncated": True}, {"rigs": [rental()], "truncated": False}],
+    ),
+    "direct-orders": (direct_orders, [report()]),
+}
+
+
+def calls_of(name: str) -> list[list[str]]:
+    """The calls that an example makes: method, address, path, body in hex."""
+    work, answers = CALLS[name]
+    net = Recorder(*answers)
+    done: list[Any] = []
+    ensureDeferred(work(net)).addBoth(done.append)  # type: ignore[arg-type]
+    assert done == [None], done
+    assert not net.answers, "every answer is asked for"
+    return net.calls
+
+
+def outer_form(value: Any) -> str:
+    """A MessagePack form, in hex."""
+    return wire.pack(msgspec.to_builtins(value)).hex()
+
+
+def written() -> dict[str, Any]:
+    """All forms, as the present code makes them."""
+    return {
+        "peer": {name: messages.encode(build()).decode() for name, build in PEER.items()},
+        "outer": {name: outer_form(build()) for name, build in OUTER.items()},
+        "calls": {name: calls_of(name) for name in CALLS},
+    }
+
+
+def pinned() -> dict[str, Any]:
+    """All forms, as they were written once."""
+    found: dict[str, Any] = json.loads(FIXTURE.read_text())
+    return found
+
+
+def kind_of(value: Any) -> Any:
+    """The type to read an example's bytes as."""
+    if isinstance(value, list) and value:
+        return list[type(value[0])]  # type: ignore[misc]
+    return type(value)
+
+
+def structs_in(value: Any) -> Iterator[Any]:
+    """All structs that an example is made of."""
+    if isinstance(value, msgspec.Struct):
+        yield value
+        for name in value.__struct_fields__:
+            yield from structs_in(getattr(value, name))
+    elif isinstance(value, dict):
+        yield from (found for part in value.values() for found in structs_in(part))
+    elif isinstance(value, list | tuple):
+        yield from (found for part in value for found in structs_in(part))
+
+
+def test_the_same_examples_are_here_and_in_the_file() -> None:
+    for group, forms in pinned().items():
+        assert set(forms) == set({"peer": PEER, "outer": OUTER, "calls": CALLS}[group])
+    assert set(pinned()) == {"peer", "outer", "calls"}
+
+
+@pytest.mark.parametrize("name", PEER)
+def test_a_message_between_controllers_keeps_its_bytes(name: str) -> None:
+    example, form = PEER[name](), pinned()["peer"][name]
+    assert messages.encode(example).decode() == form
+    assert messages.decode(form.encode(), kind_of(example)) == example
+
+
+@pytest.mark.parametrize("name", OUTER)
+def test_what_is_stored_or_sent_elsewhere_keeps_its_bytes(name: str) -> None:
+    example, form = OUTER[name](), pinned()["outer"][name]
+    assert outer_form(example) == form
+    assert msgspec.convert(wire.unpack(bytes.fromhex(form)), kind_of(example)) == example
+
+
+@pytest.mark.parametrize("name", CALLS)
+def test_a_call_keeps_its_path_and_its_bytes(name: str) -> None:
+    assert calls_of(name) == pinned()["calls"][name]
+
+
+def test_reports_are_read_from_their_bytes() -> None:
+    assert wire.parse_report(bytes.fromhex(pinned()["outer"]["report"])) == report()
+
+
+def test_a_block_is_read_from_its_record() -> None:
+    stored = wire.unpack(bytes.fromhex(pinned()["outer"]["block-record"]))
+    assert msgspec.convert(stored, session.Block) == session.Block("rig-1", [machine()], True, 41)
+
+
+@pytest.mark.parametrize("module", [messages, standby, sharing, wire])
+def test_every_kind_of_message_has_an_example(module: Any) -> None:
+    examples = [build() for build in [*PEER.values(), *OUTER.values()]]
+    shown = {type(part) for part in structs_in(examples)}
+    kinds = [kind for kind in vars(module).values() if isinstance(kind, type)]
+    missing = {k for k in kinds if issubclass(k, msgspec.Struct)} - shown
+    assert not missing
+
+
+def test_a_full_example_has_no_field_at_its_default() -> None:
+    builders = [*PEER.items(), *OUTER.items()]
+    for part in structs_in([b() for name, b in builders if not name.endswith("least")]):
+        for field in msgspec.structs.fields(part):
+            value = getattr(part, field.name)
+            assert value != field.default, (part, field.name)
+            assert value not in ([], {}), (part, field.name)
+
+
+if __name__ == "__main__" and os.environ.get(WRITE) == "1":
+    FIXTURE.write_text(json.dumps(written(), indent=1, sort_keys=True) + "\n")
