--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -10,6 +10,7 @@
 
 import json
 import os
+import random
 from collections.abc import Awaitable, Callable, Iterator
 from pathlib import Path
 from typing import Any
@@ -19,7 +20,7 @@
 from twisted.internet.defer import Deferred, ensureDeferred, succeed
 
 from beamspar import cloud, http, settings, state, wire, workers
-from beamspar.control import messages, records, session, shares
+from beamspar.control import budget, messages, node, records, session, shares
 from beamspar.placement import Room
 from beamspar.sharing import leave
 from beamspar.sharing import messages as sharing
@@ -27,6 +28,7 @@
 from beamspar.standby import messages as standby
 from beamspar.standby import standby as standing
 from tests.standins.clock import SimClock
+from tests.standins.sharing import SharingWorld
 
 FIXTURE = Path(__file__).parent / "fixtures" / "forms.json"
 WRITE = "BEAMSPAR_WRITE_FORMS"
@@ -186,6 +188,8 @@
         session.BLOCK,
         session.LEADER,
         leave.LEAVING,
+        node.TYPES,
+        budget.TEAM,
     ]
 
 
@@ -330,7 +334,9 @@
         self, method: str, address: str, path: str, body: bytes | None, limit_s: float
     ) -> Deferred[http.Answer]:
         self.calls.append([method, address, path, "no body" if body is None else body.hex()])
-        return succeed(http.Answer(200, wire.pack(msgspec.to_builtins(self.answers.pop(0)))))
+        answer = self.answers.pop(0)
+        raw = answer if isinstance(answer, bytes) else wire.pack(msgspec.to_builtins(answer))
+        return succeed(http.Answer(200, raw))
 
 
 def deployment() -> settings.Settings:
@@ -412,6 +418,14 @@
     assert await client.order("host-7:9", 41, 5, commands()) == (True, report())
 
 
+async def relayed_request(net: Recorder) -> None:
+    tuning, dice = settings.Tuning(), random.Random(1)
+    sender = node.Node(SimClock(), net, deployment(), tuning, dice)  # type: ignore[arg-type]
+    call = http.Call("POST", "/submissions", {}, wire.pack(JOB))
+    answer = http.Answer(503, wire.pack({"error": "busy"}), (("Retry-After", "2"),))
+    assert await sender.relay("rig-2", call) == answer
+
+
 def row(key: str, data: Any, version: int) -> dict[str, Any]:
     """A row as the state service gives it."""
     return {"key": key, "data": data, "entry_rev": version}
@@ -450,6 +464,10 @@
         [{"rigs": [rental()], "truncated": True}, {"rigs": [rental()], "truncated": False}],
     ),
     "direct-orders": (direct_orders, [report()]),
+    "relayed-request": (
+        relayed_request,
+        [b'{"status":503,"data":{"error":"busy"},"headers":[["Retry-After","2"]]}'],
+    ),
 }
 
 
@@ -464,6 +482,57 @@
     return net.calls
 
 
+def eventful_day() -> tuple[SharingWorld, set[str]]:
+    """A simulated deployment and the paths of its controllers' own messages to each other.
+
+    One job is cancelled, the lead is handed over, one controller leaves and the leader fails.
+    """
+    world = SharingWorld(11, tuning={"standby": True})
+    paths: set[str] = set()
+    carry = world.network.request
+
+    def request(source: str, method: str, address: str, path: str, *rest: Any) -> Any:
+        if path.startswith("/peer/") and source in world.names:
+            paths.add(path)
+        return carry(source, method, address, path, *rest)
+
+    world.network.request = request  # type: ignore[method-assign]
+    world.submit("j-long", shape="standing")
+    world.load(random.Random(11), count=20, every_s=0.5)
+    world.run(20)
+    world.withdraw("j-long")
+    world.run(20.5)
+    for path in ("shares", "standby"):
+        assert world.say("rig-0", path, {})[0] == 200
+    assert world.say(world.leader(), "hand-over", {"to": ""})[0] == 200
+    leaver = min(set(world.names) - {world.leader()})
+    assert world.say(leaver, "move", {"block": "b", "to": "rig-1"})[0] == 200
+    assert world.say(leaver, "leave", {"undo": False})[0] == 200
+    return world, paths
+
+
+def day_forms() -> dict[str, Any]:
+    """Paths and stored records of that day; who leads may differ, so one name stands for all."""
+    world, paths = eventful_day()
+    found: dict[str, str] = {}
+
+    def note() -> None:
+        for key, (value, *_) in sorted(world.state.items.items()):
+            kind = key.split("/")[1] if key.startswith("c/") else ""
+            if kind in ("fence", "member", "folio", "leader", "w", "types", "leaving"):
+                dead = "-dead" if kind == "fence" and "dead" in value else ""
+                form = json.dumps(value, separators=(",", ":"))
+                for name in world.names:
+                    form = form.replace(name, "rig-n")
+                found.setdefault(kind + dead, form)
+
+    note()
+    world.crash(world.leader(), None)
+    world.run(75)
+    note()
+    return {"paths": sorted(paths), "records": found}
+
+
 def outer_form(value: Any) -> str:
     """A MessagePack form, in hex."""
     return wire.pack(msgspec.to_builtins(value)).hex()
@@ -475,6 +544,7 @@
         "peer": {name: messages.encode(build()).decode() for name, build in PEER.items()},
         "outer": {name: outer_form(build()) for name, build in OUTER.items()},
         "calls": {name: calls_of(name) for name in CALLS},
+        "day": day_forms(),
     }
 
 
@@ -504,9 +574,10 @@
 
 
 def test_the_same_examples_are_here_and_in_the_file() -> None:
-    for group, forms in pinned().items():
-        assert set(forms) == set({"peer": PEER, "outer": OUTER, "calls": CALLS}[group])
-    assert set(pinned()) == {"peer", "outer", "calls"}
+    forms = pinned()
+    assert set(forms.pop("day")) == {"paths", "records"}
+    examples: dict[str, Any] = {"peer": PEER, "outer": OUTER, "calls": CALLS}
+    assert {group: set(forms[group]) for group in forms} == {g: set(examples[g]) for g in examples}
 
 
 @pytest.mark.parametrize("name", PEER)
@@ -528,6 +599,10 @@
     assert calls_of(name) == pinned()["calls"][name]
 
 
+def test_a_deployment_keeps_its_paths_and_its_control_records() -> None:
+    assert day_forms() == pinned()["day"]
+
+
 def test_reports_are_read_from_their_bytes() -> None:
     assert wire.parse_report(bytes.fromhex(pinned()["outer"]["report"])) == report()
 
