--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -489,11 +489,15 @@
     """
     world = SharingWorld(11, tuning={"standby": True})
     paths: set[str] = set()
+    marks: set[str] = set()
     carry = world.network.request
 
     def request(source: str, method: str, address: str, path: str, *rest: Any) -> Any:
         if path.startswith("/peer/") and source in world.names:
             paths.add(path)
+        if path == "/multi":
+            changes = wire.unpack(rest[0]).get("apply", ())
+            marks.update(str(c["data"]) for c in changes if c.get("put") == "c/w/j-long")
         return carry(source, method, address, path, *rest)
 
     world.network.request = request  # type: ignore[method-assign]
@@ -502,6 +506,7 @@
     world.run(20)
     world.withdraw("j-long")
     world.run(20.5)
+    assert marks == {"{'t': 1}"}, "the mark of a cancelled job"
     for path in ("shares", "standby"):
         assert world.say("rig-0", path, {})[0] == 200
     assert world.say(world.leader(), "hand-over", {"to": ""})[0] == 200
@@ -519,7 +524,7 @@
     def note() -> None:
         for key, (value, *_) in sorted(world.state.items.items()):
             kind = key.split("/")[1] if key.startswith("c/") else ""
-            if kind in ("fence", "member", "folio", "leader", "w", "types", "leaving"):
+            if kind in ("fence", "member", "folio", "leader", "types", "leaving"):
                 dead = "-dead" if kind == "fence" and "dead" in value else ""
                 form = json.dumps(value, separators=(",", ":"))
                 for name in world.names:
