--- a/src/beamspar/cli.py
+++ b/src/beamspar/cli.py
@@ -44,13 +44,13 @@
     import gc
     import random
 
-    from beamspar.tcp import RealNet, steady_reactor
+    from beamspar.transport.tcp import RealNet, steady_reactor
 
     reactor: Any = steady_reactor()
 
-    from beamspar.control.node import Node
-    from beamspar.http import Sockets, spawn
+    from beamspar.node.node import Node
     from beamspar.settings import Timing
+    from beamspar.transport.http import Sockets, spawn
 
     start_log(os.environ.get("LOG_LEVEL", "info"))
     timing = Timing(settings, tuning)
--- /dev/null
+++ b/src/beamspar/cluster/__init__.py
@@ -0,0 +1,1 @@
+"""This controller's registration, and its mirror of the cluster's control records."""
--- a/src/beamspar/control/session.py
+++ b/src/beamspar/cluster/registration.py
@@ -13,9 +13,8 @@
 import msgspec
 from twisted.logger import Logger
 
-from beamspar.http import Clock, sleep, spawn
 from beamspar.settings import Settings, Timing
-from beamspar.state import (
+from beamspar.state.client import (
     URGENT,
     CompactedError,
     ConflictError,
@@ -26,6 +25,7 @@
     drop,
     put,
 )
+from beamspar.transport.http import Clock, sleep, spawn
 
 log = Logger(namespace="session")
 
--- a/src/beamspar/control/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The actors of a controller: api, session, leader, owner, holder and fleet."""
--- a/src/beamspar/control/assignments.py
+++ b/src/beamspar/jobs/assignments.py
@@ -7,13 +7,22 @@
 
 from twisted.internet.defer import Deferred
 
-from beamspar.control.gang import Phase
-from beamspar.control.job import Job, Task
-from beamspar.control.messages import CLEAR, HOLD, RUN, STOP, WANTS_AT_ONCE, Status, Sync, Want
-from beamspar.control.records import LIVE
-from beamspar.control.session import Session
-from beamspar.http import Clock, sleep, spawn
+from beamspar.cluster.registration import Session
+from beamspar.jobs.gang import Phase
+from beamspar.jobs.job import Job, Task
+from beamspar.protocol.peer_messages import (
+    CLEAR,
+    HOLD,
+    RUN,
+    STOP,
+    WANTS_AT_ONCE,
+    Status,
+    Sync,
+    Want,
+)
 from beamspar.settings import Timing
+from beamspar.state.job_records import LIVE
+from beamspar.transport.http import Clock, sleep, spawn
 
 # From so many wants in one telling on, the next one waits in proportion to them.
 MANY_WANTS = 200
--- a/src/beamspar/control/job.py
+++ b/src/beamspar/jobs/job.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from beamspar.control import records
-from beamspar.control.failure_backoff import FailureBackoff
-from beamspar.control.gang import Gang, Phase
-from beamspar.control.limit_use import LimitUse
-from beamspar.control.records import LIVE, Chunk, JobRecord, Layout
-from beamspar.wire import Spec
+from beamspar.jobs.failure_backoff import FailureBackoff
+from beamspar.jobs.gang import Gang, Phase
+from beamspar.protocol.wire import Spec
+from beamspar.quota.quota_usage import LimitUse
+from beamspar.state import job_records as records
+from beamspar.state.job_records import LIVE, Chunk, JobRecord, Layout
 
 # A task's state, as a worker reports it, that counts as running.
 RUNNING = "running"
--- a/src/beamspar/control/acceptor.py
+++ b/src/beamspar/jobs/job_acceptor.py
@@ -7,13 +7,13 @@
 
 from twisted.logger import Logger
 
-from beamspar.control import records
-from beamspar.control.job import Job
-from beamspar.control.job_writer import JobWriter
-from beamspar.control.session import PARTITION, Session
-from beamspar.http import Clock, sleep, spawn
+from beamspar.cluster.registration import PARTITION, Session
+from beamspar.jobs.job import Job
+from beamspar.jobs.job_writer import JobWriter
+from beamspar.protocol.wire import Spec
 from beamspar.settings import Timing
-from beamspar.state import (
+from beamspar.state import job_records as records
+from beamspar.state.client import (
     PLACE,
     ConflictError,
     LeaseExpiredError,
@@ -22,7 +22,7 @@
     StateUnavailableError,
     put,
 )
-from beamspar.wire import Spec
+from beamspar.transport.http import Clock, sleep, spawn
 
 log = Logger(namespace="owner")
 
--- a/src/beamspar/control/owner.py
+++ b/src/beamspar/jobs/job_controller.py
@@ -11,27 +11,26 @@
 
 from twisted.logger import Logger
 
-from beamspar.control import limit_yield
-from beamspar.control.acceptor import Acceptor
-from beamspar.control.assignments import Assignments
-from beamspar.control.gang import Phase
-from beamspar.control.job import Job, Task
-from beamspar.control.job_loader import JobLoader
-from beamspar.control.job_writer import JobWriter
-from beamspar.control.limit_yield import Unit
-from beamspar.control.messages import (
+from beamspar.cluster.registration import PARTITION, Session
+from beamspar.jobs.assignments import Assignments
+from beamspar.jobs.gang import Phase
+from beamspar.jobs.job import Job, Task
+from beamspar.jobs.job_acceptor import Acceptor
+from beamspar.jobs.job_loader import JobLoader
+from beamspar.jobs.job_writer import JobWriter
+from beamspar.jobs.placer import Placer
+from beamspar.protocol.peer_messages import (
     ENDED,
     GONE,
     KEPT,
     REFUSED,
     Status,
 )
-from beamspar.control.placer import Placer
-from beamspar.control.records import LIVE, WITHDRAWN
-from beamspar.control.session import PARTITION, Session
-from beamspar.http import Clock, sleep, spawn
+from beamspar.protocol.wire import PRIORITIES, Spec
+from beamspar.quota import quota_preemption as limit_yield
+from beamspar.quota.quota_preemption import Unit
 from beamspar.settings import Settings, Timing
-from beamspar.state import (
+from beamspar.state.client import (
     CHORE,
     ConflictError,
     LeaseExpiredError,
@@ -39,7 +38,8 @@
     StateUnavailableError,
     drop,
 )
-from beamspar.wire import PRIORITIES, Spec
+from beamspar.state.job_records import LIVE, WITHDRAWN
+from beamspar.transport.http import Clock, sleep, spawn
 
 log = Logger(namespace="owner")
 
--- a/src/beamspar/control/job_loader.py
+++ b/src/beamspar/jobs/job_loader.py
@@ -14,13 +14,13 @@
 import msgspec
 from twisted.logger import Logger
 
-from beamspar.control import records
-from beamspar.control.job import Job, Task
-from beamspar.control.records import Chunk, JobRecord
-from beamspar.control.session import Session
-from beamspar.http import Clock, sleep
+from beamspar.cluster.registration import Session
+from beamspar.jobs.job import Job, Task
 from beamspar.settings import StateFacts, Timing
-from beamspar.state import ACCEPT, PLACE, Item, StateClient, StateUnavailableError
+from beamspar.state import job_records as records
+from beamspar.state.client import ACCEPT, PLACE, Item, StateClient, StateUnavailableError
+from beamspar.state.job_records import Chunk, JobRecord
+from beamspar.transport.http import Clock, sleep
 
 log = Logger(namespace="owner")
 
--- a/src/beamspar/control/job_writer.py
+++ b/src/beamspar/jobs/job_writer.py
@@ -12,13 +12,11 @@
 import msgspec
 from twisted.logger import Logger
 
-from beamspar.control import records
-from beamspar.control.job import Job
-from beamspar.control.records import DONE, LIVE, WITHDRAWN, EndRecord, Layout
-from beamspar.control.session import RELEASE, Session
-from beamspar.http import Clock, sleep, spawn
+from beamspar.cluster.registration import RELEASE, Session
+from beamspar.jobs.job import Job
 from beamspar.settings import StateFacts, Timing
-from beamspar.state import (
+from beamspar.state import job_records as records
+from beamspar.state.client import (
     CHORE,
     PLACE,
     ConflictError,
@@ -30,7 +28,9 @@
     drop,
     put,
 )
-from beamspar.state import DONE as DONE_PRIORITY
+from beamspar.state.client import DONE as DONE_PRIORITY
+from beamspar.state.job_records import DONE, LIVE, WITHDRAWN, EndRecord, Layout
+from beamspar.transport.http import Clock, sleep, spawn
 
 log = Logger(namespace="owner")
 
--- a/src/beamspar/control/placer.py
+++ b/src/beamspar/jobs/placer.py
@@ -13,15 +13,15 @@
 from twisted.internet.defer import Deferred
 from twisted.logger import Logger
 
-from beamspar.control.assignments import Assignments
-from beamspar.control.job import Job
-from beamspar.control.job_writer import JobWriter
-from beamspar.control.messages import Ask, Placed
-from beamspar.control.session import Session
-from beamspar.http import Clock, spawn
+from beamspar.cluster.registration import Session
+from beamspar.jobs.assignments import Assignments
+from beamspar.jobs.job import Job
+from beamspar.jobs.job_writer import JobWriter
 from beamspar.placement import Preference, Room, choose, choose_group
+from beamspar.protocol.peer_messages import Ask, Placed
+from beamspar.protocol.wire import LOWEST_RANK, Spec
 from beamspar.settings import Timing
-from beamspar.wire import LOWEST_RANK, Spec
+from beamspar.transport.http import Clock, spawn
 
 log = Logger(namespace="owner")
 
--- a/src/beamspar/cloud.py
+++ b/src/beamspar/leader/cloud_client.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from beamspar.http import CallFailedError, Net
-from beamspar.wire import InvalidInputError, MachineType, Rental, convert, pack, unpack
+from beamspar.protocol.wire import InvalidInputError, MachineType, Rental, convert, pack, unpack
+from beamspar.transport.http import CallFailedError, Net
 
 # Machines that the cloud lists in one answer at most (PROTOCOL).
 PAGE_SIZE = 500
--- a/src/beamspar/control/reservations.py
+++ b/src/beamspar/leader/gang_reservations.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from beamspar.control.messages import Ask
 from beamspar.placement import Room, allowed, fitting
+from beamspar.protocol.peer_messages import Ask
+from beamspar.protocol.wire import Spec
 from beamspar.settings import Timing
-from beamspar.wire import Spec
 
 
 class Reservation(msgspec.Struct):
--- a/src/beamspar/control/fleet.py
+++ b/src/beamspar/leader/instance_manager.py
@@ -11,10 +11,10 @@
 import msgspec
 from twisted.logger import Logger
 
-from beamspar.cloud import CloudClient, CloudUnavailableError, NoCapacityError
-from beamspar.control.session import Session
-from beamspar.http import Clock, sleep, spawn
+from beamspar.cluster.registration import Session
+from beamspar.leader.cloud_client import CloudClient, CloudUnavailableError, NoCapacityError
 from beamspar.placement import Room, allowed, copy, fits_type, fitting, slots
+from beamspar.protocol.wire import MachineType, Rental, Spec
 from beamspar.settings import Settings, Timing
 from beamspar.standby.decision_log import DecisionLog
 from beamspar.standby.decisions import (
@@ -28,7 +28,7 @@
     RentalGranted,
     RentalRefused,
 )
-from beamspar.wire import MachineType, Rental, Spec
+from beamspar.transport.http import Clock, sleep, spawn
 
 log = Logger(namespace="fleet")
 
--- a/src/beamspar/control/leader.py
+++ b/src/beamspar/leader/leader.py
@@ -12,15 +12,13 @@
 import msgspec
 from twisted.logger import Logger
 
-from beamspar.cloud import CloudUnavailableError, NoCapacityError
-from beamspar.control.block_writer import BlockWriter
-from beamspar.control.fleet import Fleet
-from beamspar.control.leasing import Leasing
-from beamspar.control.member_view import MemberView
-from beamspar.control.messages import Ask, Directions, Offers, Placed, Summary, View
-from beamspar.control.reservations import Reservations
-from beamspar.control.session import LEADER, Machine, Session
-from beamspar.http import Clock, sleep, spawn
+from beamspar.cluster.registration import LEADER, Machine, Session
+from beamspar.leader.cloud_client import CloudUnavailableError, NoCapacityError
+from beamspar.leader.gang_reservations import Reservations
+from beamspar.leader.instance_manager import Fleet
+from beamspar.leader.member_view import MemberView
+from beamspar.leader.shard_leasing import Leasing
+from beamspar.leader.shard_writer import BlockWriter
 from beamspar.placement import (
     Preference,
     Room,
@@ -33,9 +31,11 @@
     per_gpu,
     trim,
 )
+from beamspar.protocol.peer_messages import Ask, Directions, Offers, Placed, Summary, View
+from beamspar.protocol.wire import LOWEST_RANK, Spec
 from beamspar.settings import Settings, Timing, Tuning
 from beamspar.standby.decisions import CacheChanged
-from beamspar.state import (
+from beamspar.state.client import (
     URGENT,
     ConflictError,
     LeaseExpiredError,
@@ -44,7 +44,7 @@
     drop,
     put,
 )
-from beamspar.wire import LOWEST_RANK, Spec
+from beamspar.transport.http import Clock, sleep, spawn
 
 log = Logger(namespace="leader")
 
--- a/src/beamspar/control/member_view.py
+++ b/src/beamspar/leader/member_view.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from beamspar.control.messages import JobClass, Summary, View
+from beamspar.protocol.peer_messages import JobClass, Summary, View
 
 
 class MemberView:
--- a/src/beamspar/control/leasing.py
+++ b/src/beamspar/leader/shard_leasing.py
@@ -7,14 +7,14 @@
 
 from twisted.logger import Logger
 
-from beamspar.control.block_writer import BlockWriter
-from beamspar.control.fleet import Fleet
-from beamspar.control.member_view import MemberView
-from beamspar.control.messages import View
-from beamspar.control.session import BLOCK, PARTITION, Block, Machine, Session, block_record
-from beamspar.http import Clock
+from beamspar.cluster.registration import BLOCK, PARTITION, Block, Machine, Session, block_record
+from beamspar.leader.instance_manager import Fleet
+from beamspar.leader.member_view import MemberView
+from beamspar.leader.shard_writer import BlockWriter
+from beamspar.protocol.peer_messages import View
 from beamspar.settings import Settings, Timing, Tuning
-from beamspar.state import ConflictError, LeaseExpiredError, StateUnavailableError, put
+from beamspar.state.client import ConflictError, LeaseExpiredError, StateUnavailableError, put
+from beamspar.transport.http import Clock
 
 log = Logger(namespace="leader")
 
--- a/src/beamspar/control/block_writer.py
+++ b/src/beamspar/leader/shard_writer.py
@@ -6,10 +6,10 @@
 
 import orjson
 
-from beamspar.control import records
-from beamspar.control.session import BLOCK, LEADER, Session
+from beamspar.cluster.registration import BLOCK, LEADER, Session
 from beamspar.settings import StateFacts
-from beamspar.state import URGENT, LeaseExpiredError, StateClient, drop, put
+from beamspar.state import job_records as records
+from beamspar.state.client import URGENT, LeaseExpiredError, StateClient, drop, put
 
 
 def _halves(record: dict[str, Any]) -> list[tuple[str, dict[str, Any]]]:
--- /dev/null
+++ b/src/beamspar/machines/__init__.py
@@ -0,0 +1,1 @@
+"""The machines of this controller's shards: heartbeats, commands, quarantine."""
--- a/src/beamspar/control/fault_evidence.py
+++ b/src/beamspar/machines/fault_evidence.py
@@ -11,8 +11,8 @@
 from collections import OrderedDict
 from collections.abc import Iterable
 
-from beamspar.control.failure_backoff import MACHINES_TO_BLAME
-from beamspar.control.held_machine import HeldMachine
+from beamspar.jobs.failure_backoff import MACHINES_TO_BLAME
+from beamspar.machines.managed_machine import HeldMachine
 from beamspar.settings import Timing
 
 # Jobs whose failures are remembered; the oldest are forgotten first.
--- a/src/beamspar/control/holder.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -12,10 +12,13 @@
 
 from twisted.logger import Logger
 
-from beamspar.control.fault_evidence import FaultEvidence
-from beamspar.control.held_machine import HeldMachine, Key, Start
-from beamspar.control.machine_summaries import MachineSummaries
-from beamspar.control.messages import (
+from beamspar.cluster.registration import Session
+from beamspar.machines.fault_evidence import FaultEvidence
+from beamspar.machines.machine_summaries import MachineSummaries
+from beamspar.machines.managed_machine import HeldMachine, Key, Start
+from beamspar.machines.worker_client import WorkerClient
+from beamspar.placement import Room, copy, trim
+from beamspar.protocol.peer_messages import (
     CLEAR,
     ENDED,
     GONE,
@@ -30,12 +33,16 @@
     View,
     Want,
 )
-from beamspar.control.session import Session
-from beamspar.http import CallFailedError, Clock, spawn
-from beamspar.placement import Room, copy, trim
+from beamspar.protocol.wire import (
+    MachineType,
+    Report,
+    TaskReport,
+    order_clear,
+    order_start,
+    order_stop,
+)
 from beamspar.settings import Timing
-from beamspar.wire import MachineType, Report, TaskReport, order_clear, order_start, order_stop
-from beamspar.workers import WorkerClient
+from beamspar.transport.http import CallFailedError, Clock, spawn
 
 log = Logger(namespace="holder")
 
--- a/src/beamspar/control/machine_summaries.py
+++ b/src/beamspar/machines/machine_summaries.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Callable, Iterable
 
-from beamspar.control.held_machine import HeldMachine, Key
-from beamspar.control.messages import View
-from beamspar.http import Clock
+from beamspar.machines.managed_machine import HeldMachine, Key
 from beamspar.placement import Room
+from beamspar.protocol.peer_messages import View
+from beamspar.protocol.wire import MachineType
 from beamspar.settings import Timing
-from beamspar.wire import MachineType
+from beamspar.transport.http import Clock
 
 
 class MachineSummaries:
--- a/src/beamspar/control/held_machine.py
+++ b/src/beamspar/machines/managed_machine.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-from beamspar.control.messages import CLEAR, Want
-from beamspar.control.session import Machine
+from beamspar.cluster.registration import Machine
 from beamspar.placement import Room
-from beamspar.wire import TaskReport
+from beamspar.protocol.peer_messages import CLEAR, Want
+from beamspar.protocol.wire import TaskReport
 
 # A task and the number of its attempt.
 Key = tuple[str, int]
--- a/src/beamspar/workers.py
+++ b/src/beamspar/machines/worker_client.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from beamspar.http import CallFailedError, Net
-from beamspar.wire import InvalidInputError, Report, orders, parse_report
+from beamspar.protocol.wire import InvalidInputError, Report, orders, parse_report
+from beamspar.transport.http import CallFailedError, Net
 
 
 class WorkerClient:
--- /dev/null
+++ b/src/beamspar/node/__init__.py
@@ -0,0 +1,1 @@
+"""One controller: wires the actors together, serves users, workers and peers."""
--- a/src/beamspar/control/node.py
+++ b/src/beamspar/node/node.py
@@ -10,14 +10,16 @@
 from twisted.internet.defer import Deferred, ensureDeferred
 from twisted.logger import Logger
 
-from beamspar.cloud import CloudClient, CloudUnavailableError, NoCapacityError
-from beamspar.control import records
-from beamspar.control.api import Api
-from beamspar.control.budget import Budget
-from beamspar.control.fleet import Fleet
-from beamspar.control.holder import Holder
-from beamspar.control.leader import Leader
-from beamspar.control.messages import (
+from beamspar.cluster.registration import LEADER, Machine, Session
+from beamspar.jobs.job_controller import Owner
+from beamspar.leader.cloud_client import CloudClient, CloudUnavailableError, NoCapacityError
+from beamspar.leader.instance_manager import Fleet
+from beamspar.leader.leader import Leader
+from beamspar.machines.machine_controller import Holder
+from beamspar.machines.worker_client import WorkerClient
+from beamspar.node.public_api import Api
+from beamspar.placement import Preference, Room, slow_kinds
+from beamspar.protocol.peer_messages import (
     PEER_LIMIT,
     STATUSES_AT_ONCE,
     Ask,
@@ -37,9 +39,19 @@
     decode,
     encode,
 )
-from beamspar.control.owner import Owner
-from beamspar.control.session import LEADER, Machine, Session
-from beamspar.http import (
+from beamspar.protocol.wire import BODY_LIMIT, MachineType, Spec, convert, pack, unpack
+from beamspar.quota.quota_manager import Budget
+from beamspar.settings import Settings, Timing, Tuning
+from beamspar.standby.standby import Standby
+from beamspar.state import job_records as records
+from beamspar.state.client import (
+    ConflictError,
+    LeaseExpiredError,
+    StateClient,
+    StateUnavailableError,
+    put,
+)
+from beamspar.transport.http import (
     Answer,
     Call,
     CallFailedError,
@@ -50,12 +62,6 @@
     sleep,
     spawn,
 )
-from beamspar.placement import Preference, Room, slow_kinds
-from beamspar.settings import Settings, Timing, Tuning
-from beamspar.standby.standby import Standby
-from beamspar.state import ConflictError, LeaseExpiredError, StateClient, StateUnavailableError, put
-from beamspar.wire import BODY_LIMIT, MachineType, Spec, convert, pack, unpack
-from beamspar.workers import WorkerClient
 
 if TYPE_CHECKING:
     from beamspar.sharing.service import Sharing
--- a/src/beamspar/control/api.py
+++ b/src/beamspar/node/public_api.py
@@ -11,21 +11,9 @@
 from twisted.internet.defer import Deferred
 from twisted.logger import Logger
 
-from beamspar.control import records
-from beamspar.control.records import LIVE, WITHDRAWN, EndRecord, JobRecord
-from beamspar.control.session import Machine
-from beamspar.http import Answer, Call, spawn
+from beamspar.cluster.registration import Machine
 from beamspar.placement import fits_type
-from beamspar.state import (
-    ACCEPT,
-    QUESTION_WEIGHT,
-    URGENT,
-    ConflictError,
-    LeaseExpiredError,
-    StateUnavailableError,
-    put,
-)
-from beamspar.wire import (
+from beamspar.protocol.wire import (
     JOB_ID,
     InvalidInputError,
     Spec,
@@ -37,9 +25,21 @@
     report_answer,
     unpack,
 )
+from beamspar.state import job_records as records
+from beamspar.state.client import (
+    ACCEPT,
+    QUESTION_WEIGHT,
+    URGENT,
+    ConflictError,
+    LeaseExpiredError,
+    StateUnavailableError,
+    put,
+)
+from beamspar.state.job_records import LIVE, WITHDRAWN, EndRecord, JobRecord
+from beamspar.transport.http import Answer, Call, spawn
 
 if TYPE_CHECKING:
-    from beamspar.control.node import Node
+    from beamspar.node.node import Node
 
 log = Logger(namespace="api")
 
--- a/src/beamspar/placement.py
+++ b/src/beamspar/placement.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from beamspar.wire import MachineType, Spec
+from beamspar.protocol.wire import MachineType, Spec
 
 EPS = 1e-6
 # Of the time that a class has to start, what a fetch may take: rates differ by a third.
--- a/src/beamspar/control/share_policy.py
+++ b/src/beamspar/quota/fair_share.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from beamspar.control.shares import EPS, NOTHING, Amounts, Share, TeamShares
+from beamspar.quota.allocations import EPS, NOTHING, Amounts, Share, TeamShares
 from beamspar.settings import Team
 
 # Digits after the point in stored amounts, and in what the highest rank lacks.
--- a/src/beamspar/control/budget.py
+++ b/src/beamspar/quota/quota_manager.py
@@ -13,13 +13,12 @@
 
 from twisted.logger import Logger
 
-from beamspar.control.job import Job
-from beamspar.control.session import Session
-from beamspar.control.share_policy import ShareRequest, desired_share, waits_before
-from beamspar.control.shares import EPS, NOTHING, Amounts, Share, TeamShares
-from beamspar.http import spawn
+from beamspar.cluster.registration import Session
+from beamspar.jobs.job import Job
+from beamspar.quota.allocations import EPS, NOTHING, Amounts, Share, TeamShares
+from beamspar.quota.fair_share import ShareRequest, desired_share, waits_before
 from beamspar.settings import Settings
-from beamspar.state import (
+from beamspar.state.client import (
     PLACE,
     ConflictError,
     LeaseExpiredError,
@@ -28,6 +27,7 @@
     StateUnavailableError,
     put,
 )
+from beamspar.transport.http import spawn
 
 log = Logger(namespace="budget")
 TEAM = "c/budget/"
--- a/src/beamspar/control/limit_yield.py
+++ b/src/beamspar/quota/quota_preemption.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable, Collection, Iterable
 from typing import Any, NamedTuple
 
-from beamspar.control.job import Job, Task
-from beamspar.control.records import LIVE
+from beamspar.jobs.job import Job, Task
 from beamspar.placement import EPS
+from beamspar.state.job_records import LIVE
 
 
 class Unit(NamedTuple):
--- a/src/beamspar/sharing/handover.py
+++ b/src/beamspar/sharing/handover.py
@@ -12,13 +12,13 @@
 
 from twisted.logger import Logger
 
-from beamspar.control.leasing import Leasing
-from beamspar.control.messages import decode
-from beamspar.control.session import BLOCK, Block, Session, block_record
-from beamspar.http import CallFailedError, Clock, spawn
+from beamspar.cluster.registration import BLOCK, Block, Session, block_record
+from beamspar.leader.shard_leasing import Leasing
+from beamspar.protocol.peer_messages import decode
 from beamspar.settings import Timing
 from beamspar.sharing.messages import MoveShown, PrepareReply, PrepareRequest
 from beamspar.sharing.planner import Move
+from beamspar.transport.http import CallFailedError, Clock, spawn
 
 log = Logger(namespace="sharing")
 
--- a/src/beamspar/sharing/leave.py
+++ b/src/beamspar/sharing/leave.py
@@ -12,12 +12,11 @@
 import msgspec
 from twisted.logger import Logger
 
-from beamspar.control.leader import Leader
-from beamspar.control.session import Session
-from beamspar.http import Clock
+from beamspar.cluster.registration import Session
+from beamspar.leader.leader import Leader
 from beamspar.settings import Timing
 from beamspar.sharing.messages import CommandReply
-from beamspar.state import (
+from beamspar.state.client import (
     URGENT,
     ConflictError,
     LeaseExpiredError,
@@ -26,6 +25,7 @@
     StateUnavailableError,
     put,
 )
+from beamspar.transport.http import Clock
 
 log = Logger(namespace="sharing")
 
--- a/src/beamspar/sharing/service.py
+++ b/src/beamspar/sharing/service.py
@@ -7,11 +7,10 @@
 
 from twisted.logger import Logger
 
-from beamspar.control.holder import Holder
-from beamspar.control.leader import Leader
-from beamspar.control.messages import decode, encode
-from beamspar.control.session import Session
-from beamspar.http import Clock, spawn
+from beamspar.cluster.registration import Session
+from beamspar.leader.leader import Leader
+from beamspar.machines.machine_controller import Holder
+from beamspar.protocol.peer_messages import decode, encode
 from beamspar.settings import Timing
 from beamspar.sharing.handover import Handover, ask_to_prepare
 from beamspar.sharing.leave import LEAVES, LEFT, SERVING, Leave, leaving_members
@@ -27,7 +26,8 @@
 )
 from beamspar.sharing.planner import DemandAverage, Holding, Load, Move, plan, target_shares
 from beamspar.sharing.transfer import Send, Transfer
-from beamspar.state import StateClient
+from beamspar.state.client import StateClient
+from beamspar.transport.http import Clock, spawn
 
 log = Logger(namespace="sharing")
 
--- a/src/beamspar/sharing/transfer.py
+++ b/src/beamspar/sharing/transfer.py
@@ -12,11 +12,10 @@
 
 from twisted.logger import Logger
 
-from beamspar.control.held_machine import HeldMachine
-from beamspar.control.holder import Holder
-from beamspar.control.messages import VIEWS_AT_ONCE, decode
-from beamspar.control.session import Session
-from beamspar.http import CallFailedError, Clock, sleep, spawn
+from beamspar.cluster.registration import Session
+from beamspar.machines.machine_controller import Holder
+from beamspar.machines.managed_machine import HeldMachine
+from beamspar.protocol.peer_messages import VIEWS_AT_ONCE, decode
 from beamspar.settings import Timing
 from beamspar.sharing.messages import (
     MachineState,
@@ -25,6 +24,7 @@
     ReleaseReply,
     ReleaseRequest,
 )
+from beamspar.transport.http import CallFailedError, Clock, sleep, spawn
 
 log = Logger(namespace="sharing")
 
--- a/src/beamspar/standby/decision_log.py
+++ b/src/beamspar/standby/decision_log.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from beamspar.http import Clock
 from beamspar.standby.decisions import Decision, LeadState
 from beamspar.standby.messages import Entry, FollowReply, FollowRequest
+from beamspar.transport.http import Clock
 
 # Entries that are kept for followers that lag; beyond, they get a snapshot.
 LOG_ENTRIES = 1024
--- a/src/beamspar/standby/failure_detector.py
+++ b/src/beamspar/standby/failure_detector.py
@@ -8,8 +8,8 @@
 from twisted.internet.defer import ensureDeferred
 from twisted.logger import Logger
 
-from beamspar.http import Clock, sleep
 from beamspar.settings import Timing
+from beamspar.transport.http import Clock, sleep
 
 log = Logger(namespace="standby")
 
--- a/src/beamspar/standby/standby.py
+++ b/src/beamspar/standby/standby.py
@@ -8,10 +8,9 @@
 import msgspec
 from twisted.logger import Logger
 
-from beamspar.control.leader import Leader
-from beamspar.control.messages import Pulse, Summary, decode, encode
-from beamspar.control.session import LEADER, Session
-from beamspar.http import CallFailedError, CallRefusedError, Clock, sleep, spawn
+from beamspar.cluster.registration import LEADER, Session
+from beamspar.leader.leader import Leader
+from beamspar.protocol.peer_messages import Pulse, Summary, decode, encode
 from beamspar.settings import Timing
 from beamspar.standby.decision_log import DecisionLog, Replica, StaleTermError
 from beamspar.standby.failure_detector import FailureDetector
@@ -26,6 +25,7 @@
     TakeLeadReply,
     TakeLeadRequest,
 )
+from beamspar.transport.http import CallFailedError, CallRefusedError, Clock, sleep, spawn
 
 log = Logger(namespace="standby")
 
--- a/src/beamspar/state.py
+++ b/src/beamspar/state/client.py
@@ -10,9 +10,9 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from beamspar.http import Answer, CallFailedError, Clock, Net, sleep
+from beamspar.protocol.wire import pack, unpack
 from beamspar.settings import Settings, Timing
-from beamspar.wire import pack, unpack
+from beamspar.transport.http import Answer, CallFailedError, Clock, Net, sleep
 
 
 class StateUnavailableError(Exception):
--- a/src/beamspar/control/records.py
+++ b/src/beamspar/state/job_records.py
@@ -16,9 +16,9 @@
 
 import msgspec
 
+from beamspar.protocol.wire import Spec
 from beamspar.settings import StateFacts
-from beamspar.state import CHORE, Item, StateClient
-from beamspar.wire import Spec
+from beamspar.state.client import CHORE, Item, StateClient
 
 LIVE, WITHDRAWN, DONE = "live", "withdrawn", "done"
 # Bytes that one task takes in a record at most, in JSON form, with room to spare.
--- /dev/null
+++ b/src/beamspar/transport/__init__.py
@@ -0,0 +1,1 @@
+"""HTTP over TCP: calls, the served side, and the reactor."""
--- a/src/beamspar/http_client.py
+++ b/src/beamspar/transport/http_client.py
@@ -17,7 +17,7 @@
 from twisted.python.failure import Failure
 from twisted.web.http import _ChunkedTransferDecoder, _MalformedChunkedDataError
 
-from beamspar.http import Answer, Clock
+from beamspar.transport.http import Answer, Clock
 
 # Connections to one address that stay open without a request.
 MOST_IDLE = 4
--- a/src/beamspar/http_server.py
+++ b/src/beamspar/transport/http_server.py
@@ -7,7 +7,7 @@
 from twisted.logger import Logger
 from twisted.web.http import RESPONSES, HTTPChannel, HTTPFactory, Request
 
-from beamspar.http import Answer, Call, Clock, Handler, lasting, spawn
+from beamspar.transport.http import Answer, Call, Clock, Handler, lasting, spawn
 
 log = Logger(namespace="http")
 
--- a/src/beamspar/tcp.py
+++ b/src/beamspar/transport/tcp.py
@@ -10,9 +10,9 @@
 from twisted.internet.error import ConnectionRefusedError
 from twisted.internet.main import installReactor
 
-from beamspar.http import Answer, CallFailedError, Gates, Handler, Sockets
-from beamspar.http_client import HttpClient
-from beamspar.http_server import Site
+from beamspar.transport.http import Answer, CallFailedError, Gates, Handler, Sockets
+from beamspar.transport.http_client import HttpClient
+from beamspar.transport.http_server import Site
 
 # Connections that wait to be accepted.
 BACKLOG = 256
--- a/tests/kill_leader.py
+++ b/tests/kill_leader.py
@@ -21,8 +21,8 @@
 from twisted.internet.defer import ensureDeferred
 from twisted.internet.threads import deferToThread
 
-from beamspar.http import CallFailedError, sleep
-from beamspar.tcp import steady_reactor
+from beamspar.transport.http import CallFailedError, sleep
+from beamspar.transport.tcp import steady_reactor
 
 ROOT = Path(__file__).resolve().parent.parent
 POLL_S = 0.05
--- a/tests/reshuffle.py
+++ b/tests/reshuffle.py
@@ -21,8 +21,8 @@
 import orjson
 from twisted.internet.defer import ensureDeferred
 
-from beamspar.http import CallFailedError, sleep
-from beamspar.tcp import steady_reactor
+from beamspar.transport.http import CallFailedError, sleep
+from beamspar.transport.tcp import steady_reactor
 from tests.kill_leader import CommandRun, run_command
 
 ZONES = ["east", "west", "south"]
--- a/tests/standins/loopback.py
+++ b/tests/standins/loopback.py
@@ -19,9 +19,9 @@
 import click
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from beamspar.http import Answer, Handler, Sockets
-from beamspar.http_server import Site
-from beamspar.tcp import RealNet
+from beamspar.transport.http import Answer, Handler, Sockets
+from beamspar.transport.http_server import Site
+from beamspar.transport.tcp import RealNet
 from tests.standins.net import Network
 from tests.standins.workers import Worker
 from tests.standins.world import World
--- a/tests/standins/net.py
+++ b/tests/standins/net.py
@@ -8,7 +8,7 @@
 
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from beamspar.http import Answer, Call, CallFailedError, Gates, Handler, lasting
+from beamspar.transport.http import Answer, Call, CallFailedError, Gates, Handler, lasting
 from tests.standins.clock import SimClock
 
 
--- a/tests/standins/releases.py
+++ b/tests/standins/releases.py
@@ -27,11 +27,16 @@
 PACKAGE = "beamspar"
 
 
+# Where each release keeps what a deployment needs: production's names and these sources'.
+HTTP_MODULES = {"control.node": "http", "node.node": "transport.http"}
+
+
 class Release:
     """One set of the service's modules."""
 
-    def __init__(self, modules: dict[str, ModuleType]) -> None:
+    def __init__(self, modules: dict[str, ModuleType], node_module: str) -> None:
         self.modules = modules
+        self.node_module = node_module
 
     def module(self, name: str) -> Any:
         return self.modules[f"{PACKAGE}.{name}"]
@@ -39,7 +44,7 @@
     @property
     def call_failed(self) -> type[Exception]:
         """What a call without a usable answer raises; the first release names it otherwise."""
-        http = self.module("http")
+        http = self.module(HTTP_MODULES[self.node_module])
         found: type[Exception] = getattr(http, "CallFailedError", None) or http.CallFailed
         return found
 
@@ -48,7 +53,7 @@
         settings_module = self.module("settings")
         settings = msgspec.convert(facts, settings_module.Settings)
         own = msgspec.convert(msgspec.to_builtins(tuning), settings_module.Tuning)
-        return self.module("control.node").Node(clock, net, settings, own, dice)
+        return self.module(self.node_module).Node(clock, net, settings, own, dice)
 
 
 def _loaded() -> dict[str, ModuleType]:
@@ -58,8 +63,8 @@
 @functools.cache
 def present() -> Release:
     """These sources."""
-    importlib.import_module(f"{PACKAGE}.control.node")
-    return Release(_loaded())
+    importlib.import_module(f"{PACKAGE}.node.node")
+    return Release(_loaded(), "node.node")
 
 
 @functools.cache
@@ -74,7 +79,7 @@
     importlib.invalidate_caches()
     try:
         importlib.import_module(f"{PACKAGE}.control.node")
-        release = Release(_loaded())
+        release = Release(_loaded(), "control.node")
         _resolve(release)
     finally:
         sys.path.remove(str(folder / "src"))
--- a/tests/standins/sharing.py
+++ b/tests/standins/sharing.py
@@ -9,8 +9,8 @@
 import orjson
 from twisted.internet.defer import Deferred
 
-from beamspar.http import Answer
-from beamspar.wire import unpack
+from beamspar.protocol.wire import unpack
+from beamspar.transport.http import Answer
 from tests.standins.world import ZONES, World
 
 BLOCK = "c/block/"
--- a/tests/standins/state.py
+++ b/tests/standins/state.py
@@ -9,8 +9,8 @@
 from msgspec import json
 from twisted.internet.defer import Deferred
 
-from beamspar.http import Answer, Call
-from beamspar.wire import pack, unpack
+from beamspar.protocol.wire import pack, unpack
+from beamspar.transport.http import Answer, Call
 from tests.standins.clock import SimClock
 
 # Changes that a watch can still ask for.
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -8,8 +8,8 @@
 
 from twisted.internet.defer import Deferred
 
-from beamspar.http import Answer, Call
-from beamspar.wire import pack, unpack
+from beamspar.protocol.wire import pack, unpack
+from beamspar.transport.http import Answer, Call
 from tests.standins.checker import Checker
 from tests.standins.clock import SimClock
 from tests.standins.gangs import Gangs
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -8,9 +8,9 @@
 import msgspec
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from beamspar.http import CallFailedError, Gates, Sockets
+from beamspar.protocol.wire import pack, unpack
 from beamspar.settings import Settings, Tuning
-from beamspar.wire import pack, unpack
+from beamspar.transport.http import CallFailedError, Gates, Sockets
 from tests.standins import releases
 from tests.standins.checker import FINAL, Checker
 from tests.standins.clock import SimClock
--- a/tests/test_acceptor.py
+++ b/tests/test_acceptor.py
@@ -8,14 +8,14 @@
 import pytest
 from twisted.internet.defer import ensureDeferred
 
-from beamspar.control.budget import Budget
-from beamspar.control.owner import Owner
-from beamspar.control.records import JobRecord
-from beamspar.control.session import Session
+from beamspar.cluster.registration import Session
+from beamspar.jobs.job_controller import Owner
 from beamspar.placement import Room
+from beamspar.protocol.wire import Spec
+from beamspar.quota.quota_manager import Budget
 from beamspar.settings import Timing, Tuning
-from beamspar.state import Item, OutcomeUnknownError, StateUnavailableError
-from beamspar.wire import Spec
+from beamspar.state.client import Item, OutcomeUnknownError, StateUnavailableError
+from beamspar.state.job_records import JobRecord
 from tests.standins.clock import SimClock
 from tests.test_budget import KEY, settings
 
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-from beamspar.control.budget import Budget
-from beamspar.control.job import Job
-from beamspar.control.records import Layout
-from beamspar.control.session import Partition, Session
+from beamspar.cluster.registration import Partition, Session
+from beamspar.jobs.job import Job
+from beamspar.protocol.wire import Spec
+from beamspar.quota.quota_manager import Budget
 from beamspar.settings import (
     CloudFacts,
     Facts,
@@ -19,8 +19,8 @@
     Tuning,
     WorkerFacts,
 )
-from beamspar.state import ConflictError, OutcomeUnknownError
-from beamspar.wire import Spec
+from beamspar.state.client import ConflictError, OutcomeUnknownError
+from beamspar.state.job_records import Layout
 from tests.standins.clock import SimClock
 
 KEY = "c/budget/red"
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from beamspar.wire import order_start, order_stop, orders
+from beamspar.protocol.wire import order_start, order_stop, orders
 from tests.standins.checker import Checker
 from tests.standins.clock import SimClock
 from tests.standins.world import JOB
--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -13,10 +13,11 @@
 import msgspec
 import pytest
 
-from beamspar.control import messages, records
-from beamspar.control.session import Block, block_record
+from beamspar.cluster.registration import Block, block_record
 from beamspar.placement import Room
-from beamspar.wire import Spec
+from beamspar.protocol import peer_messages as messages
+from beamspar.protocol.wire import Spec
+from beamspar.state import job_records as records
 from tests.standins import releases
 
 FIXTURE = json.loads((Path(__file__).parent / "fixtures" / "production.json").read_text())
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from beamspar.control.messages import PEER_LIMIT, decode, encode
+from beamspar.protocol.peer_messages import PEER_LIMIT, decode, encode
 from beamspar.standby.decision_log import (
     ENTRIES_AT_ONCE,
     LOG_ENTRIES,
--- a/tests/test_failure_backoff.py
+++ b/tests/test_failure_backoff.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from beamspar.control.failure_backoff import LONGEST_PAUSE, PROBES, FailureBackoff
-from beamspar.control.fault_evidence import MOST_JOBS, FaultEvidence
-from beamspar.control.held_machine import HeldMachine
-from beamspar.control.session import Machine
+from beamspar.cluster.registration import Machine
+from beamspar.jobs.failure_backoff import LONGEST_PAUSE, PROBES, FailureBackoff
+from beamspar.machines.fault_evidence import MOST_JOBS, FaultEvidence
+from beamspar.machines.managed_machine import HeldMachine
 from beamspar.settings import Settings, Timing, Tuning
 from tests.standins.world import World
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,11 +4,11 @@
 
 from typing import Any
 
-from beamspar.control.fleet import Fleet
+from beamspar.leader.instance_manager import Fleet
 from beamspar.placement import Room
+from beamspar.protocol.wire import MachineType, Spec
 from beamspar.settings import Timing, Tuning
 from beamspar.standby.decisions import Booting
-from beamspar.wire import MachineType, Spec
 from tests.standins.clock import SimClock
 from tests.test_budget import settings
 
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -19,14 +19,24 @@
 import pytest
 from twisted.internet.defer import Deferred, ensureDeferred, succeed
 
-from beamspar import cloud, http, settings, state, wire, workers
-from beamspar.control import budget, messages, node, records, session, shares
+from beamspar import settings
+from beamspar.cluster import registration as session
+from beamspar.leader import cloud_client as cloud
+from beamspar.machines import worker_client as workers
+from beamspar.node import node
 from beamspar.placement import Room
+from beamspar.protocol import peer_messages as messages
+from beamspar.protocol import wire
+from beamspar.quota import allocations as shares
+from beamspar.quota import quota_manager as budget
 from beamspar.sharing import leave
 from beamspar.sharing import messages as sharing
 from beamspar.standby import decisions as log
 from beamspar.standby import messages as standby
 from beamspar.standby import standby as standing
+from beamspar.state import client as state
+from beamspar.state import job_records as records
+from beamspar.transport import http
 from tests.standins.clock import SimClock
 from tests.standins.sharing import SharingWorld
 
--- a/tests/test_gang.py
+++ b/tests/test_gang.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from beamspar.control import limit_yield
-from beamspar.control.gang import LONGEST_PAUSE, Gang, Phase
-from beamspar.control.job import Job
-from beamspar.control.records import Layout
-from beamspar.wire import Spec
+from beamspar.jobs.gang import LONGEST_PAUSE, Gang, Phase
+from beamspar.jobs.job import Job
+from beamspar.protocol.wire import Spec
+from beamspar.quota import quota_preemption as limit_yield
+from beamspar.state.job_records import Layout
 
 WAIT = 40.0
 SPEC = Spec(
--- a/tests/test_holder.py
+++ b/tests/test_holder.py
@@ -6,9 +6,9 @@
 
 from twisted.internet.defer import Deferred
 
-from beamspar.control.holder import Holder
-from beamspar.control.messages import HOLD, RUN, Sync, Want
-from beamspar.control.session import Session
+from beamspar.cluster.registration import Session
+from beamspar.machines.machine_controller import Holder
+from beamspar.protocol.peer_messages import HOLD, RUN, Sync, Want
 from beamspar.settings import Timing, Tuning
 from tests.standins.clock import SimClock
 from tests.test_budget import settings
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -8,8 +8,8 @@
 from twisted.internet import reactor as installed
 from twisted.internet.threads import deferToThread
 
-from beamspar.http import LASTING, Answer, Call, Sockets, spawn
-from beamspar.tcp import RealNet
+from beamspar.transport.http import LASTING, Answer, Call, Sockets, spawn
+from beamspar.transport.tcp import RealNet
 
 MOST = 10
 BODY = b"answered"
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -9,9 +9,9 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from beamspar.http import Answer, CallFailedError, Sockets
-from beamspar.http_client import MOST_IDLE
-from beamspar.tcp import RealNet
+from beamspar.transport.http import Answer, CallFailedError, Sockets
+from beamspar.transport.http_client import MOST_IDLE
+from beamspar.transport.tcp import RealNet
 
 ADDRESS = "10.0.0.1:80"
 LIMIT_S = 1.5
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -9,9 +9,9 @@
 import orjson
 from twisted.internet.defer import ensureDeferred
 
-from beamspar.control.fleet import Fleet
-from beamspar.control.leader import Leader
-from beamspar.control.session import LEADER, Machine, Session, block_record
+from beamspar.cluster.registration import LEADER, Machine, Session, block_record
+from beamspar.leader.instance_manager import Fleet
+from beamspar.leader.leader import Leader
 from beamspar.settings import NextLimits, Timing, Tuning
 from tests.standins.clock import SimClock
 from tests.test_budget import settings
--- a/tests/test_limit_use.py
+++ b/tests/test_limit_use.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from beamspar.control.job import Job
-from beamspar.control.limit_use import LimitUse
-from beamspar.control.records import Layout
-from beamspar.wire import Spec
+from beamspar.jobs.job import Job
+from beamspar.protocol.wire import Spec
+from beamspar.quota.quota_usage import LimitUse
+from beamspar.state.job_records import Layout
 
 
 def bound(tasks: int, chunk: int = 0) -> LimitUse:
--- a/tests/test_many_tasks.py
+++ b/tests/test_many_tasks.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from beamspar.control.assignments import MANY_WANTS, Assignments
-from beamspar.control.job import Job
-from beamspar.control.messages import WANTS_AT_ONCE
-from beamspar.control.placer import Placer
-from beamspar.control.records import Layout
-from beamspar.wire import Spec
+from beamspar.jobs.assignments import MANY_WANTS, Assignments
+from beamspar.jobs.job import Job
+from beamspar.jobs.placer import Placer
+from beamspar.protocol.peer_messages import WANTS_AT_ONCE
+from beamspar.protocol.wire import Spec
+from beamspar.state.job_records import Layout
 from tests.standins.world import ZONES, World
 
 MACHINES = [f"host-{n}" for n in range(7)]
--- a/tests/test_open_attempts.py
+++ b/tests/test_open_attempts.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from beamspar.control.held_machine import HeldMachine
-from beamspar.control.holder import Holder
+from beamspar.machines.machine_controller import Holder
+from beamspar.machines.managed_machine import HeldMachine
 from tests.test_random import test_random_faults as random_faults
 
 
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -7,12 +7,12 @@
 import msgspec
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from beamspar.control.owner import Owner
-from beamspar.control.records import JobRecord
-from beamspar.control.session import Partition, Session
+from beamspar.cluster.registration import Partition, Session
+from beamspar.jobs.job_controller import Owner
+from beamspar.protocol.wire import Spec
 from beamspar.settings import Timing, Tuning
-from beamspar.state import Item
-from beamspar.wire import Spec
+from beamspar.state.client import Item
+from beamspar.state.job_records import JobRecord
 from tests.standins.clock import SimClock
 from tests.test_budget import settings
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -15,7 +15,7 @@
     strands,
     turn,
 )
-from beamspar.wire import Spec
+from beamspar.protocol.wire import Spec
 
 ZONES = "xyz"
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -155,7 +155,7 @@
 time.time = lambda: day() + off[0]
 
 from beamspar import cli
-from beamspar.control import node
+from beamspar.node import node
 from beamspar.settings import Tuning, load
 
 
@@ -197,9 +197,9 @@
 sys.argv = ["run.py", "--help"]
 sys.path.insert(0, "target/app")
 import run
-from beamspar.tcp import steady_reactor
+from beamspar.transport.tcp import steady_reactor
 steady_reactor()
-import beamspar.control.node
+import beamspar.node.node
 from pathlib import Path
 for name, module in list(sys.modules.items()):
     if name.split(".")[0] in ("beamspar", "twisted") and getattr(module, "__file__", None):
@@ -223,7 +223,7 @@
     )  # fmt: skip
     lines = [line.split() for line in done.stdout.splitlines()]
     names = {name for name, _, _ in lines}
-    assert {"beamspar.control.node", "twisted.web.http"} <= names
+    assert {"beamspar.node.node", "twisted.web.http"} <= names
     assert not names & set(NOT_LOADED)
     for name, path, compiled in lines:
         if name.startswith("beamspar"):
--- a/tests/test_quiet_work.py
+++ b/tests/test_quiet_work.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from beamspar.control.holder import Holder
+from beamspar.machines.machine_controller import Holder
 from tests.standins.world import ZONES, World
 
 QUIET_S = 60.0
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -7,15 +7,15 @@
 import pytest
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from beamspar.cloud import CloudUnavailableError, MachinePage
-from beamspar.control.assignments import Assignments
-from beamspar.control.fleet import PAGE_RETRIES, Fleet
-from beamspar.control.holder import Holder
-from beamspar.control.job import Job, Task
-from beamspar.control.messages import PEER_LIMIT, VIEWS_AT_ONCE, Sync, Want, encode
-from beamspar.control.session import BLOCK, Machine, Session, block_record
+from beamspar.cluster.registration import BLOCK, Machine, Session, block_record
+from beamspar.jobs.assignments import Assignments
+from beamspar.jobs.job import Job, Task
+from beamspar.leader.cloud_client import CloudUnavailableError, MachinePage
+from beamspar.leader.instance_manager import PAGE_RETRIES, Fleet
+from beamspar.machines.machine_controller import Holder
+from beamspar.protocol.peer_messages import PEER_LIMIT, VIEWS_AT_ONCE, Sync, Want, encode
+from beamspar.protocol.wire import MachineType, Rental
 from beamspar.settings import Timing, Tuning
-from beamspar.wire import MachineType, Rental
 from tests.standins.clock import SimClock
 from tests.test_budget import settings
 
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -6,11 +6,11 @@
 
 from twisted.internet.defer import ensureDeferred
 
-from beamspar.control.holder import Holder
-from beamspar.control.session import Machine, Session, block_record
+from beamspar.cluster.registration import Machine, Session, block_record
+from beamspar.machines.machine_controller import Holder
+from beamspar.machines.worker_client import WorkerClient
 from beamspar.settings import Timing, Tuning
-from beamspar.state import Item
-from beamspar.workers import WorkerClient
+from beamspar.state.client import Item
 from tests.standins.clock import SimClock
 from tests.test_budget import settings
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -8,8 +8,8 @@
 import pytest
 from twisted.logger import LogLevel, formatEvent, globalLogPublisher
 
-from beamspar.control.shares import Share, read_share
-from beamspar.state import ConflictError
+from beamspar.quota.allocations import Share, read_share
+from beamspar.state.client import ConflictError
 from tests.standins.world import World
 from tests.test_budget import KEY, job, make
 
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -9,7 +9,8 @@
 import pytest
 from twisted.internet.defer import ensureDeferred
 
-from beamspar.control.messages import Ask
+from beamspar.protocol.peer_messages import Ask
+from beamspar.protocol.wire import Spec
 from beamspar.standby.decisions import MachinesUp
 from beamspar.standby.messages import (
     HandOverReply,
@@ -17,7 +18,6 @@
     TakeLeadReply,
     TakeLeadRequest,
 )
-from beamspar.wire import Spec
 from tests.standins.history import watched
 from tests.standins.state import Writer
 from tests.standins.world import ZONES, World
