--- a/src/beamspar/cli.py
+++ b/src/beamspar/cli.py
@@ -9,7 +9,7 @@
 import click
 
 from beamspar import __version__
-from beamspar.settings import Settings, SettingsError, Tuning, load
+from beamspar.settings import OperatorSettings, Settings, SettingsError, load
 
 
 def start_log(level_name: str) -> None:
@@ -39,7 +39,7 @@
     globalLogBeginner.beginLoggingTo([observer], redirectStandardIO=False)
 
 
-def serve(settings: Settings, tuning: Tuning) -> None:
+def serve(settings: Settings, operator_settings: OperatorSettings) -> None:
     """Run one controller until it is killed."""
     import gc
     import random
@@ -49,14 +49,14 @@
     reactor: Any = steady_reactor()
 
     from beamspar.node.node import Node
-    from beamspar.settings import Timing
+    from beamspar.settings import Timeouts
     from beamspar.transport.http import Sockets, spawn
 
     start_log(os.environ.get("LOG_LEVEL", "info"))
-    timing = Timing(settings, tuning)
-    sockets = Sockets.of(settings.facts.limits.sockets, settings.facts.nodes)
-    net = RealNet(reactor, timing.call, timing.keep_open, sockets)
-    node = Node(reactor, net, settings, tuning, random.Random())
+    timeouts = Timeouts(settings, operator_settings)
+    sockets = Sockets.of(settings.platform.limits.sockets, settings.platform.nodes)
+    net = RealNet(reactor, timeouts.request, timeouts.keep_open, sockets)
+    node = Node(reactor, net, settings, operator_settings, random.Random())
     reactor.callWhenRunning(spawn, node.start(), "start")
     # What is loaded by now stays: the collector need not look at it again and again.
     gc.freeze()
@@ -124,5 +124,5 @@
     if check:
         click.echo(f"{config}: settings are in order")
         return
-    tuning = Tuning(block_size, lease_share, headroom, standby, sharing)
-    serve(settings, tuning)
+    operator_settings = OperatorSettings(block_size, lease_share, headroom, standby, sharing)
+    serve(settings, operator_settings)
--- a/src/beamspar/cluster/registration.py
+++ b/src/beamspar/cluster/registration.py
@@ -13,7 +13,7 @@
 import msgspec
 from twisted.logger import Logger
 
-from beamspar.settings import Settings, Timing
+from beamspar.settings import Settings, Timeouts
 from beamspar.state.client import (
     URGENT,
     CompactedError,
@@ -48,7 +48,7 @@
     spot: bool = False
 
 
-class Block(msgspec.Struct):
+class MachineShard(msgspec.Struct):
     """A leased block.
 
     Its fencing number is the revision of its record or of its holder's fence, whichever
@@ -62,10 +62,10 @@
     # The number when machines only left the block: those that stay need no new one.
     keep: int = 0
     base: int = 0
-    number: int = 0
+    fencing_token: int = 0
 
 
-def block_record(
+def shard_record(
     holder: str, machines: list[Machine], live: bool = False, keep: int = 0
 ) -> dict[str, Any]:
     """What a block's key stores."""
@@ -77,7 +77,7 @@
     return record
 
 
-class Partition(msgspec.Struct):
+class JobPartition(msgspec.Struct):
     """The jobs that one incarnation accepted; they change owner together."""
 
     owner: str
@@ -86,19 +86,19 @@
     since: int = 0
 
 
-class Session:
+class Registration:
     """Owns the grant and the mirror; tells listeners which control keys changed."""
 
     def __init__(
-        self, clock: Clock, state: StateClient, settings: Settings, timing: Timing
+        self, clock: Clock, state: StateClient, settings: Settings, timeouts: Timeouts
     ) -> None:
         self.clock = clock
         self.state = state
-        self.timing = timing
+        self.timeouts = timeouts
         self.me = settings.member
-        self.names = [self.me, *(sibling.member for sibling in settings.siblings)]
-        self.inc = 0
-        self.permit = 0
+        self.names = [self.me, *(sibling.member for sibling in settings.peers)]
+        self.incarnation = 0
+        self.lease_id = 0
         self.fence_version = 0
         self.partition = ""
         self.revision = 0
@@ -106,13 +106,13 @@
         self.watched_at = -1e9
         self.values: dict[str, tuple[Any, int]] = {}
         self.dropped: dict[str, int] = {}
-        self.blocks: dict[str, Block] = {}
-        self.partitions: dict[str, Partition] = {}
-        self.block_of: dict[str, str] = {}
+        self.shards: dict[str, MachineShard] = {}
+        self.partitions: dict[str, JobPartition] = {}
+        self.shard_of: dict[str, str] = {}
         # Jobs that their users withdrew and that are not over yet: by the mirror, and by the
         # word of the controller that confirmed it, with the revision of its write.
-        self.withdrawn: set[str] = set()
-        self.told: dict[str, int] = {}
+        self.cancelled: set[str] = set()
+        self.announced_cancellations: dict[str, int] = {}
         self.members: set[str] = set()
         # When this process saw a member's grant end, and who held a machine before.
         self.ended: dict[str, float] = {}
@@ -120,7 +120,7 @@
         self.listeners: list[Callable[[str], None]] = []
         self.started = False
         self.lost = False
-        self.on_lost: Callable[[str], None] = lambda why: None
+        self.on_lease_lost: Callable[[str], None] = lambda why: None
 
     # -- standing
 
@@ -132,27 +132,30 @@
     @property
     def registered(self) -> bool:
         """Is the stored fence this incarnation's?"""
-        return self.inc > 0 and self.values.get(self.fence_key, (None, 0))[1] == self.fence_version
+        return (
+            self.incarnation > 0
+            and self.values.get(self.fence_key, (None, 0))[1] == self.fence_version
+        )
 
-    def valid(self) -> bool:
+    def lease_is_valid(self) -> bool:
         """May this process act as holder and owner right now?"""
         if not self.started or self.lost:
             return False
-        return self.clock.seconds() < min(self.renewed_at, self.watched_at) + self.timing.validity
+        return self.clock.seconds() < min(self.renewed_at, self.watched_at) + self.timeouts.validity
 
-    def current(self) -> bool:
+    def mirror_is_current(self) -> bool:
         """Is the mirror so recent that new work may be begun by it?
 
         What runs goes on while our lease lasts, but a start by old knowledge may be of what
         its user has cancelled: a controller that is cut off or was frozen begins nothing.
         """
-        return self.clock.seconds() - self.watched_at < self.timing.current
+        return self.clock.seconds() - self.watched_at < self.timeouts.mirror_freshness
 
     def fence(self) -> dict[str, int]:
         """The condition that keeps a former self's or a deposed owner's writes out."""
         return {self.fence_key: self.fence_version}
 
-    def all_read(self, release: int) -> bool:
+    def all_members_run(self, release: int) -> bool:
         """Does every controller of the settings run this release or a newer one?
 
         Its fence tells, also while it is down: it comes back as what it registered as last.
@@ -169,19 +172,19 @@
         record = self.partitions.get(partition)
         return {PARTITION + partition: record.version if record else 0}
 
-    def is_withdrawn(self, job: str) -> bool:
+    def is_cancelled(self, job: str) -> bool:
         """Has the job's user cancelled it?"""
-        return job in self.withdrawn or job in self.told
+        return job in self.cancelled or job in self.announced_cancellations
 
-    def learn_cancelled(self, jobs: dict[str, int]) -> None:
+    def observe_cancellations(self, jobs: dict[str, int]) -> None:
         """Withdrawals that a sibling has stored, though the state service may fail us.
 
         A stored withdrawal is final, so it is heeded without a read. Our mirror tells all
         that is older than itself: a job that is over by then has no mark any more.
         """
         for job, revision in jobs.items():
-            if revision > self.revision and not self.is_withdrawn(job):
-                self.told[job] = revision
+            if revision > self.revision and not self.is_cancelled(job):
+                self.announced_cancellations[job] = revision
                 for listener in self.listeners:
                     listener(f"{CONTROL}w/{job}")
 
@@ -189,8 +192,8 @@
         """The mirror holds all changes up to this one. Set after they were taken in: a holder
         relies on being one by all that the mirror has."""
         self.revision = max(self.revision, revision)
-        for job in [j for j, at in self.told.items() if at <= self.revision]:
-            del self.told[job]
+        for job in [j for j, at in self.announced_cancellations.items() if at <= self.revision]:
+            del self.announced_cancellations[job]
 
     @property
     def leader(self) -> str | None:
@@ -200,18 +203,18 @@
 
     def holder_of(self, machine: str) -> tuple[str, int] | None:
         """Who holds the machine, and under which number."""
-        block = self.blocks.get(self.block_of.get(machine, ""))
-        return (block.holder, block.number) if block else None
+        shard = self.shards.get(self.shard_of.get(machine, ""))
+        return (shard.holder, shard.fencing_token) if shard else None
 
     def end(self, why: str) -> None:
         """Act no more: the registration is given up."""
-        self._lose_standing(why)
+        self._lose_registration(why)
 
-    def _lose_standing(self, why: str) -> None:
+    def _lose_registration(self, why: str) -> None:
         if not self.lost:
             self.lost = True
             log.warn("standing lost: {why}", why=why)
-            self.on_lost(why)
+            self.on_lease_lost(why)
 
     # -- start
 
@@ -225,23 +228,23 @@
                 log.info("registering waits: {error}", error=error)
             except ConflictError as error:
                 log.info("registering again: {failed}", failed=error.failed)
-            await sleep(self.clock, self.timing.retry)
+            await sleep(self.clock, self.timeouts.retry)
         self.started = True
-        log.info("registered as {me}.{inc}", me=self.me, inc=self.inc)
+        log.info("registered as {me}.{incarnation}", me=self.me, incarnation=self.incarnation)
         spawn(self._renewing(), "renewals")
         spawn(self._watching(), "watch")
 
     async def _register(self) -> bool:
         sent = self.clock.seconds()
-        permit = await self.state.grant(self.timing.grant)
+        lease_id = await self.state.grant_lease(self.timeouts.registration_lease)
         await self._load()
         old, version = self.values.get(self.fence_key, ({}, 0))
-        inc = int(old.get("inc", 0)) + 1
-        partition = f"{self.me}.{inc}"
+        incarnation = int(old.get("inc", 0)) + 1
+        partition = f"{self.me}.{incarnation}"
         conditions = {self.fence_key: version}
         changes = [
-            put(self.fence_key, {"inc": inc, "v": RELEASE}),
-            put(f"c/member/{self.me}", {"inc": inc, "v": RELEASE}, permit),
+            put(self.fence_key, {"inc": incarnation, "v": RELEASE}),
+            put(f"c/member/{self.me}", {"inc": incarnation, "v": RELEASE}, lease_id),
             put(PARTITION + partition, {"owner": self.me}),
         ]
         if self.leader == self.me:
@@ -250,11 +253,16 @@
             conditions[LEADER] = self.values[LEADER][1]
             changes.append(drop(LEADER))
         try:
-            revision = await self.state.multi(conditions, changes, URGENT)
+            revision = await self.state.transact(conditions, changes, URGENT)
         except OutcomeUnknownError:
             # It may have been applied: the next round reads what stands and fences it.
             return False
-        self.inc, self.permit, self.fence_version, self.partition = inc, permit, revision, partition
+        self.incarnation, self.lease_id, self.fence_version, self.partition = (
+            incarnation,
+            lease_id,
+            revision,
+            partition,
+        )
         self.renewed_at = sent
         await self._load()
         return self.values.get(self.fence_key, ({}, 0))[1] == revision
@@ -274,7 +282,7 @@
 
     # -- mirror
 
-    def learn(self, key: str, value: Any, version: int) -> None:
+    def observe(self, key: str, value: Any, version: int) -> None:
         """Take in a control write of our own without waiting for the watch."""
         known = max(self.values.get(key, (None, 0))[1], self.dropped.get(key, 0))
         if version > known:
@@ -299,7 +307,7 @@
             elif kind == "folio":
                 self._apply_partition(name, value, version)
             elif kind == "w":
-                (self.withdrawn.discard if value is None else self.withdrawn.add)(name)
+                (self.cancelled.discard if value is None else self.cancelled.add)(name)
             elif kind == "member":
                 if value is None:
                     self.members.discard(name)
@@ -309,7 +317,7 @@
                     self.ended.pop(name, None)
             elif kind == "fence":
                 if name == self.me and self.started and version != self.fence_version:
-                    self._lose_standing("fenced by another")
+                    self._lose_registration("fenced by another")
                 self._renumber(name)
         except (msgspec.ValidationError, KeyError, TypeError) as error:
             log.error("odd control record {key}: {error}", key=key, error=error)
@@ -322,25 +330,25 @@
             owner = str(value["owner"])
             kept = before is not None and before.owner == owner
             since = before.since if before and kept else version
-            self.partitions[name] = Partition(owner, version, since)
+            self.partitions[name] = JobPartition(owner, version, since)
 
     def _apply_block(self, name: str, value: Any, version: int) -> None:
-        old = self.blocks.pop(name, None)
+        old = self.shards.pop(name, None)
         holders = {m.name: old.holder for m in old.machines} if old else {}
         for machine in old.machines if old else ():
-            if self.block_of.get(machine.name) == name:
-                del self.block_of[machine.name]
+            if self.shard_of.get(machine.name) == name:
+                del self.shard_of[machine.name]
         if value is not None:
-            block = msgspec.convert(value, Block)
-            block.base = block.keep or version
-            block.number = max(block.base, self._fence_of(block.holder))
-            self.blocks[name] = block
-            for machine in block.machines:
-                self.block_of[machine.name] = name
-                if holders.get(machine.name, block.holder) != block.holder:
+            shard = msgspec.convert(value, MachineShard)
+            shard.base = shard.keep or version
+            shard.fencing_token = max(shard.base, self._fence_of(shard.holder))
+            self.shards[name] = shard
+            for machine in shard.machines:
+                self.shard_of[machine.name] = name
+                if holders.get(machine.name, shard.holder) != shard.holder:
                     self.former[machine.name] = holders[machine.name]
         for gone in holders:
-            if gone not in self.block_of:
+            if gone not in self.shard_of:
                 self.former.pop(gone, None)
 
     def _fence_of(self, member: str) -> int:
@@ -353,12 +361,12 @@
         our registration and the reading after it is read before our fence, and nobody could
         hold it then.
         """
-        for name, block in self.blocks.items():
-            if block.holder != member:
+        for name, shard in self.shards.items():
+            if shard.holder != member:
                 continue
-            number = max(block.base, self._fence_of(member))
-            if number != block.number or member == self.me:
-                block.number = number
+            number = max(shard.base, self._fence_of(member))
+            if number != shard.fencing_token or member == self.me:
+                shard.fencing_token = number
                 for listener in self.listeners:
                     listener(f"c/block/{name}")
 
@@ -367,7 +375,7 @@
         now = self.clock.seconds()
         if live:
             # It may not know yet, and act until its own lease ends.
-            return now + self.timing.grant
+            return now + self.timeouts.registration_lease
         former = self.former.get(machine, self.me)
         if former != self.me and former not in self.members:
             # Its lease ended before its grant did, and that was seen here.
@@ -379,15 +387,15 @@
     async def _renewing(self) -> None:
         while not self.lost:
             sent = self.clock.seconds()
-            pause = self.timing.renew
+            pause = self.timeouts.lease_renewal
             try:
-                await self.state.extend(self.permit)
+                await self.state.renew_lease(self.lease_id)
                 self.renewed_at = sent
             except LeaseExpiredError:
-                self._lose_standing("the grant has ended")
+                self._lose_registration("the grant has ended")
                 return
             except StateUnavailableError as error:
-                pause = self.timing.retry
+                pause = self.timeouts.retry
                 log.info("renewal failed: {error}", error=error)
             await sleep(self.clock, pause)
 
@@ -395,12 +403,14 @@
         while not self.lost:
             sent = self.clock.seconds()
             try:
-                events, revision = await self.state.watch(CONTROL, self.revision, self.timing.hold)
+                events, revision = await self.state.watch(
+                    CONTROL, self.revision, self.timeouts.watch_hold
+                )
                 if self.lost:
                     return
                 for event in events:
                     if event.put is not None:
-                        self.learn(event.put, event.value, event.version)
+                        self.observe(event.put, event.value, event.version)
                     elif event.drop is not None:
                         self._apply(event.drop, None, event.version)
                 self._caught_up(revision)
@@ -409,7 +419,7 @@
                 try:
                     await self._load()
                 except StateUnavailableError:
-                    await sleep(self.clock, self.timing.retry)
+                    await sleep(self.clock, self.timeouts.retry)
             except StateUnavailableError as error:
                 log.info("watch failed: {error}", error=error)
-                await sleep(self.clock, self.timing.retry)
+                await sleep(self.clock, self.timeouts.retry)
--- a/src/beamspar/jobs/assignments.py
+++ b/src/beamspar/jobs/assignments.py
@@ -7,7 +7,7 @@
 
 from twisted.internet.defer import Deferred
 
-from beamspar.cluster.registration import Session
+from beamspar.cluster.registration import Registration
 from beamspar.jobs.gang import Phase
 from beamspar.jobs.job import Job, Task
 from beamspar.protocol.peer_messages import (
@@ -16,11 +16,11 @@
     RUN,
     STOP,
     WANTS_AT_ONCE,
-    Status,
-    Sync,
-    Want,
+    AttemptStatus,
+    DesiredAttempt,
+    DesiredStateUpdate,
 )
-from beamspar.settings import Timing
+from beamspar.settings import Timeouts
 from beamspar.state.job_records import LIVE
 from beamspar.transport.http import Clock, sleep, spawn
 
@@ -28,14 +28,14 @@
 MANY_WANTS = 200
 
 
-class JobBook(Protocol):
+class JobStore(Protocol):
     """Whose tasks these are, and who is told what holders answer."""
 
     jobs: dict[str, Job]
     partitions: set[str]
     loaded: set[str]
 
-    def statuses(self, statuses: list[Status]) -> None:
+    def statuses(self, statuses: list[AttemptStatus]) -> None:
         """Take in what holders tell of our attempts."""
 
     def may_start(self, job: Job) -> bool:
@@ -45,16 +45,18 @@
 class Assignments:
     """Owns the index of tasks by machine and the messages to holders."""
 
-    def __init__(self, clock: Clock, session: Session, timing: Timing, book: JobBook) -> None:
+    def __init__(
+        self, clock: Clock, registration: Registration, timeouts: Timeouts, job_store: JobStore
+    ) -> None:
         self.clock = clock
-        self.session = session
-        self.timing = timing
-        self.book = book
+        self.registration = registration
+        self.timeouts = timeouts
+        self.job_store = job_store
         # What is bound to each machine, and what of it was over and waits for its clear.
         self.on: dict[str, dict[tuple[str, int], tuple[Job, Task]]] = {}
         self.clears: dict[str, dict[tuple[str, int], tuple[str, float]]] = {}
         # Bound, but its holder was not told yet: its room is not off the picture.
-        self.untold: dict[tuple[str, int], tuple[Job, Task]] = {}
+        self.unacknowledged: dict[tuple[str, int], tuple[Job, Task]] = {}
         self.seq = 0
         # How many wants were told so far.
         self.wants_told = 0
@@ -63,7 +65,9 @@
         self.syncing: set[str] = set()
         self.sync_called = False
         self.told_all: dict[str, float] = {}
-        self.send: Callable[[str, list[Sync]], Deferred[list[Status] | None]] | None = None
+        self.send: (
+            Callable[[str, list[DesiredStateUpdate]], Deferred[list[AttemptStatus] | None]] | None
+        ) = None
 
     def place_on(self, machine: str, job: Job, index: int, task: Task) -> None:
         """The job's task is bound to the machine now."""
@@ -74,8 +78,8 @@
         """The job's task is bound to the machine no more."""
         key = (job.id, index)
         # The same job may be in memory twice while it arrives and is read back.
-        if key in self.untold and self.untold[key][0] is job:
-            del self.untold[key]
+        if key in self.unacknowledged and self.unacknowledged[key][0] is job:
+            del self.unacknowledged[key]
         there = self.on.get(machine, {})
         if key in there and there[key][0] is job:
             del there[key]
@@ -85,7 +89,7 @@
 
     def touch(self, machine: str) -> None:
         """Its holder should hear what is wanted there now, this turn's changes together."""
-        held = self.session.holder_of(machine)
+        held = self.registration.holder_of(machine)
         if held is not None:
             self.due.setdefault(held[0], set()).add(machine)
             if not self.sync_called:
@@ -95,11 +99,11 @@
     def sync(self) -> None:
         """Tell the holders what changed, and now and then all, which mends what was lost."""
         self.sync_called = False
-        if not self.session.valid() or self.send is None or not self.book.loaded:
+        if not self.registration.lease_is_valid() or self.send is None or not self.job_store.loaded:
             return
         now = self.clock.seconds()
-        for holder in {block.holder for block in self.session.blocks.values()}:
-            full = now - self.told_all.get(holder, -1e9) >= self.timing.repair
+        for holder in {shard.holder for shard in self.registration.shards.values()}:
+            full = now - self.told_all.get(holder, -1e9) >= self.timeouts.resync
             if holder not in self.syncing and (full or self.due.get(holder)):
                 self.syncing.add(holder)
                 spawn(self._sync(holder, full), f"telling {holder}")
@@ -109,7 +113,7 @@
         if full:
             self.told_all[holder] = self.clock.seconds()
         heard = False
-        wants = self.wants_told
+        desired_attempts = self.wants_told
         try:
             for part in self._parts(holder, None if full else machines):
                 heard = await self._tell(holder, part)
@@ -117,9 +121,9 @@
                     break
             # Machines with hundreds of short tasks change all the time, and each change tells
             # all that is wanted there: what comes meanwhile is told together.
-            told = self.wants_told - wants
+            told = self.wants_told - desired_attempts
             if told >= MANY_WANTS:
-                await sleep(self.clock, self.timing.heartbeat * min(told / WANTS_AT_ONCE, 1.0))
+                await sleep(self.clock, self.timeouts.heartbeat * min(told / WANTS_AT_ONCE, 1.0))
         finally:
             self.syncing.discard(holder)
             if not heard:
@@ -136,7 +140,7 @@
         messages = self._wants(holder, machines)
         answers = await self.send(holder, messages) if messages else []
         if answers:
-            self.book.statuses(answers)
+            self.job_store.statuses(answers)
         return answers is not None
 
     def _parts(
@@ -153,8 +157,8 @@
             return [machines]
         if machines is None:
             # Also machines on which nothing is wanted any more.
-            blocks = self.session.blocks.values()
-            names = names | {m.name for b in blocks if b.holder == holder for m in b.machines}
+            shards = self.registration.shards.values()
+            names = names | {m.name for b in shards if b.holder == holder for m in b.machines}
         parts: list[set[str] | None] = []
         part: set[str] = set()
         size = 0
@@ -167,33 +171,33 @@
         parts.append(part)
         return parts
 
-    def _wants(self, holder: str, machines: set[str] | None) -> list[Sync]:
+    def _wants(self, holder: str, machines: set[str] | None) -> list[DesiredStateUpdate]:
         """Per partition all that we want on these machines, or (None) on all of the holder's."""
         # An empty list of a partition whose jobs are still being read would tell the holder
         # that none of its tasks is wanted, and it would stop them all.
-        wants: dict[str, list[Want]] = {
-            f: [] for f in sorted(self.book.partitions & self.book.loaded)
+        desired_attempts: dict[str, list[DesiredAttempt]] = {
+            f: [] for f in sorted(self.job_store.partitions & self.job_store.loaded)
         }
         names = set(machines) if machines is not None else {*self.on, *self.clears}
         for name in names:
-            held = self.session.holder_of(name)
+            held = self.registration.holder_of(name)
             if held is None:
                 self.clears.pop(name, None)
             elif held[0] == holder:
-                self._wants_on(name, held[1], wants)
+                self._wants_on(name, held[1], desired_attempts)
         self.seq += 1
         messages = []
-        for partition, listed in wants.items():
-            record = self.session.partitions.get(partition)
+        for partition, listed in desired_attempts.items():
+            record = self.registration.partitions.get(partition)
             if record:
                 self.wants_told += len(listed)
                 part = None if machines is None else sorted(machines)
                 messages.append(
-                    Sync(
-                        self.session.me,
+                    DesiredStateUpdate(
+                        self.registration.me,
                         partition,
                         record.version,
-                        self.session.inc,
+                        self.registration.incarnation,
                         self.seq,
                         listed,
                         part,
@@ -201,30 +205,32 @@
                 )
         return messages
 
-    def _wants_on(self, machine: str, number: int, wants: dict[str, list[Want]]) -> None:
+    def _wants_on(
+        self, machine: str, number: int, desired_attempts: dict[str, list[DesiredAttempt]]
+    ) -> None:
         for (job_id, index), (job, task) in self.on.get(machine, {}).items():
             spec = job.spec
-            if job.partition not in wants:
+            if job.partition not in desired_attempts:
                 continue
-            task.number = number
-            self.untold.pop((job_id, index), None)
+            task.fencing_token = number
+            self.unacknowledged.pop((job_id, index), None)
             if not task.stored:
                 # The room is spoken for at once: while the record was on its way, others
                 # used to take it, and the start was refused.
                 action = HOLD
             elif (
                 job.status != LIVE
-                or task.yields
+                or task.preempted_for_quota
                 or (spec.is_gang and job.phase(self.clock.seconds()) is Phase.STOPPING)
             ):
                 action = STOP
-            elif not self.book.may_start(job):
+            elif not self.job_store.may_start(job):
                 # What runs goes on, what does not is not started.
                 action = HOLD
             else:
                 action = RUN
-            wants[job.partition].append(
-                Want(
+            desired_attempts[job.partition].append(
+                DesiredAttempt(
                     machine,
                     number,
                     f"{job_id}/{index}",
@@ -238,22 +244,24 @@
                     spec.rank,
                     spec.checkpoint_s > 0 and not (spec.is_gang and job.gang.broken),
                     spec.save_s,
-                    task.evict,
+                    task.preempt,
                     spec.is_gang,
                     job.backoff.to_blame,
                 )
             )
         clears = self.clears.get(machine, {})
         for (name, attempt), (partition, since) in list(clears.items()):
-            if self.clock.seconds() - since > self.timing.worker_lease * 3:
+            if self.clock.seconds() - since > self.timeouts.worker_lease * 3:
                 del clears[(name, attempt)]
-            elif partition in wants and self._clearable(name):
-                wants[partition].append(Want(machine, number, name, attempt, CLEAR))
+            elif partition in desired_attempts and self._clearable(name):
+                desired_attempts[partition].append(
+                    DesiredAttempt(machine, number, name, attempt, CLEAR)
+                )
 
     def _clearable(self, name: str) -> bool:
         """Only what is stored may be cleared from a machine's memory."""
         job_id, _, index = name.partition("/")
-        job = self.book.jobs.get(job_id)
+        job = self.job_store.jobs.get(job_id)
         return job is None or (not job.writing and int(index) // job.per not in job.dirty)
 
     def moved(self, machine: str) -> None:
@@ -272,7 +280,7 @@
         clears[(task, attempt)] = (job.partition, self.clock.seconds())
         job.clearing.add(machine)
 
-    def cleared(self, status: Status) -> bool:
+    def cleared(self, status: AttemptStatus) -> bool:
         """Was the attempt waiting for its clear? Then that is done."""
         clears = self.clears.get(status.machine)
         if not clears or clears.pop((status.task, status.attempt), None) is None:
@@ -284,4 +292,4 @@
 
     def without_holder(self) -> list[str]:
         """Machines with tasks of ours whose block is gone."""
-        return [machine for machine in self.on if self.session.holder_of(machine) is None]
+        return [machine for machine in self.on if self.registration.holder_of(machine) is None]
--- a/src/beamspar/jobs/job.py
+++ b/src/beamspar/jobs/job.py
@@ -10,8 +10,8 @@
 
 from beamspar.jobs.failure_backoff import FailureBackoff
 from beamspar.jobs.gang import Gang, Phase
-from beamspar.protocol.wire import Spec
-from beamspar.quota.quota_usage import LimitUse
+from beamspar.protocol.wire import JobSpec
+from beamspar.quota.quota_usage import QuotaUsage
 from beamspar.state import job_records as records
 from beamspar.state.job_records import LIVE, Chunk, JobRecord, Layout
 
@@ -25,14 +25,14 @@
     __slots__ = (
         "attempt",
         "avoid",
-        "evict",
         "failures",
+        "fencing_token",
         "machine",
         "not_before",
-        "number",
+        "preempt",
+        "preempted_for_quota",
         "state",
         "stored",
-        "yields",
     )
 
     def __init__(self, attempt: int = 0) -> None:
@@ -40,11 +40,11 @@
         self.machine: str | None = None
         self.state = ""
         self.stored = False
-        self.number = 0
-        self.evict = False
+        self.fencing_token = 0
+        self.preempt = False
         self.failures = 0
         # It is to stop, so that higher work of its team may run within the team's limit.
-        self.yields = False
+        self.preempted_for_quota = False
         self.avoid: set[str] = set()
         self.not_before = 0.0
 
@@ -52,7 +52,7 @@
 class Job:
     """A job of ours in memory; its record's version fences every write of it."""
 
-    def __init__(self, spec: Spec, partition: str, layout: Layout, now: float) -> None:
+    def __init__(self, spec: JobSpec, partition: str, layout: Layout, now: float) -> None:
         self.spec = spec
         self.partition = partition
         self.layout = layout
@@ -86,7 +86,7 @@
         self.gang_wait_s = 0.0
         self.clearing: set[str] = set()
         # What counts against the team's limit.
-        self.limit_use = LimitUse()
+        self.quota_usage = QuotaUsage()
 
     @property
     def per(self) -> int:
@@ -121,7 +121,7 @@
 
     def waiting(self, now: float, most: int) -> list[int]:
         """Indexes that may be placed now, those that ran before first."""
-        if self.status != LIVE or self.moving or self.limit_use.rewriting:
+        if self.status != LIVE or self.moving or self.quota_usage.rewriting:
             return []
         if self.spec.is_gang:
             phase = self.phase(now)
@@ -162,7 +162,7 @@
         self.tasks[index].machine = machine
         self.bound += 1
         self._on_machine[machine] += 1
-        self.limit_use.bind(index // self.per)
+        self.quota_usage.bind(index // self.per)
 
     def unbind(self, index: int) -> None:
         """The task's attempt is over, or was never stored."""
@@ -175,7 +175,7 @@
         task.machine = None
         self.bound -= 1
         self.saw(task, "")
-        self.limit_use.unbind(index // self.per)
+        self.quota_usage.unbind(index // self.per)
 
     def saw(self, task: Task, state: str) -> None:
         """A holder tells the state of one of the job's bound tasks; empty while none is known."""
@@ -191,10 +191,10 @@
 
     def extra_use(self, indexes: Sequence[int]) -> int:
         """How many more tasks count against the limit once these are bound."""
-        if not self.limit_use.spare:
+        if not self.quota_usage.spare:
             return len(indexes)
         per = self.per
-        return self.limit_use.extra([index // per for index in indexes])
+        return self.quota_usage.extra([index // per for index in indexes])
 
     def places(self, zone_of: Callable[[str], str]) -> tuple[dict[str, int], dict[str, int]]:
         """Where the job's tasks are or may be: zones and machines with counts."""
@@ -230,7 +230,7 @@
         self.chunk_versions = {}
         self.dirty = {index // layout.per for index in range(self.untouched)} | {0}
         bound = [index for index, task in self.tasks.items() if task.machine is not None]
-        self.limit_use.change_layout(index // layout.per for index in bound)
+        self.quota_usage.change_layout(index // layout.per for index in bound)
 
     def record(self) -> dict[str, Any]:
         """The job's own record, the first chunk in it."""
--- a/src/beamspar/jobs/job_acceptor.py
+++ b/src/beamspar/jobs/job_acceptor.py
@@ -7,11 +7,11 @@
 
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import PARTITION, Session
+from beamspar.cluster.registration import PARTITION, Registration
 from beamspar.jobs.job import Job
 from beamspar.jobs.job_writer import JobWriter
-from beamspar.protocol.wire import Spec
-from beamspar.settings import Timing
+from beamspar.protocol.wire import JobSpec
+from beamspar.settings import Timeouts
 from beamspar.state import job_records as records
 from beamspar.state.client import (
     PLACE,
@@ -47,7 +47,7 @@
     jobs: dict[str, Job]
     partitions: set[str]
     writer: JobWriter
-    budget: Any
+    quota_manager: Any
 
     async def place(self, jobs: list[Job]) -> None:
         """Bind what can be bound now."""
@@ -64,7 +64,7 @@
     async def adopt(self, job_id: str) -> None:
         """Take a stored job into memory that is not there."""
 
-    def pump(self) -> None:
+    def schedule(self) -> None:
         """Place what waits."""
 
 
@@ -74,26 +74,26 @@
     def __init__(
         self,
         clock: Clock,
-        session: Session,
+        registration: Registration,
         state: StateClient,
-        timing: Timing,
-        book: JobOwner,
+        timeouts: Timeouts,
+        job_store: JobOwner,
     ) -> None:
         self.clock = clock
-        self.session = session
+        self.registration = registration
         self.state = state
-        self.timing = timing
-        self.book = book
+        self.timeouts = timeouts
+        self.job_store = job_store
         self.arriving: dict[str, Job] = {}
         # A repeated submission may add one more for the same job.
         self.doubtful: dict[str, list[Job]] = {}
 
-    async def accept(self, spec: Spec) -> bool:
+    async def accept(self, spec: JobSpec) -> bool:
         """Store a new job, with its first places if there is room; False: it is known."""
-        layout = self.book.writer.layout_now()
-        job = Job(spec, self.session.partition, layout, self.clock.seconds())
-        job.gang_wait_s = self.timing.gang_wait
-        job.served = self.session.revision
+        layout = self.job_store.writer.layout_now()
+        job = Job(spec, self.registration.partition, layout, self.clock.seconds())
+        job.gang_wait_s = self.timeouts.gang_wait
+        job.served = self.registration.revision
         self.arriving[spec.id] = job
         try:
             return await self._accept(job)
@@ -102,23 +102,23 @@
 
     async def _accept(self, job: Job) -> bool:
         spec = job.spec
-        await self.book.place([job])
-        binding = job.limit_use.writing(0)
-        job.stamp = self.book.writer.stamp()
+        await self.job_store.place([job])
+        binding = job.quota_usage.writing(0)
+        job.stamp = self.job_store.writer.stamp()
         conditions = {
-            **self.session.fence(),
-            **self.session.partition_fence(job.partition),
+            **self.registration.fence(),
+            **self.registration.partition_fence(job.partition),
             records.job_key(spec.id): 0,
             records.end_key(spec.id): 0,
         }
         try:
-            version = await self.state.multi(
+            version = await self.state.transact(
                 conditions, [put(records.job_key(spec.id), job.record())], 1
             )
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
             for index, task in job.tasks.items():
                 if task.machine is not None:
-                    self.book.take_off(task.machine, job, index)
+                    self.job_store.take_off(task.machine, job, index)
             if not isinstance(error, OutcomeUnknownError):
                 self._release(job)
             else:
@@ -131,12 +131,12 @@
         self.settled(spec.id)
         job.version = version
         job.dirty.discard(0)
-        job.limit_use.written(0, binding)
+        job.quota_usage.written(0, binding)
         for index, task in job.tasks.items():
             if index < job.per and task.machine:
                 task.stored = True
-                self.book.touch(task.machine)
-        self.book.jobs[spec.id] = job
+                self.job_store.touch(task.machine)
+        self.job_store.jobs[spec.id] = job
         log.info(
             "accepted {job} ({job_class}): {n} tasks, {placed} placed",
             job=spec.id,
@@ -144,12 +144,12 @@
             n=spec.tasks,
             placed=job.bound,
         )
-        if self.session.is_withdrawn(job.id):
+        if self.registration.is_cancelled(job.id):
             # Another controller read what we wrote, and its answer was the faster one.
-            self.book.apply_cancellation(job.id)
-        self.book.writer.flush(job)
+            self.job_store.apply_cancellation(job.id)
+        self.job_store.writer.flush(job)
         if job.waiting(self.clock.seconds(), 1):
-            self.book.pump()
+            self.job_store.schedule()
         return True
 
     async def _settle(self, job_id: str) -> None:
@@ -159,8 +159,8 @@
         partition's record is written anew: accepts check it, so no late one is applied then.
         """
         looks, void = 0, False
-        while job_id in self.doubtful and not self.session.lost:
-            await sleep(self.clock, self.timing.report)
+        while job_id in self.doubtful and not self.registration.lost:
+            await sleep(self.clock, self.timeouts.report)
             looks += 1
             try:
                 if looks > LOOKS and not void:
@@ -178,20 +178,20 @@
         if item is None:
             ended = await self.state.get(records.end_key(job_id), PLACE) is not None
             return Fate.KNOWN if ended else Fate.NOT_STORED
-        if records.read_job(item).partition not in self.book.partitions:
+        if records.read_job(item).partition not in self.job_store.partitions:
             return Fate.KNOWN
-        await self.book.adopt(job_id)
-        return Fate.KNOWN if job_id in self.book.jobs else Fate.NOT_IN_MEMORY
+        await self.job_store.adopt(job_id)
+        return Fate.KNOWN if job_id in self.job_store.jobs else Fate.NOT_IN_MEMORY
 
     async def _renew_partition(self) -> None:
-        key = PARTITION + self.session.partition
-        value = {"owner": self.session.me}
+        key = PARTITION + self.registration.partition
+        value = {"owner": self.registration.me}
         conditions = {
-            **self.session.fence(),
-            **self.session.partition_fence(self.session.partition),
+            **self.registration.fence(),
+            **self.registration.partition_fence(self.registration.partition),
         }
-        revision = await self.state.multi(conditions, [put(key, value)], PLACE)
-        self.session.learn(key, value, revision)
+        revision = await self.state.transact(conditions, [put(key, value)], PLACE)
+        self.registration.observe(key, value, revision)
 
     def settled(self, job_id: str) -> None:
         """The job's record is known now; an accept in doubt counts no longer."""
@@ -199,5 +199,5 @@
             self._release(job)
 
     def _release(self, job: Job) -> None:
-        if self.book.budget:
-            self.book.budget.release(job)
+        if self.job_store.quota_manager:
+            self.job_store.quota_manager.release(job)
--- a/src/beamspar/jobs/job_controller.py
+++ b/src/beamspar/jobs/job_controller.py
@@ -11,7 +11,7 @@
 
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import PARTITION, Session
+from beamspar.cluster.registration import PARTITION, Registration
 from beamspar.jobs.assignments import Assignments
 from beamspar.jobs.gang import Phase
 from beamspar.jobs.job import Job, Task
@@ -24,12 +24,12 @@
     GONE,
     KEPT,
     REFUSED,
-    Status,
+    AttemptStatus,
 )
-from beamspar.protocol.wire import PRIORITIES, Spec
+from beamspar.protocol.wire import PRIORITIES, JobSpec
 from beamspar.quota import quota_preemption as limit_yield
-from beamspar.quota.quota_preemption import Unit
-from beamspar.settings import Settings, Timing
+from beamspar.quota.quota_preemption import PreemptionUnit
+from beamspar.settings import Settings, Timeouts
 from beamspar.state.client import (
     CHORE,
     ConflictError,
@@ -38,7 +38,7 @@
     StateUnavailableError,
     drop,
 )
-from beamspar.state.job_records import LIVE, WITHDRAWN
+from beamspar.state.job_records import CANCELLED, LIVE
 from beamspar.transport.http import Clock, sleep, spawn
 
 log = Logger(namespace="owner")
@@ -47,53 +47,53 @@
 MOST_AVOIDED = 4
 
 
-class Owner:
+class JobController:
     """Owns the jobs of this controller's partitions."""
 
     def __init__(
         self,
         clock: Clock,
-        session: Session,
+        registration: Registration,
         state: StateClient,
         settings: Settings,
-        timing: Timing,
+        timeouts: Timeouts,
     ) -> None:
         self.clock = clock
-        self.session = session
+        self.registration = registration
         self.state = state
         self.settings = settings
-        self.timing = timing
-        self.facts = settings.facts.state
+        self.timeouts = timeouts
+        self.facts = settings.platform.state
         self.jobs: dict[str, Job] = {}
         self.partitions: set[str] = set()
         # Until all jobs of a partition are in memory, what its tasks use is not known.
         self.loaded: set[str] = set()
         self.zones: dict[str, str] = {}
         self.spot: set[str] = set()
-        self.budget: Any = None
+        self.quota_manager: Any = None
         self.dropping = False
         # Jobs that were held back for failing wherever they ran.
         self.held_back = 0
         self.yielded_at = -1e9
         # Partitions and teams whose bound tasks exceed their share, and since when.
         self.exceeding: dict[tuple[str, str], float] = {}
-        self.writer = JobWriter(clock, session, state, self.facts, timing, self)
-        self.assignments = Assignments(clock, session, timing, self)
-        self.acceptor = Acceptor(clock, session, state, timing, self)
-        self.placer = Placer(clock, session, timing, self)
-        self.loader = JobLoader(clock, session, state, self.facts, timing, self)
-        session.listeners.append(self._changed)
+        self.writer = JobWriter(clock, registration, state, self.facts, timeouts, self)
+        self.assignments = Assignments(clock, registration, timeouts, self)
+        self.acceptor = Acceptor(clock, registration, state, timeouts, self)
+        self.placer = Placer(clock, registration, timeouts, self)
+        self.loader = JobLoader(clock, registration, state, self.facts, timeouts, self)
+        registration.listeners.append(self._changed)
 
     # -- jobs come and go
 
     def _changed(self, key: str) -> None:
         kind, _, name = key.removeprefix("c/").partition("/")
         if kind == "folio":
-            record = self.session.partitions.get(name)
-            if record and record.owner == self.session.me:
+            record = self.registration.partitions.get(name)
+            if record and record.owner == self.registration.me:
                 if name not in self.partitions:
                     self.partitions.add(name)
-                    if name != self.session.partition and self.session.started:
+                    if name != self.registration.partition and self.registration.started:
                         log.info("taking over partition {partition}", partition=name)
                         spawn(self.load(), "taking over")
             elif name in self.partitions:
@@ -101,11 +101,11 @@
                 self.loaded.discard(name)
                 for job in [j for j in self.jobs.values() if j.partition == name]:
                     self.forget(job)
-                if self.budget:
-                    self.budget.forget(name)
+                if self.quota_manager:
+                    self.quota_manager.forget(name)
         elif kind == "block":
-            block = self.session.blocks.get(name)
-            for machine in block.machines if block else ():
+            shard = self.registration.shards.get(name)
+            for machine in shard.machines if shard else ():
                 self.zones[machine.name] = machine.zone
                 if machine.spot:
                     self.spot.add(machine.name)
@@ -125,14 +125,14 @@
                 self.assignments.place_on(task.machine, job, index, task)
         self.use_changed(job)
         self.acceptor.settled(job.id)
-        if self.session.is_withdrawn(job.id):
+        if self.registration.is_cancelled(job.id):
             # Stored after what we read of it.
             self.apply_cancellation(job.id)
 
     def all_loaded(self) -> None:
         """Jobs of more partitions are in memory: all holders should hear what is wanted."""
         self.assignments.repeat_all()
-        self.pump()
+        self.schedule()
 
     def forget(self, job: Job, ended: bool = False) -> None:
         """The job is over, or another's: nothing of it is ours to speak for."""
@@ -143,21 +143,25 @@
             if task.machine is not None:
                 self.take_off(task.machine, job, index)
         self.writer.touch_clears(job)
-        if self.budget is not None:
-            self.budget.release(job)
+        if self.quota_manager is not None:
+            self.quota_manager.release(job)
 
     def use_changed(self, job: Job) -> None:
         """What of the job counts against its team's limit has changed."""
-        if self.budget is None or self.jobs.get(job.id) is not job:
+        if self.quota_manager is None or self.jobs.get(job.id) is not job:
             # Over or another's by now: it was released as a whole.
             return
-        if self.budget.recount(job) < 0 and self.budget.requested(job.partition, job.spec.team):
+        if self.quota_manager.recount(job) < 0 and self.quota_manager.requested(
+            job.partition, job.spec.team
+        ):
             # There may be share now for what waits.
-            self.pump()
+            self.schedule()
 
     def may_start(self, job: Job) -> bool:
         """Is what is bound of the job's team within its share?"""
-        return self.budget is None or bool(self.budget.may_start(job.partition, job.spec.team))
+        return self.quota_manager is None or bool(
+            self.quota_manager.may_start(job.partition, job.spec.team)
+        )
 
     def take_off(self, machine: str, job: Job, index: int) -> None:
         """The job's task is bound to the machine no more."""
@@ -167,7 +171,7 @@
         """Tell the machine's holder what is wanted there."""
         self.assignments.touch(machine)
 
-    async def accept(self, spec: Spec) -> bool:
+    async def accept(self, spec: JobSpec) -> bool:
         """Store a new job, with its first places if there is room; False: it is known."""
         return await self.acceptor.accept(spec)
 
@@ -187,7 +191,7 @@
         if job is not None:
             log.info("adopted {job}", job=job_id)
             self.writer.flush(job)
-            self.pump()
+            self.schedule()
 
     def apply_cancellation(self, job_id: str) -> None:
         """A withdrawal that somebody has stored: final, so it needs no read to be heeded."""
@@ -204,7 +208,7 @@
     def cancel(self, job: Job) -> None:
         """The job's user has cancelled it: whatever of it runs is to stop."""
         log.info("{job} is withdrawn", job=job.id)
-        job.status = WITHDRAWN
+        job.status = CANCELLED
         self._drop_unstored(job)
         job.again.clear()
         self._touch_all(job)
@@ -222,9 +226,9 @@
 
     # -- placing
 
-    def pump(self) -> None:
+    def schedule(self) -> None:
         """Place what waits."""
-        self.placer.pump()
+        self.placer.schedule()
 
     def zone_of(self, machine: str) -> str:
         """The machine's zone, as far as it was ever in a block."""
@@ -239,14 +243,14 @@
             self.take_off(task.machine, job, index)
             job.unbind(index)
         task.stored = False
-        task.number = 0
+        task.fencing_token = 0
         # It counts against the team's limit until that is stored: a successor would start it.
         job.dirty.add(index // job.per)
         self.use_changed(job)
 
     # -- what holders say
 
-    def statuses(self, statuses: list[Status]) -> None:
+    def statuses(self, statuses: list[AttemptStatus]) -> None:
         """Take in what holders tell of our attempts."""
         touched: dict[str, Job] = {}
         for status in statuses:
@@ -257,12 +261,12 @@
         for job in touched.values():
             # What waits to be placed again is written once, with its new place, unless others
             # wait for the share that is free as soon as it is stored.
-            if not job.waiting(now, 1) or (self.budget and self.budget.wanted(job)):
+            if not job.waiting(now, 1) or (self.quota_manager and self.quota_manager.wanted(job)):
                 self.writer.flush(job)
         if touched:
-            self.pump()
+            self.schedule()
 
-    def _status(self, status: Status) -> Job | None:
+    def _status(self, status: AttemptStatus) -> Job | None:
         if status.state in (GONE, KEPT, REFUSED) and self.assignments.cleared(status):
             return None
         job_id, _, index_text = status.task.partition("/")
@@ -271,7 +275,7 @@
         if job is None or task is None or task.attempt != status.attempt:
             return None
         # An older number's word does not bind a holder that we asked since.
-        if task.machine != status.machine or status.number < task.number:
+        if task.machine != status.machine or status.fencing_token < task.fencing_token:
             return None
         index = int(index_text)
         if status.state in (GONE, REFUSED, ENDED):
@@ -291,9 +295,9 @@
             self._touch_all(job)
         elif not known:
             # Restored with a task missing: now it can be told whether to replace it.
-            self.pump()
+            self.schedule()
 
-    def _over_attempt(self, job: Job, index: int, task: Task, status: Status) -> Job:
+    def _over_attempt(self, job: Job, index: int, task: Task, status: AttemptStatus) -> Job:
         now = self.clock.seconds()
         log.info(
             "{task} try {attempt} on {machine}: {state} {why}",
@@ -301,31 +305,31 @@
             attempt=status.attempt,
             machine=status.machine,
             state=status.state,
-            why=status.why or "",
+            why=status.exit_reason or "",
         )
         self._unbind(job, index, task)
         if status.state == ENDED:
             self.assignments.clear(job, status.machine, status.task, status.attempt)
-        if status.state == ENDED and status.why == "done" and not job.spec.is_service:
+        if status.state == ENDED and status.exit_reason == "done" and not job.spec.is_service:
             job.complete(index)
             job.backoff.succeed()
             if job.spec.is_gang:
                 self._gang_done(job)
             return job
-        if job.status == LIVE and self.session.is_withdrawn(job.id):
+        if job.status == LIVE and self.registration.is_cancelled(job.id):
             # The holder knew of the withdrawal before we did: not to be bound once more.
             self.apply_cancellation(job.id)
         elif job.status == LIVE:
             if job.spec.is_gang:
                 self._gang_lost(job, task, status, now)
-            elif status.why in ("error", "no_room", "unknown", "in_use"):
+            elif status.exit_reason in ("error", "no_room", "unknown", "in_use"):
                 task.failures += 1
-                if status.why == "error":
+                if status.exit_reason == "error":
                     self._failed(job, task, status.machine, now)
-                wait = min(2 ** min(task.failures, 6), 30) * self.timing.retry
-                task.not_before = now + (wait if task.failures > 2 else self.timing.retry)
+                wait = min(2 ** min(task.failures, 6), 30) * self.timeouts.retry
+                task.not_before = now + (wait if task.failures > 2 else self.timeouts.retry)
             elif status.state == REFUSED:
-                task.not_before = now + self.timing.heartbeat / 2
+                task.not_before = now + self.timeouts.heartbeat / 2
             job.again.append(index)
         return job
 
@@ -337,7 +341,7 @@
         # Services and gangs have few tasks; the pause of each does for them.
         if job.spec.is_service or job.spec.is_gang:
             return
-        if job.backoff.failed(machine, now, self.timing.retry):
+        if job.backoff.failed(machine, now, self.timeouts.retry):
             self.held_back += 1
             log.warn(
                 "{job} fails wherever it runs: held back, the {n}th job so far",
@@ -345,21 +349,24 @@
                 n=self.held_back,
             )
 
-    def _gang_lost(self, job: Job, task: Task, status: Status, now: float) -> None:
+    def _gang_lost(self, job: Job, task: Task, status: AttemptStatus, now: float) -> None:
         """A gang's task is over without being done: it is replaced, or all are stopped."""
         gang = job.gang
-        if status.why in ("alone", "error", "no_room", "unknown", "in_use") and not gang.stopping:
+        if (
+            status.exit_reason in ("alone", "error", "no_room", "unknown", "in_use")
+            and not gang.stopping
+        ):
             gang.failures += 1
         # One that waited in vain was not completed in time; one whose peers are gone, or that
         # has saved, had started. Otherwise the rest wait on for a replacement.
-        over = status.why in ("alone", "peers") or status.saved
+        over = status.exit_reason in ("alone", "peers") or status.saved
         gang.lose(status.machine, now, may_replace=not over)
-        if status.why == "error":
+        if status.exit_reason == "error":
             self._failed(job, task, status.machine, now)
         if status.state == REFUSED:
-            task.not_before = now + self.timing.heartbeat / 2
+            task.not_before = now + self.timeouts.heartbeat / 2
         else:
-            task.not_before = now + gang.pause(job.id, self.timing.retry)
+            task.not_before = now + gang.pause(job.id, self.timeouts.retry)
         self._touch_all(job)
 
     def _gang_done(self, job: Job) -> None:
@@ -376,18 +383,20 @@
     def tick(self) -> None:
         """See to what is due: writes, placing, repeated messages."""
         self.writer.tick()
-        for name in (self.session.withdrawn | self.session.told.keys()) & self.jobs.keys():
+        for name in (
+            self.registration.cancelled | self.registration.announced_cancellations.keys()
+        ) & self.jobs.keys():
             self.apply_cancellation(name)
         self._drop_empty_partition()
         now = self.clock.seconds()
         self._let_go(now)
-        if self.budget and now - self.yielded_at >= self.timing.report:
+        if self.quota_manager and now - self.yielded_at >= self.timeouts.report:
             self.yielded_at = now
             self._yield()
             self._release_excess(now)
         self.assignments.sync()
         self._release_vanished()
-        self.pump()
+        self.schedule()
 
     def _let_go(self, now: float) -> None:
         """Gangs that found no replacement in time give back what they hold."""
@@ -407,8 +416,8 @@
         Without this a large array that came first kept a team's critical services waiting
         until it was done.
         """
-        for team in sorted(self.budget.teams):
-            if not any(self.budget.yields(team, len(PRIORITIES))):
+        for team in sorted(self.quota_manager.teams):
+            if not any(self.quota_manager.amount_to_preempt(team, len(PRIORITIES))):
                 continue
             jobs = [job for job in self.jobs.values() if job.spec.team == team]
             lacking = functools.partial(self._lacking, team, jobs)
@@ -417,9 +426,9 @@
 
     def _lacking(self, team: str, jobs: list[Job], rank: int) -> tuple[float, float]:
         """What work of this rank should give up, less what is over and about to be stored so."""
-        cpus, gpus = self.budget.yields(team, rank)
+        cpus, gpus = self.quota_manager.amount_to_preempt(team, rank)
         for job in jobs:
-            released = job.limit_use.tasks - job.bound
+            released = job.quota_usage.tasks - job.bound
             cpus -= released * job.spec.cpus
             gpus -= released * job.spec.gpus
         return max(cpus, 0.0), max(gpus, 0.0)
@@ -430,20 +439,24 @@
         Nothing of it is started before it is covered, and that may never be. What does run
         goes on: by now every holder has had the time to tell of it.
         """
-        keys = [(name, team) for name in sorted(self.loaded) for team in sorted(self.budget.teams)]
+        keys = [
+            (name, team)
+            for name in sorted(self.loaded)
+            for team in sorted(self.quota_manager.teams)
+        ]
         for key in keys:
-            excess = self.budget.excess(*key)
+            excess = self.quota_manager.excess(*key)
             if not any(excess):
                 self.exceeding.pop(key, None)
-            elif now - self.exceeding.setdefault(key, now) > self.timing.unstarted:
+            elif now - self.exceeding.setdefault(key, now) > self.timeouts.unstarted:
                 jobs = [job for job in self.jobs.values() if (job.partition, job.spec.team) == key]
                 for unit in limit_yield.choose_unstarted(jobs, self.spot, excess):
                     self._stop_unit(unit, f"is let go: beyond the share of {key[1]}")
 
-    def _stop_unit(self, unit: Unit, why: str) -> None:
+    def _stop_unit(self, unit: PreemptionUnit, why: str) -> None:
         for index, task in unit.tasks:
-            if not task.yields and task.machine is not None:
-                task.yields = True
+            if not task.preempted_for_quota and task.machine is not None:
+                task.preempted_for_quota = True
                 self.touch(task.machine)
                 log.info("{job}/{index} {why}", job=unit.job.id, index=index, why=why)
 
@@ -453,27 +466,30 @@
         Nothing can be accepted into it: its incarnation is fenced out. Left, there would
         be one more with every restart, in all that lists partitions.
         """
-        session = self.session
-        if self.dropping or not self.budget:
+        registration = self.registration
+        if self.dropping or not self.quota_manager:
             return
         doubtful = [job for jobs in self.doubtful.values() for job in jobs]
         full = {job.partition for job in (*self.jobs.values(), *doubtful)}
-        for partition in sorted(self.loaded - full - {session.partition}):
-            if partition in session.partitions and self.budget.holds_none(partition):
+        for partition in sorted(self.loaded - full - {registration.partition}):
+            if partition in registration.partitions and self.quota_manager.holds_none(partition):
                 self.dropping = True
                 spawn(self._drop_partition(partition), "dropping a partition")
                 return
 
     async def _drop_partition(self, partition: str) -> None:
         try:
-            conditions = {**self.session.fence(), **self.session.partition_fence(partition)}
-            await self.state.multi(conditions, [drop(PARTITION + partition)], CHORE)
+            conditions = {
+                **self.registration.fence(),
+                **self.registration.partition_fence(partition),
+            }
+            await self.state.transact(conditions, [drop(PARTITION + partition)], CHORE)
             log.info("partition {partition} is empty: dropped", partition=partition)
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
             log.info(
                 "dropping partition {partition} waits: {error}", partition=partition, error=error
             )
-        await sleep(self.clock, self.timing.repair)
+        await sleep(self.clock, self.timeouts.resync)
         self.dropping = False
 
     def _release_vanished(self) -> None:
@@ -483,7 +499,7 @@
             for (_, index), (job, task) in list(self.assignments.on[machine].items()):
                 if task.stored:
                     name = f"{job.id}/{index}"
-                    status = Status(machine, task.number, name, task.attempt, GONE)
+                    status = AttemptStatus(machine, task.fencing_token, name, task.attempt, GONE)
                     self._over_attempt(job, index, task, status)
                     changed[job.id] = job
         for job in changed.values():
--- a/src/beamspar/jobs/job_loader.py
+++ b/src/beamspar/jobs/job_loader.py
@@ -14,18 +14,18 @@
 import msgspec
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import Session
+from beamspar.cluster.registration import Registration
 from beamspar.jobs.job import Job, Task
-from beamspar.settings import StateFacts, Timing
+from beamspar.settings import StateServiceLimits, Timeouts
 from beamspar.state import job_records as records
-from beamspar.state.client import ACCEPT, PLACE, Item, StateClient, StateUnavailableError
+from beamspar.state.client import ACCEPT, PLACE, KeyValue, StateClient, StateUnavailableError
 from beamspar.state.job_records import Chunk, JobRecord
 from beamspar.transport.http import Clock, sleep
 
 log = Logger(namespace="owner")
 
 
-class JobBook(Protocol):
+class JobStore(Protocol):
     """Whose jobs are read."""
 
     jobs: dict[str, Job]
@@ -49,18 +49,18 @@
     def __init__(
         self,
         clock: Clock,
-        session: Session,
+        registration: Registration,
         state: StateClient,
-        facts: StateFacts,
-        timing: Timing,
-        book: JobBook,
+        facts: StateServiceLimits,
+        timeouts: Timeouts,
+        job_store: JobStore,
     ) -> None:
         self.clock = clock
-        self.session = session
+        self.registration = registration
         self.state = state
         self.facts = facts
-        self.timing = timing
-        self.book = book
+        self.timeouts = timeouts
+        self.job_store = job_store
         # Readings under way, and jobs that ended meanwhile: what was read of those is older.
         self.reading = 0
         self.ended: set[str] = set()
@@ -86,7 +86,7 @@
             self.ended.add(job_id)
 
     async def _load(self) -> None:
-        while not self.session.lost:
+        while not self.registration.lost:
             # What is read of a partition that becomes ours only later may be older than the
             # last writes of its former owner; another reading follows for that one.
             tenures = self._tenures()
@@ -96,30 +96,30 @@
                     await self._load_job(item, tenures)
             except StateUnavailableError as error:
                 log.info("reading jobs waits: {error}", error=error)
-                await sleep(self.clock, self.timing.retry)
+                await sleep(self.clock, self.timeouts.retry)
                 continue
-            self.book.loaded |= {name for name in tenures if self._still_ours(name, tenures)}
+            self.job_store.loaded |= {name for name in tenures if self._still_ours(name, tenures)}
             log.info(
                 "{n} jobs of {partitions}",
-                n=len(self.book.jobs),
-                partitions=sorted(self.book.partitions),
+                n=len(self.job_store.jobs),
+                partitions=sorted(self.job_store.partitions),
             )
-            self.book.all_loaded()
+            self.job_store.all_loaded()
             return
 
     def _tenures(self) -> dict[str, int]:
         """Our partitions, and the revision by which each is ours."""
-        known = self.session.partitions
-        return {name: known[name].since for name in self.book.partitions if name in known}
+        known = self.registration.partitions
+        return {name: known[name].since for name in self.job_store.partitions if name in known}
 
     def _still_ours(self, partition: str, tenures: dict[str, int]) -> bool:
         """Has the partition been ours all the time since then?"""
         return partition in tenures and self._tenures().get(partition) == tenures[partition]
 
-    async def _load_job(self, item: Item, tenures: dict[str, int]) -> None:
+    async def _load_job(self, item: KeyValue, tenures: dict[str, int]) -> None:
         record = records.read_job(item)
         job_id = item.key.removeprefix("job/")
-        if job_id in self.book.jobs or not self._still_ours(record.partition, tenures):
+        if job_id in self.job_store.jobs or not self._still_ours(record.partition, tenures):
             return
         job = await self._restore(record, item.version)
         if self._still_ours(record.partition, tenures):
@@ -129,7 +129,7 @@
         """The job as its record and its further chunks say."""
         layout = records.layout_of(record, self.facts)
         job = Job(records.read_spec(record), record.partition, layout, self.clock.seconds())
-        job.gang_wait_s = self.timing.gang_wait
+        job.gang_wait_s = self.timeouts.gang_wait
         job.version, job.status, job.stamp = version, record.status, record.stamp
         job.served = version
         chunks = {0: record.chunk}
@@ -153,10 +153,14 @@
 
     def _keep(self, job: Job) -> bool:
         """Hand a restored job over, once; False when it is not ours to keep."""
-        book = self.book
-        if job.id in book.jobs or job.partition not in book.partitions or job.id in self.ended:
+        job_store = self.job_store
+        if (
+            job.id in job_store.jobs
+            or job.partition not in job_store.partitions
+            or job.id in self.ended
+        ):
             return False
-        book.keep(job)
+        job_store.keep(job)
         return True
 
     async def adopt(self, job_id: str) -> Job | None:
@@ -171,14 +175,14 @@
     async def _adopt(self, job_id: str) -> Job | None:
         tenures = self._tenures()
         item = await self.state.get(records.job_key(job_id), PLACE)
-        if item is None or job_id in self.book.jobs or job_id in self.book.arriving:
+        if item is None or job_id in self.job_store.jobs or job_id in self.job_store.arriving:
             return None
         record = records.read_job(item)
         if not self._still_ours(record.partition, tenures):
             return None
         job = await self._restore(record, item.version)
         ours = self._still_ours(record.partition, tenures)
-        kept = ours and job_id not in self.book.arriving and self._keep(job)
+        kept = ours and job_id not in self.job_store.arriving and self._keep(job)
         return job if kept else None
 
 
@@ -196,4 +200,4 @@
         job.tasks[index] = Task(attempt)
         job.again.append(index)
         job.untouched = max(job.untouched, index + 1)
-    job.limit_use.written(number, len(chunk.bound))
+    job.quota_usage.written(number, len(chunk.bound))
--- a/src/beamspar/jobs/job_writer.py
+++ b/src/beamspar/jobs/job_writer.py
@@ -12,9 +12,9 @@
 import msgspec
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import RELEASE, Session
+from beamspar.cluster.registration import RELEASE, Registration
 from beamspar.jobs.job import Job
-from beamspar.settings import StateFacts, Timing
+from beamspar.settings import StateServiceLimits, Timeouts
 from beamspar.state import job_records as records
 from beamspar.state.client import (
     CHORE,
@@ -29,13 +29,13 @@
     put,
 )
 from beamspar.state.client import DONE as DONE_PRIORITY
-from beamspar.state.job_records import DONE, LIVE, WITHDRAWN, EndRecord, Layout
+from beamspar.state.job_records import CANCELLED, DONE, LIVE, EndRecord, Layout
 from beamspar.transport.http import Clock, sleep, spawn
 
 log = Logger(namespace="owner")
 
 
-class JobBook(Protocol):
+class JobStore(Protocol):
     """The jobs that are written, and what their owner does when their records have moved."""
 
     jobs: dict[str, Job]
@@ -60,22 +60,22 @@
     def __init__(
         self,
         clock: Clock,
-        session: Session,
+        registration: Registration,
         state: StateClient,
-        facts: StateFacts,
-        timing: Timing,
-        book: JobBook,
+        facts: StateServiceLimits,
+        timeouts: Timeouts,
+        job_store: JobStore,
     ) -> None:
         self.clock = clock
-        self.session = session
+        self.registration = registration
         self.state = state
         self.facts = facts
-        self.timing = timing
-        self.book = book
+        self.timeouts = timeouts
+        self.job_store = job_store
         self.first = records.first_layout(facts)
         self.small = records.small_layout(facts)
         # Has every controller been seen to read stored layouts? It does not change back.
-        self.all_read = False
+        self.all_members_run = False
         self.stamps = 0
 
     # -- layouts
@@ -85,8 +85,8 @@
         return self.small if self._may_store_layout() else self.first
 
     def _may_store_layout(self) -> bool:
-        self.all_read = self.all_read or self.session.all_read(RELEASE)
-        return self.all_read
+        self.all_members_run = self.all_members_run or self.registration.all_members_run(RELEASE)
+        return self.all_members_run
 
     def _too_large(self, job: Job) -> bool:
         """May the job's records outgrow the announced limit in the layout that they have?"""
@@ -96,7 +96,7 @@
         """Rewrite what may outgrow the announced limit, before that limit comes."""
         if not self._may_store_layout():
             return
-        for job in list(self.book.jobs.values()):
+        for job in list(self.job_store.jobs.values()):
             if job.status == LIVE and self._too_large(job):
                 self.flush(job)
 
@@ -104,8 +104,8 @@
 
     def flush(self, job: Job) -> None:
         """Write what has changed, unless a write is under way, which will go on with it."""
-        if not job.writing and job.id in self.book.jobs:
-            due = job.dirty or self._over(job) or (self._too_large(job) and self.all_read)
+        if not job.writing and job.id in self.job_store.jobs:
+            due = job.dirty or self._over(job) or (self._too_large(job) and self.all_members_run)
             if due:
                 job.writing = True
                 spawn(self._write(job), f"writing {job.id}")
@@ -113,17 +113,17 @@
     def stamp(self) -> str:
         """A name for the next write."""
         self.stamps += 1
-        return f"{self.session.me}.{self.session.inc}.{self.stamps}"
+        return f"{self.registration.me}.{self.registration.incarnation}.{self.stamps}"
 
     def _over(self, job: Job) -> bool:
-        if job.status == WITHDRAWN:
+        if job.status == CANCELLED:
             return not job.bound
         return job.done_count >= job.spec.tasks
 
     async def _write(self, job: Job) -> None:
         """One write at a time, each with all that has changed since the last."""
         try:
-            while job.id in self.book.jobs and not self.session.lost:
+            while job.id in self.job_store.jobs and not self.registration.lost:
                 if self._over(job):
                     if await self._finish(job):
                         return
@@ -139,8 +139,8 @@
     def _conditions(self, job: Job) -> dict[str, int]:
         """Ours by fence and partition, and nobody has written the record since."""
         return {
-            **self.session.fence(),
-            **self.session.partition_fence(job.partition),
+            **self.registration.fence(),
+            **self.registration.partition_fence(job.partition),
             records.job_key(job.id): job.version,
         }
 
@@ -180,10 +180,10 @@
             for number in numbers
         ]
         try:
-            version = await self.state.multi(self._conditions(job), changes, PLACE, job.weight)
+            version = await self.state.transact(self._conditions(job), changes, PLACE, job.weight)
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
             log.info("{job}: new layout waits: {error}", job=job.id, error=error)
-            await sleep(self.clock, self.timing.retry)
+            await sleep(self.clock, self.timeouts.retry)
             await self.reread(job)
             return False
         for number in numbers:
@@ -196,17 +196,17 @@
 
         Until it is known whether they were, the larger of both counts against the limit.
         """
-        binding = {number: job.limit_use.writing(number) for number in numbers}
-        self.book.use_changed(job)
+        binding = {number: job.quota_usage.writing(number) for number in numbers}
+        self.job_store.use_changed(job)
         return binding
 
     def _completed(self, job: Job, binding: dict[int, int]) -> None:
         """These chunks are stored: what they don't bind any more counts no longer."""
         for number, tasks in binding.items():
-            job.limit_use.written(number, tasks)
+            job.quota_usage.written(number, tasks)
         if not job.dirty:
-            job.limit_use.settle()
-        self.book.use_changed(job)
+            job.quota_usage.settle()
+        self.job_store.use_changed(job)
 
     async def _store(self, job: Job) -> bool:
         """Write the job's record and some of its chunks; False when that is not known."""
@@ -234,13 +234,13 @@
                 changes.append(put(name, msgspec.to_builtins(job.chunk(number))))
         finished = [index for n in numbers for index in job.done.get(n, ())]
         try:
-            version = await self.state.multi(conditions, changes, PLACE, job.weight)
+            version = await self.state.transact(conditions, changes, PLACE, job.weight)
         except ConflictError as error:
             job.dirty.update({0, *numbers} if job.moving else numbers)
             log.info("{job}: write lost to {failed}", job=job.id, failed=error.failed)
             if key not in error.failed:
                 # Fenced, or a chunk's late write: the mirror will tell, not haste.
-                await sleep(self.clock, self.timing.retry)
+                await sleep(self.clock, self.timeouts.retry)
             await self._reread_all(job)
             return False
         except (StateUnavailableError, LeaseExpiredError) as error:
@@ -248,7 +248,7 @@
             # the two apart at the next write, so nothing is decided here.
             job.dirty.update({0, *numbers} if job.moving else numbers)
             log.info("{job}: write waits: {error}", job=job.id, error=error)
-            await sleep(self.clock, self.timing.retry)
+            await sleep(self.clock, self.timeouts.retry)
             if isinstance(error, TooLargeError):
                 log.error("{job}: larger than the state service takes", job=job.id)
             if isinstance(error, OutcomeUnknownError):
@@ -263,7 +263,7 @@
             same = task and task.attempt == attempt and task.machine == machine
             if task and same and machine and not task.stored:
                 task.stored = True
-                self.book.touch(machine)
+                self.job_store.touch(machine)
         for index in finished:
             job.tasks.pop(index, None)
         self._completed(job, binding)
@@ -276,15 +276,15 @@
             item = await self.state.get(records.job_key(job.id), PLACE)
         except StateUnavailableError:
             return
-        if self.book.jobs.get(job.id) is not job:
+        if self.job_store.jobs.get(job.id) is not job:
             return
         if item is None:
             log.info("{job} is over", job=job.id)
-            self.book.forget(job, ended=True)
+            self.job_store.forget(job, ended=True)
             return
         record = records.read_job(item)
-        if record.partition not in self.book.partitions:
-            self.book.forget(job)
+        if record.partition not in self.job_store.partitions:
+            self.job_store.forget(job)
             return
         if item.version >= job.version:
             job.version = item.version
@@ -292,13 +292,13 @@
             if layout != job.layout and not job.moving:
                 # A change of layout without an answer was carried out after all.
                 job.relayout(layout)
-        if record.status == WITHDRAWN and job.status == LIVE:
-            self.book.cancel(job)
+        if record.status == CANCELLED and job.status == LIVE:
+            self.job_store.cancel(job)
             self.flush(job)
 
     async def _reread_all(self, job: Job) -> None:
         await self.reread(job)
-        if job.spec.tasks > job.per and job.id in self.book.jobs:
+        if job.spec.tasks > job.per and job.id in self.job_store.jobs:
             layout = job.layout
             try:
                 items, _ = await self.state.scan(layout.prefix(job.id), PLACE)
@@ -313,27 +313,27 @@
 
     async def _finish(self, job: Job) -> bool:
         """Move the job to its final record; True when it is over for us."""
-        status = WITHDRAWN if job.status == WITHDRAWN else DONE
+        status = CANCELLED if job.status == CANCELLED else DONE
         end = records.end_key(job.id)
         changes = [
             drop(records.job_key(job.id)),
             put(end, msgspec.to_builtins(EndRecord(status, job.done_count))),
         ]
-        if status == WITHDRAWN:
+        if status == CANCELLED:
             changes.append(drop(records.mark_key(job.id)))
         try:
-            await self.state.multi({**self._conditions(job), end: 0}, changes, DONE_PRIORITY)
+            await self.state.transact({**self._conditions(job), end: 0}, changes, DONE_PRIORITY)
         except ConflictError:
             await self.reread(job)
-            return job.id not in self.book.jobs
+            return job.id not in self.job_store.jobs
         except (StateUnavailableError, LeaseExpiredError) as error:
             log.info("{job}: end waits: {error}", job=job.id, error=error)
-            await sleep(self.clock, self.timing.retry)
+            await sleep(self.clock, self.timeouts.retry)
             if isinstance(error, OutcomeUnknownError):
                 await self.reread(job)
-            return job.id not in self.book.jobs
+            return job.id not in self.job_store.jobs
         log.info("{job} is {status}", job=job.id, status=status)
-        self.book.forget(job, ended=True)
+        self.job_store.forget(job, ended=True)
         if job.chunk_versions:
             spawn(self._drop_chunks(job.id, job.layout, job.chunk_versions), "dropping chunks")
         return True
@@ -341,7 +341,7 @@
     def touch_clears(self, job: Job) -> None:
         """What is over is stored now, so its machines may forget it."""
         for machine in job.clearing:
-            self.book.touch(machine)
+            self.job_store.touch(machine)
         job.clearing.clear()
 
     async def _drop_chunks(self, job: str, layout: Layout, versions: dict[int, int]) -> None:
@@ -351,7 +351,7 @@
         while left:
             part, left = left[:most], left[most:]
             try:
-                await self.state.multi({}, [drop(layout.key(job, n)) for n in part], CHORE)
+                await self.state.transact({}, [drop(layout.key(job, n)) for n in part], CHORE)
             except StateUnavailableError:
                 left = part + left
-                await sleep(self.clock, self.timing.retry)
+                await sleep(self.clock, self.timeouts.retry)
--- a/src/beamspar/jobs/placer.py
+++ b/src/beamspar/jobs/placer.py
@@ -13,14 +13,14 @@
 from twisted.internet.defer import Deferred
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import Session
+from beamspar.cluster.registration import Registration
 from beamspar.jobs.assignments import Assignments
 from beamspar.jobs.job import Job
 from beamspar.jobs.job_writer import JobWriter
 from beamspar.placement import Preference, Room, choose, choose_group
-from beamspar.protocol.peer_messages import Ask, Placed
-from beamspar.protocol.wire import LOWEST_RANK, Spec
-from beamspar.settings import Timing
+from beamspar.protocol.peer_messages import CapacityRequest, PlacementOffer
+from beamspar.protocol.wire import LOWEST_RANK, JobSpec
+from beamspar.settings import Timeouts
 from beamspar.transport.http import Clock, spawn
 
 log = Logger(namespace="owner")
@@ -37,13 +37,13 @@
 LATE_SHARE = 0.05
 
 
-class JobBook(Protocol):
+class JobStore(Protocol):
     """Whose jobs are placed."""
 
     jobs: dict[str, Job]
     writer: JobWriter
     assignments: Assignments
-    budget: Any
+    quota_manager: Any
 
     def zone_of(self, machine: str) -> str:
         """The machine's zone."""
@@ -59,11 +59,13 @@
 class Placer:
     """Owns the rounds of placing, one at a time."""
 
-    def __init__(self, clock: Clock, session: Session, timing: Timing, book: JobBook) -> None:
+    def __init__(
+        self, clock: Clock, registration: Registration, timeouts: Timeouts, job_store: JobStore
+    ) -> None:
         self.clock = clock
-        self.session = session
-        self.timing = timing
-        self.book = book
+        self.registration = registration
+        self.timeouts = timeouts
+        self.job_store = job_store
         self.pumping = False
         self.again = False
         self.pumped_at = -1e9
@@ -71,10 +73,12 @@
         self.late_s = 0.0
         # Room on machines that this controller holds; what a job prefers; the leader's offers.
         self.rooms: Callable[[], list[Room]] = lambda: []
-        self.preference: Callable[[Spec], Preference] = lambda spec: Preference()
-        self.ask: Callable[[list[Ask]], Deferred[list[Placed] | None]] | None = None
+        self.preference: Callable[[JobSpec], Preference] = lambda spec: Preference()
+        self.ask: (
+            Callable[[list[CapacityRequest]], Deferred[list[PlacementOffer] | None]] | None
+        ) = None
 
-    def pump(self) -> None:
+    def schedule(self) -> None:
         """Place what waits; one round at a time."""
         if self.pumping:
             self.again = True
@@ -82,7 +86,7 @@
         self.pumping = True
         # Each end of a task calls for a round: with thousands of short tasks rounds took all of
         # the processor. New jobs are placed as they are accepted and don't wait for a round.
-        wait = self.pumped_at + self.timing.heartbeat * ROUND_PAUSE - self.clock.seconds()
+        wait = self.pumped_at + self.timeouts.heartbeat * ROUND_PAUSE - self.clock.seconds()
         if wait > 0:
             self.clock.callLater(wait, self._begin, self.clock.seconds() + wait)
         else:
@@ -100,7 +104,7 @@
         """
         if job.spec.rank < LOWEST_RANK:
             return True
-        return self.late_s <= self.timing.heartbeat * LATE_SHARE
+        return self.late_s <= self.timeouts.heartbeat * LATE_SHARE
 
     def _begin(self, due: float | None = None) -> None:
         if due is not None:
@@ -112,16 +116,16 @@
     async def _pump(self) -> None:
         try:
             now = self.clock.seconds()
-            jobs = [j for j in self.book.jobs.values() if j.waiting(now, 1)]
+            jobs = [j for j in self.job_store.jobs.values() if j.waiting(now, 1)]
             self._flush_held_back(jobs)
             jobs = [j for j in jobs if self._takes(j)]
-            if jobs and self.session.valid():
+            if jobs and self.registration.lease_is_valid():
                 jobs.sort(key=lambda j: (j.spec.rank, j.since))
                 part = self._first(jobs)
                 bound = sum(job.bound for job in part)
                 await self.place(part)
                 for job in jobs:
-                    self.book.writer.flush(job)
+                    self.job_store.writer.flush(job)
                 if len(part) < len(jobs) and sum(job.bound for job in part) > bound:
                     # That found room, so there may be more for those behind.
                     self.again = True
@@ -129,13 +133,13 @@
             self.pumping = False
             if self.again:
                 self.again = False
-                self.pump()
+                self.schedule()
 
     def _flush_held_back(self, jobs: list[Job]) -> None:
         """What is over of jobs that are not placed now is stored without a new place."""
         for job in jobs:
             if not self._takes(job):
-                self.book.writer.flush(job)
+                self.job_store.writer.flush(job)
 
     def _first(self, jobs: list[Job]) -> list[Job]:
         """Some of each shape, in order: many that find no room must not hold up the others."""
@@ -155,18 +159,18 @@
     async def place(self, jobs: list[Job]) -> None:
         """Warm machines of ours, then by the leader's word, then cold ones of ours."""
         jobs = [job for job in jobs if self._takes(job)]
-        if not jobs or not self.session.valid():
+        if not jobs or not self.registration.lease_is_valid():
             return
         now = self.clock.seconds()
         rooms = self.rooms()
         near = {room.name for room in rooms}
         self._reserve(rooms)
-        asks = self._asks(jobs, rooms, near, now)
-        if not asks:
+        capacity_requests = self._asks(jobs, rooms, near, now)
+        if not capacity_requests:
             return
-        asked = [job for job, _ in asks]
-        offers = await self.ask([ask for _, ask in asks]) if self.ask else None
-        if not self.session.valid():
+        asked = [job for job, _ in capacity_requests]
+        offers = await self.ask([ask for _, ask in capacity_requests]) if self.ask else None
+        if not self.registration.lease_is_valid():
             return
         self._bind_offers(asked, offers or [], now)
         rooms = self.rooms()
@@ -176,9 +180,9 @@
 
     def _asks(
         self, jobs: list[Job], rooms: list[Room], near: set[str], now: float
-    ) -> list[tuple[Job, Ask]]:
+    ) -> list[tuple[Job, CapacityRequest]]:
         """Bind on our own warm machines; the leader is asked for what is left and covered."""
-        asks: list[tuple[Job, Ask]] = []
+        capacity_requests: list[tuple[Job, CapacityRequest]] = []
         for job in jobs:
             # Our own blocks lie in few zones: what is to be spread asks the leader first,
             # who knows the warm machines of all.
@@ -188,18 +192,20 @@
             whole = job.spec.grouped and not job.bound
             if not indexes or not self._covers(job, indexes, whole):
                 continue
-            zones, machines = job.places(self.book.zone_of)
+            zones, machines = job.places(self.job_store.zone_of)
             spec = msgspec.to_builtins(job.spec)
             avoid = sorted(self._avoid(job))
-            asks.append((job, Ask(spec, len(indexes), zones, machines, avoid, now - job.since)))
-        return asks
+            capacity_requests.append(
+                (job, CapacityRequest(spec, len(indexes), zones, machines, avoid, now - job.since))
+            )
+        return capacity_requests
 
     def _covers(self, job: Job, indexes: list[int], whole: bool = False) -> bool:
         """Is there share of the team's limit for the first of these, or for all?"""
-        budget = self.book.budget
-        return budget is None or bool(budget.covers(job, indexes, whole))
+        quota_manager = self.job_store.quota_manager
+        return quota_manager is None or bool(quota_manager.covers(job, indexes, whole))
 
-    def _bind_offers(self, asked: list[Job], offers: list[Placed], now: float) -> None:
+    def _bind_offers(self, asked: list[Job], offers: list[PlacementOffer], now: float) -> None:
         """Bind where the leader says that there is room."""
         by_id = {job.id: job for job in asked}
         # A service of one zone that has lost some of its tasks gets others for just these.
@@ -207,7 +213,7 @@
         groups: dict[str, list[tuple[str, bool]]] = {}
         for offer in offers:
             if offer.job in together:
-                groups.setdefault(offer.job, []).append((offer.machine, offer.evict))
+                groups.setdefault(offer.job, []).append((offer.machine, offer.preempt))
         for name, places in groups.items():
             self._bind_group(by_id[name], by_id[name].waiting(now, len(places)), places)
         for offer in offers:
@@ -216,7 +222,7 @@
             offered = by_id.get(offer.job)
             indexes = offered.waiting(now, 1) if offered else []
             if offered and indexes:
-                self._take_and_bind(offered, indexes[0], offer.machine, offer.evict)
+                self._take_and_bind(offered, indexes[0], offer.machine, offer.preempt)
 
     def _avoid(self, job: Job) -> set[str]:
         # A new attempt may go where the one before was.
@@ -225,7 +231,7 @@
             return found
         # For a while only: where each machine had failed some task of a job, all of the job
         # waited beside machines with room for ever.
-        since = self.clock.seconds() - self.timing.worker_lease
+        since = self.clock.seconds() - self.timeouts.worker_lease
         for index in job.again:
             task = job.tasks[index]
             if task.avoid and task.not_before > since:
@@ -234,13 +240,13 @@
 
     def _reserve(self, rooms: list[Room]) -> None:
         """Take off what we bound and the holder has not been told of yet."""
-        untold = self.book.assignments.untold
-        if not untold:
+        unacknowledged = self.job_store.assignments.unacknowledged
+        if not unacknowledged:
             return
         by_name = {room.name: room for room in rooms}
-        for job, task in untold.values():
+        for job, task in unacknowledged.values():
             if task.machine in by_name:
-                by_name[task.machine].take(job.spec)
+                by_name[task.machine].reserve(job.spec)
 
     def _fill(
         self, job: Job, rooms: list[Room], near: set[str], now: float, warm_only: bool
@@ -251,7 +257,7 @@
         indexes = job.waiting(now, _at_once(job))
         if not indexes or not self._covers(job, indexes):
             return
-        zones, machines = job.places(self.book.zone_of)
+        zones, machines = job.places(self.job_store.zone_of)
         preference = self.preference(job.spec)
         avoid = self._avoid(job)
         for index in indexes:
@@ -261,7 +267,7 @@
             if job.tasks[index].avoid:
                 # What is left to be placed again may avoid less than all of it did.
                 avoid = self._avoid(job)
-            room.take(job.spec)
+            room.reserve(job.spec)
             zones[room.zone] = zones.get(room.zone, 0) + 1
             machines[room.name] = machines.get(room.name, 0) + 1
 
@@ -284,25 +290,29 @@
         )
         self._bind_group(job, indexes, [(room.name, False) for room in chosen])
         for room in chosen if job.bound else ():
-            room.take(job.spec)
+            room.reserve(job.spec)
 
     def _bind_group(self, job: Job, indexes: list[int], places: list[tuple[str, bool]]) -> None:
         """Bind all or none."""
         if len(places) < len(indexes):
             return
-        if self.book.budget is not None and not self.book.budget.take(job, indexes):
+        if self.job_store.quota_manager is not None and not self.job_store.quota_manager.reserve(
+            job, indexes
+        ):
             return
-        for index, (machine, evict) in zip(indexes, places, strict=False):
-            self._bind(job, index, machine, evict)
+        for index, (machine, preempt) in zip(indexes, places, strict=False):
+            self._bind(job, index, machine, preempt)
 
-    def _take_and_bind(self, job: Job, index: int, machine: str, evict: bool) -> bool:
+    def _take_and_bind(self, job: Job, index: int, machine: str, preempt: bool) -> bool:
         """Bind a waiting task if the team's share covers it."""
-        if self.book.budget is not None and not self.book.budget.take(job, [index]):
+        if self.job_store.quota_manager is not None and not self.job_store.quota_manager.reserve(
+            job, [index]
+        ):
             return False
-        self._bind(job, index, machine, evict)
+        self._bind(job, index, machine, preempt)
         return True
 
-    def _bind(self, job: Job, index: int, machine: str, evict: bool) -> None:
+    def _bind(self, job: Job, index: int, machine: str, preempt: bool) -> None:
         """Bind a waiting task; the start waits until this is stored."""
         attempt = job.next_attempt if job.spec.is_gang else None
         if job.spec.is_gang and not job.bound:
@@ -310,16 +320,16 @@
         task = job.take(index)
         task.attempt = attempt or task.attempt + 1
         job.bind(index, machine)
-        if self.book.budget is not None:
+        if self.job_store.quota_manager is not None:
             # Also for a job that is being accepted, and not among ours yet.
-            self.book.budget.recount(job)
+            self.job_store.quota_manager.recount(job)
         task.stored = False
-        task.number, task.evict, task.yields = 0, evict, False
+        task.fencing_token, task.preempt, task.preempted_for_quota = 0, preempt, False
         job.dirty.add(index // job.per)
         if job.spec.is_gang and job.bound + job.done_count == job.spec.tasks:
             job.gang.completed()
-        self.book.assignments.place_on(machine, job, index, task)
-        self.book.assignments.untold[(job.id, index)] = (job, task)
+        self.job_store.assignments.place_on(machine, job, index, task)
+        self.job_store.assignments.unacknowledged[(job.id, index)] = (job, task)
         log.info(
             "{job}/{index} try {attempt} to {machine}",
             job=job.id,
--- a/src/beamspar/leader/cloud_client.py
+++ b/src/beamspar/leader/cloud_client.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from beamspar.protocol.wire import InvalidInputError, MachineType, Rental, convert, pack, unpack
+from beamspar.protocol.wire import Instance, InvalidInputError, MachineType, convert, pack, unpack
 from beamspar.transport.http import CallFailedError, Net
 
 # Machines that the cloud lists in one answer at most (PROTOCOL).
@@ -24,7 +24,7 @@
 class MachinePage(NamedTuple):
     """A page of the cloud's list of machines, and whether more follow."""
 
-    machines: list[Rental]
+    machines: list[Instance]
     truncated: bool
 
 
@@ -76,7 +76,7 @@
         path = f"/rentals?most={PAGE_SIZE}" + (f"&since={after}" if after else "")
         _, data = await self._call("GET", path)
         try:
-            page: list[Rental] = convert(data.get("rigs"), list[Rental])
+            page: list[Instance] = convert(data.get("rigs"), list[Instance])
         except InvalidInputError as error:
             raise CloudUnavailableError(f"odd reply: {error}") from error
         return MachinePage(page, bool(data.get("truncated")) and bool(page))
--- a/src/beamspar/leader/gang_reservations.py
+++ b/src/beamspar/leader/gang_reservations.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from beamspar.placement import Room, allowed, fitting
-from beamspar.protocol.peer_messages import Ask
-from beamspar.protocol.wire import Spec
-from beamspar.settings import Timing
+from beamspar.protocol.peer_messages import CapacityRequest
+from beamspar.protocol.wire import JobSpec
+from beamspar.settings import Timeouts
 
 
 class Reservation(msgspec.Struct):
@@ -29,22 +29,27 @@
 class Reservations:
     """Owns the one reservation there may be at a time."""
 
-    def __init__(self, timing: Timing) -> None:
-        self.timing = timing
+    def __init__(self, timeouts: Timeouts) -> None:
+        self.timeouts = timeouts
         self.current: Reservation | None = None
 
-    def update(self, asks: list[tuple[Spec, Ask]], rooms: list[Room], now: float) -> None:
+    def update(
+        self,
+        capacity_requests: list[tuple[JobSpec, CapacityRequest]],
+        rooms: list[Room],
+        now: float,
+    ) -> None:
         """Reserve for the gang among these that has waited too long, if nothing is reserved."""
         if self.current is not None and self.current.until < now:
             self.current = None
-        gangs = [entry for entry in asks if entry[0].is_gang and not entry[1].zones]
+        gangs = [entry for entry in capacity_requests if entry[0].is_gang and not entry[1].zones]
         for spec, ask in sorted(gangs, key=lambda entry: -entry[1].waited_s):
             if self.current is not None and self.current.job == spec.id:
-                self.current.until = now + self.timing.report
-            elif self.current is None and ask.waited_s > self.timing.starved:
+                self.current.until = now + self.timeouts.report
+            elif self.current is None and ask.waited_s > self.timeouts.gang_starvation:
                 machines = _machines_for(spec, ask.count, rooms)
                 if machines:
-                    until = now + self.timing.report
+                    until = now + self.timeouts.report
                     self.current = Reservation(spec.id, spec.rank, machines, until)
 
     def machines(self, now: float) -> frozenset[str]:
@@ -53,7 +58,7 @@
             return frozenset()
         return self.current.machines
 
-    def open_to(self, spec: Spec, rooms: list[Room]) -> list[Room]:
+    def open_to(self, spec: JobSpec, rooms: list[Room]) -> list[Room]:
         """The rooms that the job may be placed in."""
         current = self.current
         if current is None or current.job == spec.id or spec.rank < current.rank:
@@ -61,7 +66,7 @@
         return [room for room in rooms if room.name not in current.machines]
 
 
-def _machines_for(spec: Spec, count: int, rooms: list[Room]) -> frozenset[str]:
+def _machines_for(spec: JobSpec, count: int, rooms: list[Room]) -> frozenset[str]:
     """Machines on which the gang will fit once the work there has ended, those with the most
     room first; of one zone where it must be one. Empty when there are not enough."""
     fit: dict[str, list[Room]] = {}
@@ -87,9 +92,9 @@
 
 def _when_work_ends(room: Room) -> Room:
     """The room with all work on it that is not critical gone: services are, and do not end."""
-    if not room.evictable:
+    if not room.preemptible:
         return room
-    cpus, gpus, memory = room.evictable[0]
+    cpus, gpus, memory = room.preemptible[0]
     return msgspec.structs.replace(
         room, cpus=room.cpus + cpus, gpus=room.gpus + gpus, memory_gb=room.memory_gb + memory
     )
--- a/src/beamspar/leader/instance_manager.py
+++ b/src/beamspar/leader/instance_manager.py
@@ -11,11 +11,11 @@
 import msgspec
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import Session
+from beamspar.cluster.registration import Registration
 from beamspar.leader.cloud_client import CloudClient, CloudUnavailableError, NoCapacityError
 from beamspar.placement import Room, allowed, copy, fits_type, fitting, slots
-from beamspar.protocol.wire import MachineType, Rental, Spec
-from beamspar.settings import Settings, Timing
+from beamspar.protocol.wire import Instance, JobSpec, MachineType
+from beamspar.settings import Settings, Timeouts
 from beamspar.standby.decision_log import DecisionLog
 from beamspar.standby.decisions import (
     Booting,
@@ -46,28 +46,28 @@
     return place[0], place[2]
 
 
-class Fleet:
+class InstanceManager:
     """Owns the leader's picture of the cloud; idle while another leads."""
 
     def __init__(
         self,
         clock: Clock,
         cloud: CloudClient,
-        session: Session,
+        registration: Registration,
         settings: Settings,
-        timing: Timing,
+        timeouts: Timeouts,
         types: dict[str, MachineType],
         decisions: DecisionLog | None = None,
     ) -> None:
         self.clock = clock
         self.cloud = cloud
-        self.session = session
-        self.timing = timing
-        self.lag = settings.facts.cloud.list_lag_s
+        self.registration = registration
+        self.timeouts = timeouts
+        self.lag = settings.platform.cloud.list_lag_s
         # Half of the calls are for renting; lists and returns need the rest.
-        self.gap = 2.0 / settings.facts.cloud.rps
+        self.gap = 2.0 / settings.platform.cloud.rps
         self.types = types
-        self.listed: dict[str, Rental] = {}
+        self.listed: dict[str, Instance] = {}
         # Machines that the list names so far, while its pages are being read.
         self.counted = 0
         self.decisions = decisions or DecisionLog(clock, LeadState())
@@ -113,14 +113,14 @@
                 log.info("{machine} has failed: returned", machine=machine.machine)
                 self.give_back([machine.machine])
 
-    async def _list_all(self) -> list[Rental]:
+    async def _list_all(self) -> list[Instance]:
         """All pages of the list, the later ones at the pace that leaves the rate to renting.
 
         One after the other without a pause, more pages than a burst were refused: the list of a
         fleet beyond 1,500 machines (at 1.5 calls a second) was never read, and each machine got a
         block of its own.
         """
-        machines: list[Rental] = []
+        machines: list[Instance] = []
         after, failures = "", 0
         while True:
             try:
@@ -201,7 +201,7 @@
                 )
         return rooms
 
-    def plan(self, needs: list[tuple[Spec, int]], rooms: list[Room]) -> tuple[Place, int] | None:
+    def plan(self, needs: list[tuple[JobSpec, int]], rooms: list[Room]) -> tuple[Place, int] | None:
         """The next rental: what free and coming room doesn't cover of the first such need,
         and of all later ones that would rent the same.
 
@@ -240,7 +240,7 @@
         level = -(-(len(have) + total) // len(zones)) - have.count(place[1])
         return place, max(min(level, total, MOST_AT_ONCE), 1)
 
-    def in_one_zone(self, spec: Spec, count: int, rooms: list[Room]) -> Spec:
+    def in_one_zone(self, spec: JobSpec, count: int, rooms: list[Room]) -> JobSpec:
         """A job whose tasks must share a zone, as if it named the one that suits it best: with
         room for all, else with the most room of those where machines can be had."""
         if not spec.grouped or not spec.one_zone or spec.zone is not None:
@@ -252,7 +252,7 @@
             return bound[0] if bound else spec
         return next((choice for choice in bound if self._where(choice, rooms)), bound[0])
 
-    def take(self, spec: Spec, count: int, rooms: list[Room]) -> int:
+    def take(self, spec: JobSpec, count: int, rooms: list[Room]) -> int:
         """Take room for so many tasks; how many found some."""
         taken = 0
         for room in rooms:
@@ -268,7 +268,7 @@
                 taken += fit
         return taken
 
-    def _where(self, spec: Spec, rooms: list[Room]) -> list[Place]:
+    def _where(self, spec: JobSpec, rooms: list[Room]) -> list[Place]:
         """Where machines for it may be had, the best first."""
         now = self.clock.seconds()
         found: list[tuple[Any, ...]] = []
@@ -292,7 +292,7 @@
     async def rent(self, place: Place, count: int) -> None:
         """Rent so many machines, under a name that is never used again."""
         self.count += 1
-        name = f"{self.session.me}.{self.session.inc}.{self.count}"
+        name = f"{self.registration.me}.{self.registration.incarnation}.{self.count}"
         asked = RentalAsked(name, place, count)
         self.decisions.decide(asked)
         await self._carry_out(asked)
--- a/src/beamspar/leader/member_view.py
+++ b/src/beamspar/leader/member_view.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from beamspar.protocol.peer_messages import JobClass, Summary, View
+from beamspar.protocol.peer_messages import JobClass, MachineStatus, MemberHeartbeat
 
 
 class MemberView:
@@ -16,7 +16,7 @@
         # Every machine of the member was told once.
         self.complete = False
         # Each machine's view and when it came.
-        self.machines: dict[str, tuple[View, float]] = {}
+        self.machines: dict[str, tuple[MachineStatus, float]] = {}
         self.classes: dict[str, JobClass] = {}
         # Machines whose workers came to this member, for their holder does not answer them.
         self.unserved: list[str] = []
@@ -24,16 +24,16 @@
         self.demand = 0
         self.late_s = 0.0
 
-    def take(self, summary: Summary, now: float) -> bool:
+    def take(self, heartbeat: MemberHeartbeat, now: float) -> bool:
         """Take in a heartbeat; False if it builds on one that did not come."""
-        if self.count != summary.since:
+        if self.count != heartbeat.since:
             return False
-        self.count, self.classes = summary.count, summary.classes
-        self.complete = self.complete or not summary.partial
+        self.count, self.classes = heartbeat.count, heartbeat.classes
+        self.complete = self.complete or not heartbeat.partial
         if self.complete:
             # Before that it counts as not heard: room that was not told would be rented.
             self.heard_at = now
-        self.unserved = summary.strays
-        self.demand, self.late_s = summary.demand, summary.late_s
-        self.machines.update({view.room.name: (view, now) for view in summary.views})
+        self.unserved = heartbeat.unserved_machines
+        self.demand, self.late_s = heartbeat.demand, heartbeat.late_s
+        self.machines.update({view.room.name: (view, now) for view in heartbeat.machines})
         return True
--- a/src/beamspar/leader/shard_writer.py
+++ b/src/beamspar/leader/shard_writer.py
@@ -6,8 +6,8 @@
 
 import orjson
 
-from beamspar.cluster.registration import BLOCK, LEADER, Session
-from beamspar.settings import StateFacts
+from beamspar.cluster.registration import BLOCK, LEADER, Registration
+from beamspar.settings import StateServiceLimits
 from beamspar.state import job_records as records
 from beamspar.state.client import URGENT, LeaseExpiredError, StateClient, drop, put
 
@@ -20,16 +20,18 @@
     return [("", {**record, "machines": part}) for part in parts]
 
 
-class BlockWriter:
+class ShardWriter:
     """Owns the order of the leader's writes. Raises ConflictError, LeaseExpiredError or
     StateUnavailableError where a write fails."""
 
-    def __init__(self, session: Session, state: StateClient, limits: StateFacts) -> None:
-        self.session = session
+    def __init__(
+        self, registration: Registration, state: StateClient, limits: StateServiceLimits
+    ) -> None:
+        self.registration = registration
         self.state = state
         self.limits = limits
         # The grant behind the lead.
-        self.permit = 0
+        self.lease_id = 0
 
     async def commit(self, conditions: dict[str, int], changes: list[dict[str, Any]]) -> int:
         """One write of the leader's; it counts while it leads.
@@ -38,15 +40,15 @@
         that got no answer can't be applied after a newer one. Two leases of the same new
         machine, grouped differently, would each have found their own key free.
         """
-        value, version = self.session.values.get(LEADER, (None, 0))
-        if value is None or value.get("name") != self.session.me:
+        value, version = self.registration.values.get(LEADER, (None, 0))
+        if value is None or value.get("name") != self.registration.me:
             raise LeaseExpiredError("the lead has passed on")
-        revision = await self.state.multi(
-            {**self.session.fence(), **conditions, LEADER: version},
-            [*changes, put(LEADER, value, self.permit)],
+        revision = await self.state.transact(
+            {**self.registration.fence(), **conditions, LEADER: version},
+            [*changes, put(LEADER, value, self.lease_id)],
             URGENT,
         )
-        self.session.learn(LEADER, value, revision)
+        self.registration.observe(LEADER, value, revision)
         return revision
 
     async def write(
@@ -65,12 +67,12 @@
                 part += groups.pop(0)
             conditions = dict(terms or {})
             for key, _ in part:
-                conditions[key] = self.session.values.get(key, (None, 0))[1]
+                conditions[key] = self.registration.values.get(key, (None, 0))[1]
             puts = [drop(k) if v is None else put(k, v) for k, v in part]
             revision = await self.commit(conditions, puts)
             for key, value in part:
                 if value is not None:
-                    self.session.learn(key, value, revision)
+                    self.registration.observe(key, value, revision)
 
     def _within_limit(self, key: str, value: Any) -> list[tuple[str, Any]]:
         """The change itself, or several blocks in its place where it is larger than a value
@@ -96,6 +98,6 @@
         machine's report once got it leased again, in place of the block and all in it.
         """
         name = machine
-        while name in self.session.blocks:
+        while name in self.registration.shards:
             name += "+"
         return name
--- a/src/beamspar/machines/fault_evidence.py
+++ b/src/beamspar/machines/fault_evidence.py
@@ -12,8 +12,8 @@
 from collections.abc import Iterable
 
 from beamspar.jobs.failure_backoff import MACHINES_TO_BLAME
-from beamspar.machines.managed_machine import HeldMachine
-from beamspar.settings import Timing
+from beamspar.machines.managed_machine import ManagedMachine
+from beamspar.settings import Timeouts
 
 # Jobs whose failures are remembered; the oldest are forgotten first.
 MOST_JOBS = 1000
@@ -26,12 +26,12 @@
 class FaultEvidence:
     """Owns what a holder knows of the places where jobs failed."""
 
-    def __init__(self, timing: Timing) -> None:
-        self.timing = timing
+    def __init__(self, timeouts: Timeouts) -> None:
+        self.timeouts = timeouts
         # The machines that a job failed on; None: its owner says that the job is to blame.
         self._places: OrderedDict[str, set[str] | None] = OrderedDict()
 
-    def failed(self, machine: HeldMachine, job: str, to_blame: bool, now: float) -> list[str]:
+    def failed(self, machine: ManagedMachine, job: str, to_blame: bool, now: float) -> list[str]:
         """A task of the job failed there; the jobs that speak against the machine, if it is
         set aside for them."""
         if to_blame:
@@ -43,18 +43,18 @@
             places.add(machine.info.name)
         self._remember(job, places)
         machine.errors[job] = now
-        span = self.timing.worker_lease * MEMORY_LEASES
+        span = self.timeouts.worker_lease * MEMORY_LEASES
         machine.errors = {name: at for name, at in machine.errors.items() if now - at < span}
         recent = [name for name in machine.errors if not self._job_at_fault(name)]
         bad = len(recent) >= JOBS_TO_BLAME
         if not bad and (len(recent) != 1 or len(places) != 1):
             return []
-        aside_s = span if bad else self.timing.worker_lease
-        machine.sick_until = max(machine.sick_until, now + aside_s)
-        machine.bad = machine.bad or bad
+        aside_s = span if bad else self.timeouts.worker_lease
+        machine.quarantined_until = max(machine.quarantined_until, now + aside_s)
+        machine.is_degraded = machine.is_degraded or bad
         return recent
 
-    def blame(self, job: str, machines: Iterable[HeldMachine]) -> None:
+    def blame(self, job: str, machines: Iterable[ManagedMachine]) -> None:
         """The job's owner says that it fails everywhere: its errors count against no machine."""
         if job in self._places and self._places[job] is None:
             return
@@ -63,10 +63,10 @@
             if machine.errors.pop(job, None) is None:
                 continue
             recent = [name for name in machine.errors if not self._job_at_fault(name)]
-            if len(recent) < JOBS_TO_BLAME and machine.bad:
-                machine.bad = False
+            if len(recent) < JOBS_TO_BLAME and machine.is_degraded:
+                machine.is_degraded = False
             if not recent:
-                machine.sick_until = 0.0
+                machine.quarantined_until = 0.0
                 machine.touch()
 
     def _job_at_fault(self, job: str) -> bool:
--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -12,12 +12,12 @@
 
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import Session
+from beamspar.cluster.registration import Registration
 from beamspar.machines.fault_evidence import FaultEvidence
 from beamspar.machines.machine_summaries import MachineSummaries
-from beamspar.machines.managed_machine import HeldMachine, Key, Start
+from beamspar.machines.managed_machine import Key, ManagedMachine, Start
 from beamspar.machines.worker_client import WorkerClient
-from beamspar.placement import Room, copy, trim
+from beamspar.placement import Room, copy, evict_least_recently_used
 from beamspar.protocol.peer_messages import (
     CLEAR,
     ENDED,
@@ -28,20 +28,20 @@
     RUN,
     STOP,
     VIEWS_AT_ONCE,
-    Status,
-    Sync,
-    View,
-    Want,
+    AttemptStatus,
+    DesiredAttempt,
+    DesiredStateUpdate,
+    MachineStatus,
 )
 from beamspar.protocol.wire import (
     MachineType,
-    Report,
-    TaskReport,
+    TaskStatus,
+    WorkerHeartbeat,
     order_clear,
     order_start,
     order_stop,
 )
-from beamspar.settings import Timing
+from beamspar.settings import Timeouts
 from beamspar.transport.http import CallFailedError, Clock, spawn
 
 log = Logger(namespace="holder")
@@ -52,41 +52,43 @@
 MOST_OVER = 400
 
 
-class Holder:
+class MachineController:
     """Owns the state of the machines in this controller's blocks."""
 
     def __init__(
         self,
         clock: Clock,
-        session: Session,
+        registration: Registration,
         workers: WorkerClient,
-        timing: Timing,
+        timeouts: Timeouts,
         types: Callable[[], dict[str, MachineType]],
         verdict: Callable[[str, int, str], Any],
     ) -> None:
         self.clock = clock
-        self.session = session
+        self.registration = registration
         self.workers = workers
-        self.timing = timing
+        self.timeouts = timeouts
         self.types = types
         self.verdict = verdict
-        self.machines: dict[str, HeldMachine] = {}
+        self.machines: dict[str, ManagedMachine] = {}
         self.streams: dict[str, tuple[int, int, int]] = {}
         # Per partition and machine, what its owner wants there.
-        self.stream_wants: dict[str, dict[str, dict[Key, Want]]] = {}
+        self.stream_wants: dict[str, dict[str, dict[Key, DesiredAttempt]]] = {}
         self.owners: dict[str, str] = {}
-        self.push: Callable[[str, list[Status]], None] = lambda owner, statuses: None
+        self.push: Callable[[str, list[AttemptStatus]], None] = lambda owner, statuses: None
         self.on_room: Callable[[], None] = lambda: None
         # Told of each machine that became another controller's, with its new holder and number.
-        self.on_released: Callable[[HeldMachine, str, int], None] = lambda machine, holder, n: None
-        self.faults = FaultEvidence(timing)
+        self.on_released: Callable[[ManagedMachine, str, int], None] = lambda machine, holder, n: (
+            None
+        )
+        self.faults = FaultEvidence(timeouts)
         # An order that only lacked the worker's session is repeated at once, not after a pause.
         self.repeats_at_once = False
-        self.summaries = MachineSummaries(clock, timing, types)
+        self.summaries = MachineSummaries(clock, timeouts, types)
         # The cache map as the leader passes it on: reports don't list what is cached, so
         # a new holder would think its machines cold.
         self.caches: dict[str, dict[str, float]] = {}
-        session.listeners.append(self._changed)
+        registration.listeners.append(self._changed)
 
     # -- blocks
 
@@ -102,17 +104,17 @@
                     self.step(machine)
 
     def _adopt(self, block_name: str) -> None:
-        block = self.session.blocks.get(block_name)
+        shard = self.registration.shards.get(block_name)
         now = self.clock.seconds()
         names = set()
-        if block and block.holder == self.session.me and self.session.registered:
-            for info in block.machines:
+        if shard and shard.holder == self.registration.me and self.registration.registered:
+            for info in shard.machines:
                 names.add(info.name)
                 known = self.machines.get(info.name)
-                if known is None or known.number != block.number:
-                    since = self.session.silent_since(info.name, block.live)
-                    machine = HeldMachine(info, block.number, now, since)
-                    machine.sole = not block.live
+                if known is None or known.fencing_token != shard.fencing_token:
+                    since = self.registration.silent_since(info.name, shard.live)
+                    machine = ManagedMachine(info, shard.fencing_token, now, since)
+                    machine.sole = not shard.live
                     if known is not None:
                         machine.images = known.images
                     self._recall(machine)
@@ -122,103 +124,109 @@
                         machine=info.name,
                         kind=info.kind,
                         zone=info.zone,
-                        number=block.number,
+                        number=shard.fencing_token,
                     )
                     self._take_wants(machine)
                     self.step(machine)
         for name in [n for n in self.machines if n not in names]:
-            held = self.session.holder_of(name)
-            if held is None or held != (self.session.me, self.machines[name].number):
+            held = self.registration.holder_of(name)
+            if held is None or held != (self.registration.me, self.machines[name].fencing_token):
                 log.info("no longer holding {machine}", machine=name)
                 machine = self.machines.pop(name)
-                if held is not None and held[0] != self.session.me:
+                if held is not None and held[0] != self.registration.me:
                     self.on_released(machine, *held)
 
-    def _take_wants(self, machine: HeldMachine) -> None:
+    def _take_wants(self, machine: ManagedMachine) -> None:
         for partition, machines in self.stream_wants.items():
-            for key, want in machines.get(machine.info.name, {}).items():
-                if want.number == machine.number:
-                    self._wanted(machine, key, want, partition)
+            for key, desired in machines.get(machine.info.name, {}).items():
+                if desired.fencing_token == machine.fencing_token:
+                    self._wanted(machine, key, desired, partition)
         machine.touch_all()
 
-    def held(self, name: str) -> HeldMachine | None:
+    def held(self, name: str) -> ManagedMachine | None:
         """The machine, if this controller may act for it right now."""
         machine = self.machines.get(name)
-        if machine is None or not self.session.valid():
+        if machine is None or not self.registration.lease_is_valid():
             return None
         return (
-            machine if self.session.holder_of(name) == (self.session.me, machine.number) else None
+            machine
+            if self.registration.holder_of(name) == (self.registration.me, machine.fencing_token)
+            else None
         )
 
     # -- reports
 
-    def report(self, report: Report) -> tuple[int, list[dict[str, Any]]] | None:
+    def report(self, report: WorkerHeartbeat) -> tuple[int, list[dict[str, Any]]] | None:
         """Take in a worker's own report; token and orders to answer with, None for 'not mine'."""
         machine = self.held(report.machine)
         if machine is None:
             return None
         if (
-            report.session,
+            report.agent_epoch,
             report.seq,
-        ) <= machine.report_seq or report.session < machine.min_session:
+        ) <= machine.report_seq or report.agent_epoch < machine.min_agent_epoch:
             # A late copy: an answer would not reach the worker, and counting it as
             # answered would put off the proof that a silent worker's lease ran out.
             log.info("{machine}: late copy of a report", machine=report.machine)
             return None
-        if report.token > machine.token:
-            log.info("{machine} knows a higher number {n}", machine=report.machine, n=report.token)
+        if report.observed_fencing_token > machine.command_token:
+            log.info(
+                "{machine} knows a higher number {n}",
+                machine=report.machine,
+                n=report.observed_fencing_token,
+            )
             return None
-        machine.report_seq = (report.session, report.seq)
+        machine.report_seq = (report.agent_epoch, report.seq)
         machine.reported_at = self.clock.seconds()
-        self._absorb(machine, report)
+        self._observe(machine, report)
         self._answered(machine)
         if machine.calm:
             # Nothing was due, and nothing is new: most reports of machines with hundreds of tasks.
-            return machine.token, []
+            return machine.command_token, []
         # Stops ride on every answer while they are due: an order of ours may be waiting for
         # a machine that hangs, and while it does no other is sent.
         commands = self._commands(machine)
         self.step(machine)
-        return machine.token, commands
+        return machine.command_token, commands
 
-    def _absorb(self, machine: HeldMachine, report: Report) -> None:
+    def _observe(self, machine: ManagedMachine, report: WorkerHeartbeat) -> None:
         """Believe a report as far as it is newer, and an absence only when fresh."""
-        if report.session < machine.min_session or report.machine != machine.info.name:
+        if report.agent_epoch < machine.min_agent_epoch or report.machine != machine.info.name:
             return
-        if (report.session, report.seq) <= (machine.session, machine.seq):
+        if (report.agent_epoch, report.seq) <= (machine.agent_epoch, machine.seq):
             return
         now = self.clock.seconds()
-        if report.session > machine.session:
+        if report.agent_epoch > machine.agent_epoch:
             # A new session has its full lease, answered or not: after an outage the
             # last answer may be long past while tasks of this session run.
             self._answered(machine)
             for key, start in list(machine.starts.items()):
-                if start.session < report.session:
+                if start.agent_epoch < report.agent_epoch:
                     # The session's end killed it, and orders of that session are void.
                     del machine.starts[key]
                     machine.over[key] = GONE
             machine.touch_all()
-            if machine.session:
-                log.info("{machine}: session {s}", machine=report.machine, s=report.session)
-        machine.session, machine.seq = report.session, report.seq
+            if machine.agent_epoch:
+                log.info("{machine}: session {s}", machine=report.machine, s=report.agent_epoch)
+        machine.agent_epoch, machine.seq = report.agent_epoch, report.seq
         machine.lost = False
-        fresh, noticed = machine.fresh, machine.notice_s
-        machine.notice_s = report.notice_s
-        machine.fresh = machine.fresh or report.token == machine.token
+        fresh, noticed = machine.fresh, machine.termination_notice_s
+        machine.termination_notice_s = report.termination_notice_s
+        machine.fresh = machine.fresh or report.observed_fencing_token == machine.command_token
         # A worker that knows our number takes no answer of a former holder.
         machine.sole = machine.sole or machine.fresh
         old = machine.tasks
-        news: list[tuple[Key, TaskReport]] = []
+        news: list[tuple[Key, TaskStatus]] = []
         gone: list[Key] = []
         if list(old.values()) != report.tasks:
-            machine.tasks = {(t.parcel, t.attempt): t for t in report.tasks}
+            machine.tasks = {(t.task, t.attempt): t for t in report.tasks}
             news = [
                 (key, task)
                 for key, task in machine.tasks.items()
                 if key not in old or old[key].status != task.status
             ]
             gone = [key for key in old if key not in machine.tasks]
-        if fresh != machine.fresh or (noticed is None) != (machine.notice_s is None):
+        if fresh != machine.fresh or (noticed is None) != (machine.termination_notice_s is None):
             machine.touch_all()
         if news or gone:
             machine.touch(*gone, *(key for key, _ in news))
@@ -227,25 +235,25 @@
         if machine.tasks and any(t.status != "ended" for t in machine.tasks.values()):
             machine.idle_since = now
 
-    def _answered(self, machine: HeldMachine) -> None:
+    def _answered(self, machine: ManagedMachine) -> None:
         """Only a worker that knows our number takes no answer of a former holder."""
         now = self.clock.seconds()
         machine.answered_at = now
         machine.last_answer = now if machine.fresh else max(machine.last_answer, now)
 
-    def _seen(self, machine: HeldMachine, key: Key, task: TaskReport) -> None:
-        want = machine.wants.get(key)
+    def _seen(self, machine: ManagedMachine, key: Key, task: TaskStatus) -> None:
+        desired = machine.desired_attempts.get(key)
         job = key[0].partition("/")[0]
-        if task.status in ("gathering", "running", "saving") and want:
-            self._cache(machine, want.image, want.image_gb)
-        if task.status == "ended" and task.why == "error":
-            blamed = want is not None and want.job_to_blame
+        if task.status in ("gathering", "running", "saving") and desired:
+            self._cache(machine, desired.image, desired.image_gb)
+        if task.status == "ended" and task.exit_reason == "error":
+            blamed = desired is not None and desired.job_to_blame
             verdict = self.faults.failed(machine, job, blamed, self.clock.seconds())
             if verdict:
                 name = machine.info.name
                 log.warn("{machine} fails tasks of {jobs}: set aside", machine=name, jobs=verdict)
         if task.status == "ended":
-            machine.bad = machine.bad and task.why != "done"
+            machine.is_degraded = machine.is_degraded and task.exit_reason != "done"
             self.on_room()
 
     def recall(self, caches: dict[str, dict[str, float]]) -> None:
@@ -253,38 +261,38 @@
         for name in caches.keys() & self.machines.keys():
             self._recall(self.machines[name])
 
-    def _recall(self, machine: HeldMachine) -> None:
+    def _recall(self, machine: ManagedMachine) -> None:
         self.learn_images(machine, self.caches.get(machine.info.name, {}))
 
-    def learn_images(self, machine: HeldMachine, known: dict[str, float]) -> None:
+    def learn_images(self, machine: ManagedMachine, known: dict[str, float]) -> None:
         """What others knew of the machine's cache, as far as we don't."""
         if known.keys() - machine.images.keys():
             machine.images = {**known, **machine.images}
             self._trim(machine)
             machine.touch()
 
-    def _cache(self, machine: HeldMachine, image: str, size_gb: float) -> None:
+    def _cache(self, machine: ManagedMachine, image: str, size_gb: float) -> None:
         """The machine keeps the most recently used images within its cache."""
         machine.images.pop(image, None)
         machine.images[image] = size_gb
         self._trim(machine)
 
-    def _trim(self, machine: HeldMachine) -> None:
+    def _trim(self, machine: ManagedMachine) -> None:
         if machine.info.kind in self.types():
-            trim(machine.images, self.types()[machine.info.kind])
+            evict_least_recently_used(machine.images, self.types()[machine.info.kind])
 
     # -- wants
 
-    def sync(self, message: Sync) -> list[Status]:
+    def sync(self, message: DesiredStateUpdate) -> list[AttemptStatus]:
         """An owner's full wish list for one partition; older lists are ignored."""
-        stamp = (message.version, message.inc, message.seq)
+        stamp = (message.version, message.incarnation, message.sequence)
         if stamp <= self.streams.get(message.partition, (0, 0, 0)):
             return []
         self.streams[message.partition] = stamp
         self.owners[message.partition] = message.owner
-        said: dict[str, dict[Key, Want]] = {}
-        for want in message.wants:
-            said.setdefault(want.machine, {})[(want.task, want.attempt)] = want
+        said: dict[str, dict[Key, DesiredAttempt]] = {}
+        for desired in message.desired_attempts:
+            said.setdefault(desired.machine, {})[(desired.task, desired.attempt)] = desired
         old = self.stream_wants.setdefault(message.partition, {})
         names = {*old, *said} if message.machines is None else set(message.machines) | said.keys()
         touched = []
@@ -301,19 +309,21 @@
             if machine:
                 self.step(machine)
         answers = []
-        for want in message.wants:
-            machine = self.machines.get(want.machine)
-            if machine and machine.number == want.number:
-                key = (want.task, want.attempt)
+        for desired in message.desired_attempts:
+            machine = self.machines.get(desired.machine)
+            if machine and machine.fencing_token == desired.fencing_token:
+                key = (desired.task, desired.attempt)
                 if machine.partition_of.get(key, message.partition) != message.partition:
                     continue
-                status = self._status(machine, key, want)
+                status = self._status(machine, key, desired)
                 if status:
-                    machine.told[key] = (status.state, status.why)
+                    machine.told[key] = (status.state, status.exit_reason)
                     answers.append(status)
         return answers
 
-    def _wanted(self, machine: HeldMachine, key: Key, want: Want, partition: str) -> bool:
+    def _wanted(
+        self, machine: ManagedMachine, key: Key, desired: DesiredAttempt, partition: str
+    ) -> bool:
         """One partition's want of an attempt takes effect, unless it only holds room while
         another's stands.
 
@@ -321,44 +331,50 @@
         the same names: until its record is refused, what it holds must not replace what the
         stored record wants. Tasks that ran were taken for refused, and started elsewhere.
         """
-        if want.action == HOLD and machine.partition_of.get(key, partition) != partition:
+        if desired.action == HOLD and machine.partition_of.get(key, partition) != partition:
             return False
-        machine.wants[key] = want
+        machine.desired_attempts[key] = desired
         machine.partition_of[key] = partition
         return True
 
     def _take(
-        self, machine: HeldMachine, partition: str, old: dict[Key, Want], new: dict[Key, Want]
+        self,
+        machine: ManagedMachine,
+        partition: str,
+        old: dict[Key, DesiredAttempt],
+        new: dict[Key, DesiredAttempt],
     ) -> bool:
         """One partition's wants on one machine replace what it wanted before."""
         changed: list[Key] = []
-        for key, want in old.items():
-            if key not in new and machine.wants.get(key) is want:
-                del machine.wants[key]
+        for key, desired in old.items():
+            if key not in new and machine.desired_attempts.get(key) is desired:
+                del machine.desired_attempts[key]
                 machine.partition_of.pop(key, None)
                 machine.told.pop(key, None)
                 changed.append(key)
                 if key in machine.starts and key not in machine.over:
                     # Nobody wants it any more, yet our start may still be under way.
                     machine.unwanted.add(key)
-        for key, want in new.items():
-            if machine.number != want.number:
+        for key, desired in new.items():
+            if machine.fencing_token != desired.fencing_token:
                 continue
-            before = machine.wants.get(key)
-            if not self._wanted(machine, key, want, partition):
+            before = machine.desired_attempts.get(key)
+            if not self._wanted(machine, key, desired, partition):
                 continue
-            if before != want:
+            if before != desired:
                 changed.append(key)
-                if want.job_to_blame:
+                if desired.job_to_blame:
                     self.faults.blame(key[0].partition("/")[0], self.machines.values())
                 if key in machine.tasks and machine.tasks[key].status != "fetching":
-                    self._cache(machine, want.image, want.image_gb)
+                    self._cache(machine, desired.image, desired.image_gb)
             machine.unknown_since.pop(key, None)
         if changed:
             machine.touch(*changed)
         return bool(changed)
 
-    def _mark(self, machine: HeldMachine, key: Key, want: Want) -> tuple[str, str | None] | None:
+    def _mark(
+        self, machine: ManagedMachine, key: Key, desired: DesiredAttempt
+    ) -> tuple[str, str | None] | None:
         """The attempt's state and why it ended, as its owner should know them; None: not known."""
         over = machine.over.get(key)
         if over is not None:
@@ -368,154 +384,166 @@
             return None
         if task.status != "ended":
             return task.status, None
-        if want.action == CLEAR and machine.in_doubt(key):
+        if desired.action == CLEAR and machine.in_doubt(key):
             return KEPT, None
-        return ENDED, task.why
+        return ENDED, task.exit_reason
 
-    def _status(self, machine: HeldMachine, key: Key, want: Want) -> Status | None:
-        mark = self._mark(machine, key, want)
+    def _status(
+        self, machine: ManagedMachine, key: Key, desired: DesiredAttempt
+    ) -> AttemptStatus | None:
+        mark = self._mark(machine, key, desired)
         if mark is None:
             return None
         state, why = mark
         saved = state == ENDED and bool(machine.tasks[key].saved)
-        return Status(machine.info.name, machine.number, key[0], key[1], state, why, saved)
+        return AttemptStatus(
+            machine.info.name, machine.fencing_token, key[0], key[1], state, why, saved
+        )
 
-    def _tell(self, machine: HeldMachine) -> None:
+    def _tell(self, machine: ManagedMachine) -> None:
         """Push to the owners what changed; what is lost is told again."""
-        by_owner: dict[str, list[Status]] = {}
+        by_owner: dict[str, list[AttemptStatus]] = {}
         for key in machine.open:
-            want = machine.wants.get(key)
-            mark = self._mark(machine, key, want) if want is not None else None
-            if want is None or mark is None or machine.told.get(key) == mark:
+            desired = machine.desired_attempts.get(key)
+            mark = self._mark(machine, key, desired) if desired is not None else None
+            if desired is None or mark is None or machine.told.get(key) == mark:
                 continue
             owner = self.owners.get(machine.partition_of.get(key, ""))
-            status = self._status(machine, key, want)
+            status = self._status(machine, key, desired)
             if status is not None and owner:
                 machine.told[key] = mark
                 by_owner.setdefault(owner, []).append(status)
         for owner, statuses in by_owner.items():
             self.push(owner, statuses)
 
-    def untold(self, statuses: list[Status]) -> None:
+    def unacknowledged(self, statuses: list[AttemptStatus]) -> None:
         """These did not reach their owner: they are told again with the next heartbeat."""
         for status in statuses:
             machine = self.machines.get(status.machine)
-            if machine is not None and machine.number == status.number:
+            if machine is not None and machine.fencing_token == status.fencing_token:
                 key = (status.task, status.attempt)
                 machine.told.pop(key, None)
                 machine.touch(key)
 
     # -- orders
 
-    def _fits(self, machine: HeldMachine, key: Key, want: Want) -> bool:
+    def _fits(self, machine: ManagedMachine, key: Key, desired: DesiredAttempt) -> bool:
         cpus, gpus, memory = self.summaries.free(machine, key)
         return (
-            want.cpus <= cpus + 1e-6
-            and want.gpus <= gpus + 1e-6
-            and (want.memory_gb <= memory + 1e-6)
+            desired.cpus <= cpus + 1e-6
+            and desired.gpus <= gpus + 1e-6
+            and (desired.memory_gb <= memory + 1e-6)
         )
 
-    def _evict(self, machine: HeldMachine, key: Key, want: Want) -> bool:
+    def _preempt(self, machine: ManagedMachine, key: Key, desired: DesiredAttempt) -> bool:
         """Choose lower work to stop for this want; whether that will make room."""
         cpus, gpus, memory = self.summaries.free(machine, key)
         victims = sorted(
             (
                 (k, w)
-                for k, w in machine.wants.items()
-                if w.rank > want.rank and machine.live(k) and k != key
+                for k, w in machine.desired_attempts.items()
+                if w.rank > desired.rank and machine.live(k) and k != key
             ),
             key=lambda item: (-item[1].rank, item[1].gang, not item[1].saves, item[1].gpus),
         )
         chosen = []
         for k, w in victims:
             if (
-                want.cpus <= cpus + 1e-6
-                and want.gpus <= gpus + 1e-6
-                and (want.memory_gb <= memory + 1e-6)
+                desired.cpus <= cpus + 1e-6
+                and desired.gpus <= gpus + 1e-6
+                and (desired.memory_gb <= memory + 1e-6)
             ):
                 break
             cpus, gpus, memory = cpus + w.cpus, gpus + w.gpus, memory + w.memory_gb
             chosen.append((k, w))
-        if want.cpus > cpus + 1e-6 or want.gpus > gpus + 1e-6 or want.memory_gb > memory + 1e-6:
+        if (
+            desired.cpus > cpus + 1e-6
+            or desired.gpus > gpus + 1e-6
+            or desired.memory_gb > memory + 1e-6
+        ):
             return False
         for k, w in chosen:
-            if k not in machine.evicted:
-                machine.evicted[k] = self._grace(w)
+            if k not in machine.preempted:
+                machine.preempted[k] = self._grace(w)
                 machine.touch(k)
                 name = machine.info.name
                 log.info("{machine}: {k} makes room for {key}", machine=name, k=k[0], key=key[0])
         return True
 
-    def _grace(self, want: Want) -> float:
+    def _grace(self, desired: DesiredAttempt) -> float:
         """How long a task that is stopped may take to save; one of a gang waits for the others."""
-        if not want.saves:
+        if not desired.saves:
             return 0.0
-        return want.save_s * SAVE_MARGIN + (self.timing.gang_peer if want.gang else 0.0)
+        return desired.save_s * SAVE_MARGIN + (self.timeouts.gang_peer if desired.gang else 0.0)
 
-    def _commands(self, machine: HeldMachine) -> list[dict[str, Any]]:
+    def _commands(self, machine: ManagedMachine) -> list[dict[str, Any]]:
         """Orders that the difference between wants and reports calls for."""
         commands = []
-        cancellations = bool(self.session.withdrawn or self.session.told)
+        cancellations = bool(
+            self.registration.cancelled or self.registration.announced_cancellations
+        )
         open_tasks = [(key, machine.tasks[key]) for key in machine.open if key in machine.tasks]
         for key, task in open_tasks:
             if task.status == "ended":
                 continue
-            want = machine.wants.get(key)
-            if cancellations and self.session.is_withdrawn(key[0].partition("/")[0]):
+            desired = machine.desired_attempts.get(key)
+            if cancellations and self.registration.is_cancelled(key[0].partition("/")[0]):
                 grace: float | None = 0.0
             elif key in machine.unwanted:
                 grace = 0.0
-            elif want is not None and want.action == STOP:
-                grace = self._grace(want)
-            elif key in machine.evicted:
-                grace = machine.evicted[key]
-            elif want is not None and machine.notice_s is not None:
+            elif desired is not None and desired.action == STOP:
+                grace = self._grace(desired)
+            elif key in machine.preempted:
+                grace = machine.preempted[key]
+            elif desired is not None and machine.termination_notice_s is not None:
                 # The machine is about to go: save what can be saved, go on elsewhere.
-                grace = self._grace(want)
+                grace = self._grace(desired)
             else:
                 grace = None
             if grace is not None and not (task.status == "saving" and grace > 0):
                 commands.append(order_stop(key[0], key[1], grace))
         for key, task in open_tasks:
-            want = machine.wants.get(key)
+            desired = machine.desired_attempts.get(key)
             # After a clear the worker has forgotten the attempt, so a start
             # still under way would run it once more: never clear in doubt.
             clearable = task.status == "ended" and not machine.in_doubt(key)
-            if clearable and ((want and want.action == CLEAR) or key in machine.unwanted):
+            if clearable and ((desired and desired.action == CLEAR) or key in machine.unwanted):
                 commands.append(order_clear(key[0], key[1]))
         return commands
 
-    def _starts(self, machine: HeldMachine) -> list[dict[str, Any]]:
+    def _starts(self, machine: ManagedMachine) -> list[dict[str, Any]]:
         commands: list[dict[str, Any]] = []
         if not machine.fresh:
             return commands
         missing = [
-            (key, machine.wants[key])
+            (key, machine.desired_attempts[key])
             for key in machine.open
-            if key in machine.wants and key not in machine.tasks and key not in machine.over
+            if key in machine.desired_attempts
+            and key not in machine.tasks
+            and key not in machine.over
         ]
         paused = machine.paused_until > self.clock.seconds()
-        for key, want in sorted(missing, key=lambda item: item[1].rank):
+        for key, desired in sorted(missing, key=lambda item: item[1].rank):
             start = machine.starts.get(key)
-            withdrawn = self.session.is_withdrawn(key[0].partition("/")[0])
-            if start is None and paused and want.action in (RUN, HOLD):
+            cancelled = self.registration.is_cancelled(key[0].partition("/")[0])
+            if start is None and paused and desired.action in (RUN, HOLD):
                 continue
             if start is not None and start.answered and not start.doubt:
                 # It was there, and a newer report does not list it.
                 self._mark_over(machine, key, GONE)
-            elif want.action == HOLD:
+            elif desired.action == HOLD:
                 if not self.summaries.usable(machine) or not (
-                    want.evict or self._fits(machine, key, want)
+                    desired.preempt or self._fits(machine, key, desired)
                 ):
                     self._mark_over(machine, key, REFUSED)
-            elif want.action == RUN and not withdrawn:
+            elif desired.action == RUN and not cancelled:
                 if start is not None:
                     commands.append(order_start(*key))
                 elif not self.summaries.usable(machine):
                     self._mark_over(machine, key, REFUSED)
-                elif self._fits(machine, key, want):
+                elif self._fits(machine, key, desired):
                     commands.append(order_start(*key))
-                elif not (want.evict and self._evict(machine, key, want)):
+                elif not (desired.preempt and self._preempt(machine, key, desired)):
                     self._mark_over(machine, key, REFUSED)
             elif start is None:
                 # A fresh report does not list it, older numbers are fenced out and
@@ -537,28 +565,28 @@
                 return commands
         return commands
 
-    def _raise_token(self, machine: HeldMachine) -> None:
+    def _raise_token(self, machine: ManagedMachine) -> None:
         """A start that nobody wants any more may still be under way: make it void.
 
         The machine is ours by all that the mirror holds, so a lease that we don't know of is
         newer than that, and so is its number: up to the mirror's revision the token is ours to
         raise. Repeating the start to stop it at once would start what its user has cancelled.
         """
-        if self.session.revision > machine.token:
-            machine.token = self.session.revision
+        if self.registration.revision > machine.command_token:
+            machine.command_token = self.registration.revision
             machine.fresh = False
             machine.touch_all()
             log.info(
                 "{machine}: token raised to {token}, to void starts in doubt",
                 machine=machine.info.name,
-                token=machine.token,
+                token=machine.command_token,
             )
 
-    def _mark_over(self, machine: HeldMachine, key: Key, state: str) -> None:
+    def _mark_over(self, machine: ManagedMachine, key: Key, state: str) -> None:
         machine.over[key] = state
         if len(machine.over) > MOST_OVER:
             # A number lasts for weeks now; nobody asks for the oldest any more.
-            unwanted = [k for k in machine.over if k not in machine.wants]
+            unwanted = [k for k in machine.over if k not in machine.desired_attempts]
             for old in unwanted[: MOST_OVER // 2]:
                 del machine.over[old]
         machine.touch(key)
@@ -566,14 +594,16 @@
         machine.unwanted.discard(key)
         log.info("{machine}: {key} {state}", machine=machine.info.name, key=key, state=state)
 
-    def step(self, machine: HeldMachine) -> None:
+    def step(self, machine: ManagedMachine) -> None:
         """Compare wants with what is known, send what is missing, tell what changed."""
         if self.held(machine.info.name) is not machine:
             return
         now = self.clock.seconds()
         starts = self._starts(machine)
         due = self._commands(machine) + starts
-        commands = due if self.session.current() else [c for c in due if c not in starts]
+        commands = (
+            due if self.registration.mirror_is_current() else [c for c in due if c not in starts]
+        )
         self._tell(machine)
         machine.open = {key: None for key in machine.open if not self._settled(machine, key)}
         machine.calm = (
@@ -581,7 +611,7 @@
             and not due
             and not machine.failed_orders
             and not machine.unwanted
-            and all(key in machine.wants for key in machine.open if key in machine.tasks)
+            and all(key in machine.desired_attempts for key in machine.open if key in machine.tasks)
         )
         if machine.ordering or now < machine.next_order:
             return
@@ -590,13 +620,13 @@
             machine.ordering = True
             spawn(self._send(machine, commands if machine.fresh else []), "orders")
 
-    def _settled(self, machine: HeldMachine, key: Key) -> bool:
+    def _settled(self, machine: ManagedMachine, key: Key) -> bool:
         """Is the attempt as it is wanted, and does its owner know? Then nothing is due for it
         before it is touched again."""
-        task, want = machine.tasks.get(key), machine.wants.get(key)
-        if want is None:
+        task, desired = machine.tasks.get(key), machine.desired_attempts.get(key)
+        if desired is None:
             return task is None
-        mark = self._mark(machine, key, want)
+        mark = self._mark(machine, key, desired)
         if mark is None or machine.told.get(key) != mark:
             return False
         if task is None:
@@ -604,23 +634,23 @@
             return True
         return (
             task.status != "ended"
-            and want.action in (RUN, HOLD)
-            and machine.notice_s is None
-            and key not in machine.evicted
+            and desired.action in (RUN, HOLD)
+            and machine.termination_notice_s is None
+            and key not in machine.preempted
             and key not in machine.unwanted
-            and not self.session.is_withdrawn(key[0].partition("/")[0])
+            and not self.registration.is_cancelled(key[0].partition("/")[0])
         )
 
-    async def _send(self, machine: HeldMachine, commands: list[dict[str, Any]]) -> None:
-        session, token = machine.session, machine.token
+    async def _send(self, machine: ManagedMachine, commands: list[dict[str, Any]]) -> None:
+        epoch, token = machine.agent_epoch, machine.command_token
         sent = []
         for command in commands:
             if command["verb"] == "start":
                 key = (command["parcel"], command["try"])
-                start = machine.starts.setdefault(key, Start(session, token))
+                start = machine.starts.setdefault(key, Start(epoch, token))
                 if machine.void(start):
                     start.doubt = start.answered = False
-                start.session, start.token = session, token
+                start.agent_epoch, start.fencing_token = epoch, token
                 sent.append((key, start))
                 log.info(
                     "start {task} try {attempt} on {machine} under {number}",
@@ -630,12 +660,12 @@
                     number=token,
                 )
         try:
-            done, report = await self.workers.order(machine.info.address, token, session, commands)
+            done, report = await self.workers.order(machine.info.address, token, epoch, commands)
         except CallFailedError as error:
             for _, start in sent:
                 start.doubt = True
             machine.failed_orders += 1
-            pause = self.timing.retry if commands else self.timing.report
+            pause = self.timeouts.retry if commands else self.timeouts.report
             machine.next_order = self.clock.seconds() + pause
             log.info("orders to {machine} failed: {error}", machine=machine.info.name, error=error)
             machine.ordering = False
@@ -645,26 +675,26 @@
         for key, start in sent:
             if done:
                 start.answered = True
-            elif start.session == report.session and machine.starts.get(key) is start:
+            elif start.agent_epoch == report.agent_epoch and machine.starts.get(key) is start:
                 # Refused for the number: a higher one is out, so it can't run.
                 start.doubt = True
         # By the session that was sent: what we know of it may have changed meanwhile.
-        outdated = session != report.session
+        outdated = epoch != report.agent_epoch
         if not done:
-            machine.next_order = self.clock.seconds() + (0.0 if outdated else self.timing.retry)
-        self._absorb(machine, report)
+            machine.next_order = self.clock.seconds() + (0.0 if outdated else self.timeouts.retry)
+        self._observe(machine, report)
         if not machine.fresh and not (outdated and self.repeats_at_once):
             # Not the word we wait for (a session that must end first): no haste.
-            machine.next_order = max(machine.next_order, self.clock.seconds() + self.timing.retry)
+            machine.next_order = max(machine.next_order, self.clock.seconds() + self.timeouts.retry)
         if self.machines.get(machine.info.name) is machine:
             self.step(machine)
 
-    def pause(self, machine: HeldMachine, until: float) -> None:
+    def pause(self, machine: ManagedMachine, until: float) -> None:
         """Start nothing new there until then. What runs goes on, and reports are answered."""
         machine.paused_until = until
         self.clock.callLater(max(until - self.clock.seconds(), 0.0) + 0.001, self._resume, machine)
 
-    def _resume(self, machine: HeldMachine) -> None:
+    def _resume(self, machine: ManagedMachine) -> None:
         if self.machines.get(machine.info.name) is machine:
             # What was wanted meanwhile is due now.
             machine.touch_all()
@@ -675,13 +705,13 @@
     def tick(self) -> None:
         """Leases that ran out, unknown tasks, and whatever waits for another try."""
         now = self.clock.seconds()
-        if not self.session.valid():
+        if not self.registration.lease_is_valid():
             return
         # Another may hold a machine since the mirror was last known to be whole, and answer
         # its worker: a controller that was frozen took machines for silent that had moved.
-        known = min(now, self.session.watched_at)
+        known = min(now, self.registration.watched_at)
         for machine in list(self.machines.values()):
-            if not machine.lost and known > machine.last_answer + self.timing.worker_gone:
+            if not machine.lost and known > machine.last_answer + self.timeouts.worker_gone:
                 self._expire(machine)
             if machine.calm:
                 continue
@@ -689,39 +719,43 @@
                 self._check_unknown_tasks(machine, now)
             self.step(machine)
 
-    def _expire(self, machine: HeldMachine) -> None:
+    def _expire(self, machine: ManagedMachine) -> None:
         """Nobody answered the worker for longer than its lease: all on it is gone."""
         log.warn("{machine} is silent beyond its lease", machine=machine.info.name)
         machine.lost = True
         machine.fresh = False
-        machine.min_session = machine.session + 1 if machine.session else 0
-        for key in set(machine.wants) | set(machine.starts) | set(machine.tasks):
+        machine.min_agent_epoch = machine.agent_epoch + 1 if machine.agent_epoch else 0
+        for key in set(machine.desired_attempts) | set(machine.starts) | set(machine.tasks):
             if key not in machine.over:
                 self._mark_over(machine, key, GONE)
         machine.tasks.clear()
         machine.touch_all()
         self._tell(machine)
 
-    def _check_unknown_tasks(self, machine: HeldMachine, now: float) -> None:
+    def _check_unknown_tasks(self, machine: ManagedMachine, now: float) -> None:
         for key in list(machine.unknown_since):
-            if key not in machine.tasks or key in machine.wants:
+            if key not in machine.tasks or key in machine.desired_attempts:
                 del machine.unknown_since[key]
         for key in machine.open:
-            if key not in machine.tasks or key in machine.wants or key in machine.unwanted:
+            if (
+                key not in machine.tasks
+                or key in machine.desired_attempts
+                or key in machine.unwanted
+            ):
                 continue
             since = machine.unknown_since.setdefault(key, now)
-            if now - since > self.timing.unknown_task and key not in machine.being_checked:
+            if now - since > self.timeouts.unknown_task and key not in machine.being_checked:
                 machine.unknown_since[key] = now
                 spawn(self._check_unknown_task(machine, key), "stranger")
 
-    async def _check_unknown_task(self, machine: HeldMachine, key: Key) -> None:
+    async def _check_unknown_task(self, machine: ManagedMachine, key: Key) -> None:
         """A task that no owner speaks for: the stored record decides."""
         machine.being_checked.add(key)
         try:
             bound = await self.verdict(key[0], key[1], machine.info.name)
         finally:
             machine.being_checked.discard(key)
-        if bound is False and key in machine.tasks and key not in machine.wants:
+        if bound is False and key in machine.tasks and key not in machine.desired_attempts:
             log.info("{machine}: {key} belongs to nobody", machine=machine.info.name, key=key)
             machine.unwanted.add(key)
             machine.touch(key)
@@ -734,19 +768,19 @@
         """How many changes of machines were counted so far."""
         return self.summaries.changes
 
-    def views(self, since: int = 0, most: int = VIEWS_AT_ONCE) -> tuple[list[View], int]:
+    def views(self, since: int = 0, most: int = VIEWS_AT_ONCE) -> tuple[list[MachineStatus], int]:
         """What has changed of our machines after that count of changes."""
         return self.summaries.views(self.machines.values(), since, most)
 
-    def retire(self, names: list[str]) -> None:
+    def drain(self, names: list[str]) -> None:
         """The leader's list replaces the one before; who is on it no longer serves again."""
         for name, machine in self.machines.items():
-            if machine.retiring != (name in names):
-                machine.retiring = name in names
+            if machine.draining != (name in names):
+                machine.draining = name in names
                 machine.touch()
 
     def rooms(self) -> list[Room]:
         """Copies for the owner in this process to reckon with."""
-        if not self.session.valid():
+        if not self.registration.lease_is_valid():
             return []
         return [copy(self.summaries.room(machine)) for machine in self.machines.values()]
--- a/src/beamspar/machines/machine_summaries.py
+++ b/src/beamspar/machines/machine_summaries.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable, Iterable
 
-from beamspar.machines.managed_machine import HeldMachine, Key
+from beamspar.machines.managed_machine import Key, ManagedMachine
 from beamspar.placement import Room
-from beamspar.protocol.peer_messages import View
+from beamspar.protocol.peer_messages import MachineStatus
 from beamspar.protocol.wire import MachineType
-from beamspar.settings import Timing
+from beamspar.settings import Timeouts
 from beamspar.transport.http import Clock
 
 
@@ -16,28 +16,28 @@
     """Owns the count of changes by which heartbeats tell only what is new."""
 
     def __init__(
-        self, clock: Clock, timing: Timing, types: Callable[[], dict[str, MachineType]]
+        self, clock: Clock, timeouts: Timeouts, types: Callable[[], dict[str, MachineType]]
     ) -> None:
         self.clock = clock
-        self.timing = timing
+        self.timeouts = timeouts
         self.types = types
         self.changes = 0
 
-    def usable(self, machine: HeldMachine) -> bool:
+    def usable(self, machine: ManagedMachine) -> bool:
         """May new work be started there now?"""
         return (
             machine.fresh
             and not machine.lost
-            and machine.notice_s is None
-            and not machine.retiring
+            and machine.termination_notice_s is None
+            and not machine.draining
             and machine.paused_until <= self.clock.seconds()
-            and machine.sick_until <= self.clock.seconds()
+            and machine.quarantined_until <= self.clock.seconds()
             # Nor is one that hears no orders, or whose lease runs out for want of reports.
             and machine.failed_orders < 2
-            and self.clock.seconds() - machine.reported_at < self.timing.silent
+            and self.clock.seconds() - machine.reported_at < self.timeouts.silent
         )
 
-    def free(self, machine: HeldMachine, but: Key | None = None) -> tuple[float, float, float]:
+    def free(self, machine: ManagedMachine, but: Key | None = None) -> tuple[float, float, float]:
         """CPUs, accelerators and memory that no live want takes, one of them left out."""
         kind = self.types().get(machine.info.kind)
         if kind is None:
@@ -45,7 +45,7 @@
         cpus, gpus, memory = machine.taken(but)
         return kind.cpus - cpus, kind.gpus - gpus, kind.memory_gb - memory
 
-    def room(self, machine: HeldMachine) -> Room:
+    def room(self, machine: ManagedMachine) -> Room:
         """The machine's room, counted anew only when something there has changed."""
         if machine.room is None or machine.info.kind not in self.types():
             cpus, gpus, memory = self.free(machine)
@@ -54,16 +54,16 @@
             tasks = sum(
                 1
                 for k, t in machine.tasks.items()
-                if k not in machine.wants and t.status != "ended"
+                if k not in machine.desired_attempts and t.status != "ended"
             )
-            for key, want in machine.wants.items():
+            for key, desired in machine.desired_attempts.items():
                 if not machine.live(key):
                     continue
                 tasks += 1
-                for rank in range(min(want.rank, 4)) if key not in machine.evicted else ():
-                    lower[rank][0] += want.cpus
-                    lower[rank][1] += want.gpus
-                    lower[rank][2] += want.memory_gb
+                for rank in range(min(desired.rank, 4)) if key not in machine.preempted else ():
+                    lower[rank][0] += desired.cpus
+                    lower[rank][1] += desired.gpus
+                    lower[rank][2] += desired.memory_gb
             info = machine.info
             machine.room = Room(
                 info.name,
@@ -78,9 +78,9 @@
                 tasks=tasks,
                 fetching=len(
                     {
-                        want.image
-                        for key, want in machine.wants.items()
-                        if machine.live(key) and machine.unfetched(key, want)
+                        desired.image
+                        for key, desired in machine.desired_attempts.items()
+                        if machine.live(key) and machine.unfetched(key, desired)
                     }
                 ),
             )
@@ -94,20 +94,20 @@
         return machine.room
 
     def views(
-        self, machines: Iterable[HeldMachine], since: int, most: int
-    ) -> tuple[list[View], int]:
+        self, machines: Iterable[ManagedMachine], since: int, most: int
+    ) -> tuple[list[MachineStatus], int]:
         """What has changed after that count of changes, silent machines always; and the count
         up to which this tells: of more changes than fit into one message, the earlier ones."""
         now = self.clock.seconds()
-        changed: list[HeldMachine] = []
-        silent: list[HeldMachine] = []
+        changed: list[ManagedMachine] = []
+        silent: list[ManagedMachine] = []
         for machine in machines:
             # Counted anew where something changed, which moves `machine.changed`.
             self.room(machine)
             if machine.changed > since:
                 changed.append(machine)
                 continue
-            is_silent = now - machine.reported_at > self.timing.silent / 2
+            is_silent = now - machine.reported_at > self.timeouts.silent / 2
             if is_silent or machine.was_silent:
                 silent.append(machine)
         count = self.changes
@@ -119,19 +119,19 @@
         told = changed + silent[: max(most - len(changed), 0)]
         return [self._view(machine, now) for machine in told], count
 
-    def _view(self, machine: HeldMachine, now: float) -> View:
+    def _view(self, machine: ManagedMachine, now: float) -> MachineStatus:
         silent_s = now - machine.reported_at
         # Told while it lasts, and once more when it is over.
-        machine.was_silent = silent_s > self.timing.silent / 2
-        return View(
+        machine.was_silent = silent_s > self.timeouts.silent / 2
+        return MachineStatus(
             self.room(machine),
-            machine.number,
+            machine.fencing_token,
             machine.fresh,
             machine.lost,
-            machine.sick_until > now,
-            machine.bad,
-            machine.notice_s is not None,
-            machine.retiring,
+            machine.quarantined_until > now,
+            machine.is_degraded,
+            machine.termination_notice_s is not None,
+            machine.draining,
             silent_s,
             now - machine.idle_since,
         )
--- a/src/beamspar/machines/worker_client.py
+++ b/src/beamspar/machines/worker_client.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from beamspar.protocol.wire import InvalidInputError, Report, orders, parse_report
+from beamspar.protocol.wire import InvalidInputError, WorkerHeartbeat, orders, parse_report
 from beamspar.transport.http import CallFailedError, Net
 
 
@@ -16,14 +16,14 @@
         self.limit_s = limit_s
 
     async def order(
-        self, address: str, token: int, session: int, commands: list[dict[str, Any]]
-    ) -> tuple[bool, Report]:
+        self, address: str, token: int, agent_epoch: int, commands: list[dict[str, Any]]
+    ) -> tuple[bool, WorkerHeartbeat]:
         """Whether the orders were executed, and the report after them.
 
         CallFailedError means doubt: the orders may be executed minutes later, while
-        number and session still match.
+        number and agent_epoch still match.
         """
-        body = orders(token, session, commands)
+        body = orders(token, agent_epoch, commands)
         answer = await self.net.request("POST", address, "/orders", body, self.limit_s)
         if answer.status not in (200, 409):
             raise CallFailedError(f"worker {address} answered {answer.status}")
