--- a/src/beamspar/node/node.py
+++ b/src/beamspar/node/node.py
@@ -10,38 +10,38 @@
 from twisted.internet.defer import Deferred, ensureDeferred
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import LEADER, Machine, Session
-from beamspar.jobs.job_controller import Owner
+from beamspar.cluster.registration import LEADER, Machine, Registration
+from beamspar.jobs.job_controller import JobController
 from beamspar.leader.cloud_client import CloudClient, CloudUnavailableError, NoCapacityError
-from beamspar.leader.instance_manager import Fleet
+from beamspar.leader.instance_manager import InstanceManager
 from beamspar.leader.leader import Leader
-from beamspar.machines.machine_controller import Holder
+from beamspar.machines.machine_controller import MachineController
 from beamspar.machines.worker_client import WorkerClient
 from beamspar.node.public_api import Api
 from beamspar.placement import Preference, Room, slow_kinds
 from beamspar.protocol.peer_messages import (
     PEER_LIMIT,
     STATUSES_AT_ONCE,
-    Ask,
-    Asks,
-    Directions,
+    AttemptStatus,
+    AttemptStatusBatch,
+    CancellationNotice,
+    CapacityOffers,
+    CapacityRequest,
+    CapacityRequestBatch,
+    DesiredStateUpdate,
+    ForwardedRequest,
+    ForwardedResponse,
+    HealthProbeResponse,
+    HeartbeatResponse,
     JobClass,
-    Offers,
-    Placed,
-    Pulse,
-    Relay,
-    Relayed,
-    Status,
-    Statuses,
-    Summary,
-    Sync,
-    Withdrawals,
+    MemberHeartbeat,
+    PlacementOffer,
     decode,
     encode,
 )
-from beamspar.protocol.wire import BODY_LIMIT, MachineType, Spec, convert, pack, unpack
-from beamspar.quota.quota_manager import Budget
-from beamspar.settings import Settings, Timing, Tuning
+from beamspar.protocol.wire import BODY_LIMIT, JobSpec, MachineType, convert, pack, unpack
+from beamspar.quota.quota_manager import QuotaManager
+from beamspar.settings import OperatorSettings, Settings, Timeouts
 from beamspar.standby.standby import Standby
 from beamspar.state import job_records as records
 from beamspar.state.client import (
@@ -75,27 +75,32 @@
     """A controller. Its parts are made anew when its standing is lost."""
 
     def __init__(
-        self, clock: Clock, net: Net, settings: Settings, tuning: Tuning, dice: random.Random
+        self,
+        clock: Clock,
+        net: Net,
+        settings: Settings,
+        operator_settings: OperatorSettings,
+        rng: random.Random,
     ) -> None:
         self.clock = clock
         self.net = net
         self.settings = settings
-        self.tuning = tuning
-        self.dice = dice
-        self.timing = Timing(settings, tuning)
-        self.state = StateClient(clock, net, settings, self.timing)
-        self.cloud = CloudClient(net, settings.services.cloud, self.timing.call)
+        self.operator_settings = operator_settings
+        self.rng = rng
+        self.timeouts = Timeouts(settings, operator_settings)
+        self.state = StateClient(clock, net, settings, self.timeouts)
+        self.cloud = CloudClient(net, settings.services.cloud, self.timeouts.request)
         self.types: dict[str, MachineType] = {}
-        self.session: Session | None = None
-        self.holder: Holder | None = None
-        self.owner: Owner | None = None
+        self.registration: Registration | None = None
+        self.machine_controller: MachineController | None = None
+        self.job_controller: JobController | None = None
         self.leader: Leader | None = None
-        self.budget: Budget | None = None
+        self.quota_manager: QuotaManager | None = None
         self.standby: Standby | None = None
         self.sharing: Sharing | None = None
         # It has left the service in order, and is not registered.
         self.has_left = False
-        self.peers = {s.member: s.peer_addr for s in settings.siblings}
+        self.peers = {s.member: s.peer_addr for s in settings.peers}
         self.heard: dict[str, float] = {}
         self.failed: dict[str, float] = {}
         # Since when calls to a sibling fail.
@@ -104,7 +109,7 @@
         self.refused: dict[str, bool] = {}
         self.seen: dict[str, Machine] = {}
         self.ready = False
-        self.pushes: dict[str, list[Status]] = {}
+        self.pushes: dict[str, list[AttemptStatus]] = {}
         self.strays: dict[str, float] = {}
         self.per_gpu = (0.0, 0.0)
         self.reserved: frozenset[str] = frozenset()
@@ -124,7 +129,7 @@
 
     async def start(self) -> None:
         """Listen first, so that workers and siblings are answered; then register."""
-        sockets = Sockets.of(self.settings.facts.limits.sockets, self.settings.facts.nodes)
+        sockets = Sockets.of(self.settings.platform.limits.sockets, self.settings.platform.nodes)
         await self.net.listen(
             self.settings.public_addr, self.api.handle, sockets.public, BODY_LIMIT
         )
@@ -133,73 +138,79 @@
         await self.net.listen(self.settings.peer_bind, self.peer, sockets.peers, PEER_LIMIT)
         log.info("{me} listens", me=self.settings.member)
         spawn(self._fetch_types(), "machine types")
-        spawn(self._stand(), "standing")
+        spawn(self._register_and_start(), "standing")
         self._tick()
 
-    async def _stand(self) -> None:
+    async def _register_and_start(self) -> None:
         """Become a new incarnation; its fence renews the numbers of the blocks that are ours."""
         self.ready = False
-        session = Session(self.clock, self.state, self.settings, self.timing)
-        session.on_lost = lambda why: self.clock.callLater(0, self._again, session)
-        workers = WorkerClient(self.net, self.timing.order)
-        holder = Holder(
-            self.clock, session, workers, self.timing, lambda: self.types, self._verdict
+        registration = Registration(self.clock, self.state, self.settings, self.timeouts)
+        registration.on_lease_lost = lambda why: self.clock.callLater(0, self._again, registration)
+        workers = WorkerClient(self.net, self.timeouts.command)
+        holder = MachineController(
+            self.clock, registration, workers, self.timeouts, lambda: self.types, self._verdict
+        )
+        owner = JobController(self.clock, registration, self.state, self.settings, self.timeouts)
+        quota_manager = QuotaManager(registration, self.state, self.settings)
+        instance_manager = InstanceManager(
+            self.clock, self.cloud, registration, self.settings, self.timeouts, self.types
         )
-        owner = Owner(self.clock, session, self.state, self.settings, self.timing)
-        budget = Budget(session, self.state, self.settings)
-        fleet = Fleet(self.clock, self.cloud, session, self.settings, self.timing, self.types)
         leader = Leader(
             self.clock,
-            session,
+            registration,
             self.state,
-            fleet,
+            instance_manager,
             self.settings,
-            self.timing,
-            self.tuning,
-            self.dice,
+            self.timeouts,
+            self.operator_settings,
+            self.rng,
         )
-        owner.budget = budget
-        budget.loaded = lambda: owner.loaded
-        budget.on_share = owner.pump
+        owner.quota_manager = quota_manager
+        quota_manager.loaded = lambda: owner.loaded
+        quota_manager.on_share = owner.schedule
         owner.placer.rooms, owner.placer.ask = self._rooms, self._ask
         owner.assignments.send = self._send_syncs
         owner.placer.preference = leader.preference = self._preference
-        leader.leasing.unreached = self.unreached.get
+        leader.shard_leasing.unreached = self.unreached.get
         holder.caches = self.caches
         holder.push = self._push
-        holder.on_room = owner.pump
-        self.session, self.holder, self.owner = session, holder, owner
-        self.leader, self.budget = leader, budget
+        holder.on_room = owner.schedule
+        self.registration, self.machine_controller, self.job_controller = (
+            registration,
+            holder,
+            owner,
+        )
+        self.leader, self.quota_manager = leader, quota_manager
         self.heartbeat_known = 0
-        session.listeners.append(self._learn_types)
+        registration.listeners.append(self._learn_types)
         self.standby = None
-        if self.tuning.standby:
+        if self.operator_settings.standby:
             self.standby = Standby(
                 self.clock,
-                session,
+                registration,
                 leader,
-                self.timing,
-                leader.leasing.sites,
+                self.timeouts,
+                leader.shard_leasing.sites,
                 self._deliver,
                 self._summary,
             )
-            session.listeners.append(self._greet_leader)
+            registration.listeners.append(self._greet_leader)
         self.sharing = None
-        if self.tuning.sharing:
+        if self.operator_settings.sharing:
             # Loaded only where it is on: each module costs time at the start.
             from beamspar.sharing.service import Sharing
 
             self.sharing = Sharing(
                 self.clock,
-                session,
+                registration,
                 self.state,
                 holder,
                 leader,
-                self.timing,
+                self.timeouts,
                 self._deliver,
                 self._resign,
             )
-        await session.start()
+        await registration.start()
         if self.standby is not None:
             self.standby.start()
         await owner.load()
@@ -207,44 +218,50 @@
 
     def _greet_leader(self, key: str) -> None:
         """A new leader decides nothing before it has heard us: tell it all at once."""
-        if key == LEADER and self.session is not None and self.session.leader != self.heartbeat_to:
+        if (
+            key == LEADER
+            and self.registration is not None
+            and self.registration.leader != self.heartbeat_to
+        ):
             self.clock.callLater(0, self._heartbeat_now)
 
     def _heartbeat_now(self) -> None:
-        session = self.session
-        if session is not None and session.started and not session.lost:
+        registration = self.registration
+        if registration is not None and registration.started and not registration.lost:
             self._heartbeat()
 
     def _rooms(self) -> list[Room]:
         """Our machines' room that the owner here may use without the leader's word."""
-        if self.holder is None:
+        if self.machine_controller is None:
             return []
-        return [room for room in self.holder.rooms() if room.name not in self.reserved]
+        return [room for room in self.machine_controller.rooms() if room.name not in self.reserved]
 
-    def _again(self, session: Session) -> None:
-        if session is self.session:
-            self.session = self.holder = self.owner = self.leader = self.budget = None
+    def _again(self, registration: Registration) -> None:
+        if registration is self.registration:
+            self.registration = self.machine_controller = self.job_controller = self.leader = (
+                self.quota_manager
+            ) = None
             self.standby = self.sharing = None
             if not self.has_left:
-                spawn(self._stand(), "standing")
+                spawn(self._register_and_start(), "standing")
 
     async def _resign(self) -> None:
         """End the registration: nothing is held here, and others get our jobs at once."""
-        session = self.session
-        if session is None:
+        registration = self.registration
+        if registration is None:
             return
         self.has_left, self.ready = True, False
-        permit = session.permit
-        session.end("it has left the service")
-        log.warn("{me} has left: the process may be stopped", me=session.me)
+        lease_id = registration.lease_id
+        registration.end("it has left the service")
+        log.warn("{me} has left: the process may be stopped", me=registration.me)
         try:
-            await self.state.revoke(permit)
+            await self.state.revoke_lease(lease_id)
         except (StateUnavailableError, LeaseExpiredError) as error:
             log.info("the grant ends by itself: {error}", error=error)
 
     async def _answer_sharing(self, name: str, body: bytes) -> bytes | None:
         sharing = self.sharing
-        if sharing is not None and sharing.session.started and not sharing.session.lost:
+        if sharing is not None and sharing.registration.started and not sharing.registration.lost:
             return await sharing.answer(name, body)
         if not self.has_left:
             return None
@@ -256,7 +273,7 @@
         if name == "leave":
             if decode(body, LeaveRequest).undo:
                 self.has_left = False
-                spawn(self._stand(), "standing")
+                spawn(self._register_and_start(), "standing")
             return encode(CommandReply(True))
         return None
 
@@ -270,36 +287,36 @@
                 return
             except (CloudUnavailableError, NoCapacityError) as error:
                 log.info("machine types wait: {error}", error=error)
-            await sleep(self.clock, self.timing.report)
+            await sleep(self.clock, self.timeouts.report)
 
     async def _store_types(self) -> None:
-        while self.session is None or not self.session.started:
-            await sleep(self.clock, self.timing.report)
-        if TYPES not in self.session.values:
+        while self.registration is None or not self.registration.started:
+            await sleep(self.clock, self.timeouts.report)
+        if TYPES not in self.registration.values:
             value = [msgspec.to_builtins(t) for t in self.types.values()]
             try:
-                await self.state.multi({TYPES: 0}, [put(TYPES, value)])
+                await self.state.transact({TYPES: 0}, [put(TYPES, value)])
             except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
                 log.info("machine types not stored: {error}", error=error)
 
     def _learn_types(self, key: str) -> None:
-        if key == TYPES and self.session and not self.types:
-            value = self.session.values.get(TYPES, ([], 0))[0]
+        if key == TYPES and self.registration and not self.types:
+            value = self.registration.values.get(TYPES, ([], 0))[0]
             types: list[MachineType] = convert(value, list[MachineType])
             self.types.update({t.name: t for t in types})
 
     async def _verdict(self, task: str, attempt: int, machine: str) -> bool | None:
         """Does the stored record bind this attempt here? None: can't tell now."""
-        facts = self.settings.facts.state
+        facts = self.settings.platform.state
         try:
             return await records.is_bound(self.state, facts, task, attempt, machine)
         except (StateUnavailableError, msgspec.ValidationError) as error:
             log.info("no verdict on {task}: {error}", task=task, error=error)
             return None
 
-    def _preference(self, spec: Spec) -> Preference:
+    def _preference(self, spec: JobSpec) -> Preference:
         """What the running work asks of accelerator machines, and the class's haste."""
-        within = self.settings.facts.start_within(spec.job_class)
+        within = self.settings.platform.start_within(spec.job_class)
         return Preference(
             self.per_gpu,
             slow_kinds(spec, within, self.types.values()),
@@ -309,7 +326,7 @@
 
     def acting(self) -> bool:
         """Is this controller registered, loaded, and within its lease?"""
-        return self.ready and self.session is not None and self.session.valid()
+        return self.ready and self.registration is not None and self.registration.lease_is_valid()
 
     def healthy(self) -> bool:
         """Can requests be taken here? In an outage that all share, staying is better."""
@@ -320,7 +337,7 @@
     def refuge(self) -> str | None:
         """A sibling that the state service has served since it began to fail us alone."""
         since = self.state.failing_since
-        if since is None or self.clock.seconds() - since < self.timing.heartbeat:
+        if since is None or self.clock.seconds() - since < self.timeouts.heartbeat:
             return None
         served = [m for m, at in self.served.items() if at > since]
         return min(served, key=lambda m: (-self.served[m], m)) if served else None
@@ -331,14 +348,14 @@
             for member in self.peers:
                 sent = self.clock.seconds()
                 try:
-                    body = await self._send(member, "pulse", {}, self.timing.heartbeat)
-                    pulse: Pulse = decode(body, Pulse)
+                    body = await self._send(member, "pulse", {}, self.timeouts.heartbeat)
+                    pulse: HealthProbeResponse = decode(body, HealthProbeResponse)
                 except (CallFailedError, ValueError) as error:
                     log.debug("no pulse of {member}: {error}", member=member, error=error)
                     self.served.pop(member, None)
                 else:
                     self.served[member] = sent - pulse.served_s
-            await sleep(self.clock, self.timing.heartbeat)
+            await sleep(self.clock, self.timeouts.heartbeat)
         finally:
             self.polling_siblings = False
 
@@ -347,22 +364,22 @@
         sent = self.clock.seconds()
         try:
             data = unpack(call.body) if call.body else None
-            message = Relay(call.method, call.path, data)
-            body = await self._send(member, "relay", message, self.timing.call)
-            answer: Relayed = decode(body, Relayed)
+            message = ForwardedRequest(call.method, call.path, data)
+            body = await self._send(member, "relay", message, self.timeouts.request)
+            answer: ForwardedResponse = decode(body, ForwardedResponse)
         except (CallFailedError, ValueError, TypeError) as error:
             log.info("not relayed to {member}: {error}", member=member, error=error)
             return None
-        if answer.status == 200 and self.clock.seconds() - sent > self.timing.heartbeat * 2:
+        if answer.status == 200 and self.clock.seconds() - sent > self.timeouts.heartbeat * 2:
             # Held up on its way: another may have told the user something newer.
             return None
         return Answer(answer.status, pack(answer.data), tuple(answer.headers))
 
     async def _relayed(self, body: bytes) -> bytes:
-        relay: Relay = decode(body, Relay)
+        relay: ForwardedRequest = decode(body, ForwardedRequest)
         raw = pack(relay.data) if relay.data is not None else b""
         answer = await self.api.handle(Call(relay.method, relay.path, {}, raw), relayed=True)
-        return encode(Relayed(answer.status, unpack(answer.body), list(answer.headers)))
+        return encode(ForwardedResponse(answer.status, unpack(answer.body), list(answer.headers)))
 
     def reachable(self, member: str) -> bool:
         """Was the member heard since a call to it failed last?"""
@@ -372,27 +389,32 @@
         """A worker that no block names: the leader should lease it."""
         leader = self.leader
         if leader is not None and leader.leading:
-            leader.leasing.saw(machine)
+            leader.shard_leasing.saw(machine)
         elif len(self.seen) < 500:
             self.seen[machine.name] = machine
 
     def _tick(self, due: float | None = None) -> None:
-        pause = self.timing.heartbeat * (0.9 + 0.2 * self.dice.random())
+        pause = self.timeouts.heartbeat * (0.9 + 0.2 * self.rng.random())
         self.clock.callLater(pause, self._tick, self.clock.seconds() + pause)
-        if due is not None and self.owner is not None:
-            self.owner.placer.fired(due)
+        if due is not None and self.job_controller is not None:
+            self.job_controller.placer.fired(due)
         if not self.polling_siblings:
             self.polling_siblings = True
             spawn(self._poll_siblings(), "pulses")
         self._spread()
         try:
-            session = self.session
-            if session is None or not session.started or session.lost:
+            registration = self.registration
+            if registration is None or not registration.started or registration.lost:
                 return
-            assert self.holder and self.owner and self.leader and self.budget
-            self.holder.tick()
-            self.owner.tick()
-            self.budget.tick()
+            assert (
+                self.machine_controller
+                and self.job_controller
+                and self.leader
+                and self.quota_manager
+            )
+            self.machine_controller.tick()
+            self.job_controller.tick()
+            self.quota_manager.tick()
             self.leader.tick()
             if self.sharing is not None:
                 self.sharing.tick()
@@ -428,7 +450,7 @@
     async def tell(self, member: str, path: str, message: Any) -> bool:
         """Say it once; False when it may be lost."""
         try:
-            await self._send(member, path, message, self.timing.call)
+            await self._send(member, path, message, self.timeouts.request)
         except CallFailedError as error:
             log.debug("{error}", error=error)
             return False
@@ -440,19 +462,19 @@
         The state service tells them too, unless it refuses them alone or is out; they may
         own the job or hold its machines, and go on with both until their leases end.
         """
-        if self.session is not None and not self.session.lost:
-            self.session.learn_cancelled({job: revision})
+        if self.registration is not None and not self.registration.lost:
+            self.registration.observe_cancellations({job: revision})
         for pending in self.unacknowledged.values():
             pending[job] = revision
         self._spread()
 
     def _spread(self) -> None:
         """Tell what a sibling has not acknowledged, until the mirror shows the job's end."""
-        session = self.session
+        registration = self.registration
         for member, pending in self.unacknowledged.items():
-            if session is not None and session.started:
-                for job in [j for j, at in pending.items() if at <= session.revision]:
-                    if job not in session.withdrawn:
+            if registration is not None and registration.started:
+                for job in [j for j, at in pending.items() if at <= registration.revision]:
+                    if job not in registration.cancelled:
                         del pending[job]
             if pending and member not in self.spreading:
                 self.spreading.add(member)
@@ -461,7 +483,7 @@
     async def _spread_to(self, member: str) -> None:
         jobs = dict(self.unacknowledged[member])
         try:
-            told = await self.tell(member, "withdrawn", Withdrawals(jobs))
+            told = await self.tell(member, "withdrawn", CancellationNotice(jobs))
         finally:
             self.spreading.discard(member)
         if told:
@@ -471,7 +493,7 @@
                     del pending[job]
             self._spread()
 
-    def _push(self, owner: str, statuses: list[Status]) -> None:
+    def _push(self, owner: str, statuses: list[AttemptStatus]) -> None:
         """What is told in one turn goes together: many machines are often lost at once."""
         if not self.pushes:
             self.clock.callLater(0, self._push_all)
@@ -485,93 +507,104 @@
             else:
                 spawn(self._push_to(owner, statuses), "statuses")
 
-    async def _push_to(self, owner: str, statuses: list[Status]) -> None:
-        holder = self.holder
+    async def _push_to(self, owner: str, statuses: list[AttemptStatus]) -> None:
+        holder = self.machine_controller
         for low in range(0, len(statuses), STATUSES_AT_ONCE):
             part = statuses[low : low + STATUSES_AT_ONCE]
-            if not await self.tell(owner, "statuses", Statuses(part)) and holder:
-                holder.untold(part)
+            if not await self.tell(owner, "statuses", AttemptStatusBatch(part)) and holder:
+                holder.unacknowledged(part)
 
-    def _statuses(self, statuses: list[Status]) -> None:
-        if self.owner:
-            self.owner.statuses(statuses)
+    def _statuses(self, statuses: list[AttemptStatus]) -> None:
+        if self.job_controller:
+            self.job_controller.statuses(statuses)
 
-    def _send_syncs(self, holder: str, messages: list[Sync]) -> Deferred[list[Status] | None]:
+    def _send_syncs(
+        self, holder: str, messages: list[DesiredStateUpdate]
+    ) -> Deferred[list[AttemptStatus] | None]:
         return ensureDeferred(self._syncs(holder, messages))
 
-    async def _syncs(self, holder: str, messages: list[Sync]) -> list[Status] | None:
+    async def _syncs(
+        self, holder: str, messages: list[DesiredStateUpdate]
+    ) -> list[AttemptStatus] | None:
         if holder == self.settings.member:
-            if self.holder is None:
+            if self.machine_controller is None:
                 return None
-            return [s for m in messages for s in self.holder.sync(m)]
+            return [s for m in messages for s in self.machine_controller.sync(m)]
         try:
-            body = await self._send(holder, "sync", messages, self.timing.call)
-            answer: Statuses = decode(body, Statuses)
+            body = await self._send(holder, "sync", messages, self.timeouts.request)
+            answer: AttemptStatusBatch = decode(body, AttemptStatusBatch)
         except (CallFailedError, ValueError) as error:
             log.debug("sync to {holder}: {error}", holder=holder, error=error)
             return None
         return answer.statuses
 
-    def _ask(self, asks: list[Ask]) -> Deferred[list[Placed] | None]:
-        return ensureDeferred(self._asks(asks))
+    def _ask(
+        self, capacity_requests: list[CapacityRequest]
+    ) -> Deferred[list[PlacementOffer] | None]:
+        return ensureDeferred(self._asks(capacity_requests))
 
-    async def _asks(self, asks: list[Ask]) -> list[Placed] | None:
+    async def _asks(self, capacity_requests: list[CapacityRequest]) -> list[PlacementOffer] | None:
         """The leader's offers; None when it can't be asked, and soon, for users wait."""
-        session = self.session
-        name = session.leader if session else None
+        registration = self.registration
+        name = registration.leader if registration else None
         if name is None:
             return None
         if name == self.settings.member:
-            return self.leader.asks(name, asks).offers if self.leader else None
+            return (
+                self.leader.offer_capacity(name, capacity_requests).offers if self.leader else None
+            )
         if not self.reachable(name) and (
-            self.clock.seconds() - self.failed[name] < self.timing.heartbeat
+            self.clock.seconds() - self.failed[name] < self.timeouts.heartbeat
         ):
             return None
         try:
             body = await self._send(
-                name, "asks", Asks(self.settings.member, asks), self.timing.heartbeat
+                name,
+                "asks",
+                CapacityRequestBatch(self.settings.member, capacity_requests),
+                self.timeouts.heartbeat,
             )
-            offers: Offers = decode(body, Offers)
+            offers: CapacityOffers = decode(body, CapacityOffers)
         except (CallFailedError, ValueError) as error:
             log.info("leader {name} not asked: {error}", name=name, error=error)
             return None
         return offers.offers
 
     def _heartbeat(self) -> None:
-        session = self.session
-        assert session and self.holder and self.owner and self.leader
-        leader = session.leader
-        if leader is None or not session.valid() or self.sending_heartbeat:
+        registration = self.registration
+        assert registration and self.machine_controller and self.job_controller and self.leader
+        leader = registration.leader
+        if leader is None or not registration.lease_is_valid() or self.sending_heartbeat:
             return
-        if leader != session.me and not self.reachable(leader):
+        if leader != registration.me and not self.reachable(leader):
             # A full picture with each heartbeat to a leader that is down would be wasted.
             self.heartbeat_known = 0
             return
         known = self.heartbeat_known if self.heartbeat_to == leader else 0
-        summary = self._summary(known)
+        heartbeat = self._summary(known)
         self.seen.clear()
         self.heartbeat_to, self.heartbeat_known = leader, 0
-        if leader == session.me:
-            directions = self.leader.heartbeat(summary)
-            self._follow(directions)
-            if directions.taken:
-                self.heartbeat_known = summary.count
+        if leader == registration.me:
+            response = self.leader.heartbeat(heartbeat)
+            self._follow(response)
+            if response.accepted:
+                self.heartbeat_known = heartbeat.count
         else:
             self.sending_heartbeat = True
-            spawn(self._send_heartbeat(leader, summary), "heartbeat")
+            spawn(self._send_heartbeat(leader, heartbeat), "heartbeat")
 
     def _classes(self) -> dict[str, JobClass]:
         """Our live jobs by class."""
-        assert self.owner
+        assert self.job_controller
         classes: dict[str, JobClass] = {}
-        for job in self.owner.jobs.values():
+        for job in self.job_controller.jobs.values():
             if job.status == records.LIVE:
                 job_class = classes.get(job.spec.job_class)
                 if job_class is None:
                     job_class = classes[job.spec.job_class] = JobClass(
                         msgspec.to_builtins(job.spec)
                     )
-                zones, _ = job.places(self.owner.zone_of)
+                zones, _ = job.places(self.job_controller.zone_of)
                 for zone, count in zones.items():
                     job_class.zones[zone] = job_class.zones.get(zone, 0) + count
                 job_class.largest = max(job_class.largest, job.spec.tasks)
@@ -579,18 +612,18 @@
 
     def _demand(self) -> int:
         """Tasks of our jobs that are bound or waiting."""
-        assert self.owner
-        live = [job for job in self.owner.jobs.values() if job.status == records.LIVE]
+        assert self.job_controller
+        live = [job for job in self.job_controller.jobs.values() if job.status == records.LIVE]
         return sum(job.spec.tasks - job.done_count for job in live)
 
-    def _summary(self, known: int = 0) -> Summary:
+    def _summary(self, known: int = 0) -> MemberHeartbeat:
         """What changed here after that count of changes; all of it without one."""
-        session = self.session
-        assert session and self.holder and self.owner
-        views, count = self.holder.views(known)
-        return Summary(
-            session.me,
-            session.inc,
+        registration = self.registration
+        assert registration and self.machine_controller and self.job_controller
+        views, count = self.machine_controller.views(known)
+        return MemberHeartbeat(
+            registration.me,
+            registration.incarnation,
             views,
             known,
             count,
@@ -599,39 +632,39 @@
             self.caches_known if known else 0,
             {} if known else self.caches,
             self._strays(),
-            partial=count < self.holder.changes,
+            partial=count < self.machine_controller.changes,
             demand=self._demand() if self.sharing is not None else 0,
-            late_s=self.owner.placer.late_s if self.sharing is not None else 0.0,
+            late_s=self.job_controller.placer.late_s if self.sharing is not None else 0.0,
         )
 
     def _strays(self) -> list[str]:
         """Workers come round every few seconds while nobody answers them."""
         now = self.clock.seconds()
         for name, at in list(self.strays.items()):
-            if now - at > self.timing.stray:
+            if now - at > self.timeouts.unserved_machine:
                 del self.strays[name]
         return sorted(self.strays)
 
-    def _follow(self, directions: Directions) -> None:
-        self.per_gpu = directions.per_gpu
-        self.reserved = frozenset(directions.reserved)
-        self.caches_known = directions.caches_known
-        self.caches.update(directions.caches)
-        held = self.session.block_of if self.session else {}
-        for name in [n for n in self.caches if n not in held] if directions.caches else ():
+    def _follow(self, response: HeartbeatResponse) -> None:
+        self.per_gpu = response.per_gpu
+        self.reserved = frozenset(response.reserved)
+        self.caches_known = response.caches_known
+        self.caches.update(response.caches)
+        held = self.registration.shard_of if self.registration else {}
+        for name in [n for n in self.caches if n not in held] if response.caches else ():
             del self.caches[name]
-        if self.holder:
-            self.holder.retire(directions.retire)
-            self.holder.recall(directions.caches)
+        if self.machine_controller:
+            self.machine_controller.drain(response.machines_to_drain)
+            self.machine_controller.recall(response.caches)
 
-    async def _send_heartbeat(self, leader: str, summary: Summary) -> None:
+    async def _send_heartbeat(self, leader: str, heartbeat: MemberHeartbeat) -> None:
         """One heartbeat at a time, so that each builds on one that was taken in."""
         try:
-            body = await self._send(leader, "beat", summary, self.timing.call)
-            directions: Directions = decode(body, Directions)
-            self._follow(directions)
-            if directions.taken and self.heartbeat_to == leader:
-                self.heartbeat_known = summary.count
+            body = await self._send(leader, "beat", heartbeat, self.timeouts.request)
+            response: HeartbeatResponse = decode(body, HeartbeatResponse)
+            self._follow(response)
+            if response.accepted and self.heartbeat_to == leader:
+                self.heartbeat_known = heartbeat.count
         except (CallFailedError, ValueError) as error:
             log.debug("heartbeat: {error}", error=error)
         finally:
@@ -645,7 +678,11 @@
             if call.path == "/peer/relay":
                 return Answer(200, await self._relayed(call.body))
             standby = self.standby
-            if standby is not None and standby.session.started and not standby.session.lost:
+            if (
+                standby is not None
+                and standby.registration.started
+                and not standby.registration.lost
+            ):
                 answer = await standby.answer(call.path.removeprefix("/peer/"), call.body)
                 if answer is not None:
                     return Answer(200, answer)
@@ -659,30 +696,32 @@
 
     def _dispatch(self, name: str, body: bytes) -> bytes:
         if name == "pulse":
-            return encode(Pulse(self.clock.seconds() - self.state.served_at))
-        if self.session is None or not self.session.started or self.session.lost:
+            return encode(HealthProbeResponse(self.clock.seconds() - self.state.served_at))
+        if self.registration is None or not self.registration.started or self.registration.lost:
             if name == "asks":
-                return encode(Offers([]))
+                return encode(CapacityOffers([]))
             if name == "beat":
-                return encode(Directions(False))
+                return encode(HeartbeatResponse(False))
             # Nobody is there to hear it: refused, so that it is said again.
             raise KeyError(name)
-        assert self.holder and self.owner and self.leader
+        assert self.machine_controller and self.job_controller and self.leader
         if name == "sync":
-            messages: list[Sync] = decode(body, list[Sync])
-            return encode(Statuses([s for m in messages for s in self.holder.sync(m)]))
+            messages: list[DesiredStateUpdate] = decode(body, list[DesiredStateUpdate])
+            return encode(
+                AttemptStatusBatch([s for m in messages for s in self.machine_controller.sync(m)])
+            )
         if name == "statuses":
-            statuses: Statuses = decode(body, Statuses)
-            self.owner.statuses(statuses.statuses)
+            statuses: AttemptStatusBatch = decode(body, AttemptStatusBatch)
+            self.job_controller.statuses(statuses.statuses)
             return b"{}"
         if name == "asks":
-            asks: Asks = decode(body, Asks)
-            return encode(self.leader.asks(asks.member, asks.asks))
+            batch: CapacityRequestBatch = decode(body, CapacityRequestBatch)
+            return encode(self.leader.offer_capacity(batch.member, batch.requests))
         if name == "beat":
-            directions: Directions = self.leader.heartbeat(decode(body, Summary))
-            return encode(directions)
+            response: HeartbeatResponse = self.leader.heartbeat(decode(body, MemberHeartbeat))
+            return encode(response)
         if name == "withdrawn":
-            withdrawals: Withdrawals = decode(body, Withdrawals)
-            self.session.learn_cancelled(withdrawals.jobs)
+            cancellations: CancellationNotice = decode(body, CancellationNotice)
+            self.registration.observe_cancellations(cancellations.jobs)
             return b"{}"
         raise KeyError(name)
--- a/src/beamspar/node/public_api.py
+++ b/src/beamspar/node/public_api.py
@@ -16,7 +16,7 @@
 from beamspar.protocol.wire import (
     JOB_ID,
     InvalidInputError,
-    Spec,
+    JobSpec,
     job_answer,
     pack,
     parse_report,
@@ -35,7 +35,7 @@
     StateUnavailableError,
     put,
 )
-from beamspar.state.job_records import LIVE, WITHDRAWN, EndRecord, JobRecord
+from beamspar.state.job_records import CANCELLED, LIVE, EndRecord, JobRecord
 from beamspar.transport.http import Answer, Call, spawn
 
 if TYPE_CHECKING:
@@ -71,9 +71,9 @@
         self.said_at = -1e9
         self.submitting = 0
         # Small buffers: a share of the memory's worth of submissions in hand.
-        self.most_submitting = max(int(node.settings.facts.limits.memory_mb / 2), 16)
+        self.most_submitting = max(int(node.settings.platform.limits.memory_mb / 2), 16)
         # A record takes some 2 KB here: both caches together stay below a tenth of it.
-        self.most_cached = max(int(node.settings.facts.limits.memory_mb * 25), 1000)
+        self.most_cached = max(int(node.settings.platform.limits.memory_mb * 25), 1000)
 
     async def handle(self, call: Call, relayed: bool = False) -> Answer:
         """Answer a request of a user, a worker or the load balancer."""
@@ -95,7 +95,7 @@
             if len(parts) == 2:
                 return await self._poll(parts[1]) if call.method == "GET" else reply(405)
             if len(parts) == 3 and parts[2] == "withdraw":
-                return await self._withdraw(parts[1]) if call.method == "POST" else reply(405)
+                return await self._cancel(parts[1]) if call.method == "POST" else reply(405)
         return reply(404, {"error": "no such path"})
 
     # -- submissions
@@ -112,19 +112,19 @@
             spec = parse_spec(data)
             if (
                 len(msgspec.json.encode(spec))
-                > self.node.settings.facts.state.smallest.value_kb * 480
+                > self.node.settings.platform.state.smallest.value_kb * 480
             ):
                 raise InvalidInputError("the description is too long to be stored")
         except InvalidInputError as error:
             return await self._known_or(job, reply(400, {"error": str(error)}))
-        if job in self.ends or (self.node.owner and job in self.node.owner.jobs):
+        if job in self.ends or (self.node.job_controller and job in self.node.job_controller.jobs):
             return await self._poll(job)
         if not self.node.types or not self.node.acting():
             return busy()
         why = self._impossible(spec)
         if why:
             return await self._known_or(job, reply(422, {"error": why}))
-        owner = self.node.owner
+        owner = self.node.job_controller
         if owner is None or job in owner.arriving:
             return busy()
         if self.submitting >= self.most_submitting:
@@ -148,9 +148,9 @@
         known = await self._poll(job)
         return answer if known.status == 404 else known
 
-    def _impossible(self, spec: Spec) -> str | None:
+    def _impossible(self, spec: JobSpec) -> str | None:
         settings, types = self.node.settings, self.node.types
-        team = next((t for t in settings.facts.teams if t.name == spec.team), None)
+        team = next((t for t in settings.platform.teams if t.name == spec.team), None)
         if team is None:
             return f"owner {spec.team} is no team"
         if not any(fits_type(spec, kind) for kind in types.values()):
@@ -169,18 +169,18 @@
             return reply(404, {"error": "no such job"})
         asked = self.node.clock.seconds()
         if self._overloaded(job):
-            return busy(self.node.timing.report)
+            return busy(self.node.timeouts.report)
         try:
             found = await self._state_of(job)
         except StateUnavailableError as error:
             log.debug("poll of {job}: {error}", job=job, error=error)
             return busy()
-        late = self.node.clock.seconds() - asked > self.node.timing.heartbeat * 2
-        if late and (found is None or found["status"] not in (WITHDRAWN, records.DONE)):
+        late = self.node.clock.seconds() - asked > self.node.timeouts.heartbeat * 2
+        if late and (found is None or found["status"] not in (CANCELLED, records.DONE)):
             # The state service's word was held up on its way: others may have told
             # the user of the job's end meanwhile, or accepted it: this would be older.
             return busy()
-        owner = self.node.owner
+        owner = self.node.job_controller
         if found is None and owner and (job in owner.arriving or job in owner.doubtful):
             # It is being accepted here, and may be stored since we looked.
             return busy()
@@ -190,11 +190,11 @@
         """Would the user give up before the question has its turn? What ended is known here."""
         if job in self.ends:
             return False
-        if self.node.state.questions_backlog_s() <= self.node.timing.heartbeat * 2:
+        if self.node.state.questions_backlog_s() <= self.node.timeouts.heartbeat * 2:
             return False
         self.turned_away += 1
         now = self.node.clock.seconds()
-        if now - self.said_at > self.node.timing.worker_lease:
+        if now - self.said_at > self.node.timeouts.worker_lease:
             self.said_at = now
             log.warn("{n} questions turned away so far", n=self.turned_away)
         return True
@@ -204,7 +204,7 @@
         end = self.ends.get(job)
         if end is not None:
             return self._final(job, end)
-        owner = self.node.owner
+        owner = self.node.job_controller
         mine = owner.jobs.get(job) if owner else None
         if mine is not None and mine.version and mine.status == LIVE:
             if await self._check(job, mine.version):
@@ -221,8 +221,8 @@
         return job_answer(job, end.status, end.done)
 
     def _current(self, job: str, record: JobRecord) -> dict[str, Any]:
-        if record.status == WITHDRAWN:
-            return job_answer(job, WITHDRAWN, record.done)
+        if record.status == CANCELLED:
+            return job_answer(job, CANCELLED, record.done)
         status = "running" if record.running else "pending"
         return job_answer(job, status, record.done, record.running)
 
@@ -258,7 +258,7 @@
         if item is not None:
             record = self._decode(item.value, JobRecord)
             self._remember(self.known, job, (item.version, record))
-            owner = self.node.owner
+            owner = self.node.job_controller
             if owner and record.partition in owner.partitions and job not in owner.jobs:
                 spawn(owner.adopt(job), f"adopting {job}")
             return self._current(job, record)
@@ -289,7 +289,7 @@
         self.checks.setdefault(f"{records.job_key(job)}\n{version}", []).append(done)
         if not self.checking:
             self.checking = True
-            self.node.clock.callLater(self.node.timing.gather, self._run_checks)
+            self.node.clock.callLater(self.node.timeouts.poll_batching, self._run_checks)
         return done
 
     def _run_checks(self) -> None:
@@ -297,7 +297,7 @@
 
     async def _checks(self) -> None:
         while self.checks:
-            most = self.node.settings.facts.state.smallest.txn_ops * 4
+            most = self.node.settings.platform.state.smallest.txn_ops * 4
             part = dict(list(self.checks.items())[:most])
             for name in part:
                 del self.checks[name]
@@ -306,7 +306,7 @@
                 key, _, version = name.partition("\n")
                 conditions[key] = int(version)
             try:
-                await self.node.state.multi(conditions, [], 1)
+                await self.node.state.transact(conditions, [], 1)
                 failed: set[str] | None = set()
             except ConflictError as error:
                 failed = set(error.failed)
@@ -322,7 +322,7 @@
 
     # -- withdrawals
 
-    async def _withdraw(self, job: str) -> Answer:
+    async def _cancel(self, job: str) -> Answer:
         if not JOB_ID.match(job):
             return reply(404, {"error": "no such job"})
         state = self.node.state
@@ -337,20 +337,20 @@
                         return reply(404, {"error": "no such job"})
                     continue
                 record = self._decode(item.value, JobRecord)
-                if record.status == WITHDRAWN:
+                if record.status == CANCELLED:
                     self.node.confirm(job, item.version)
-                    return reply(200, {"id": job, "status": WITHDRAWN})
-                if await self._store_withdrawal(job, item.version, record):
-                    return reply(200, {"id": job, "status": WITHDRAWN})
+                    return reply(200, {"id": job, "status": CANCELLED})
+                if await self._store_cancellation(job, item.version, record):
+                    return reply(200, {"id": job, "status": CANCELLED})
         except (StateUnavailableError, LeaseExpiredError) as error:
             log.info("withdrawal of {job}: {error}", job=job, error=error)
         return busy()
 
-    async def _store_withdrawal(self, job: str, version: int, record: JobRecord) -> bool:
-        record.status = WITHDRAWN
+    async def _store_cancellation(self, job: str, version: int, record: JobRecord) -> bool:
+        record.status = CANCELLED
         value = msgspec.to_builtins(record)
         try:
-            revision = await self.node.state.multi(
+            revision = await self.node.state.transact(
                 {records.job_key(job): version},
                 [put(records.job_key(job), value), put(records.mark_key(job), {"t": 1})],
                 URGENT,
@@ -358,9 +358,9 @@
         except ConflictError:
             return False
         log.info("{job} withdrawn by its user", job=job)
-        session = self.node.session
-        if session:
-            session.learn(records.mark_key(job), {"t": 1}, revision)
+        registration = self.node.registration
+        if registration:
+            registration.observe(records.mark_key(job), {"t": 1}, revision)
         self.node.confirm(job, revision)
         return True
 
@@ -373,17 +373,17 @@
             log.info("malformed report: {error}", error=error)
             return reply(400, {"error": str(error)})
         node = self.node
-        session, holder = node.session, node.holder
-        if session is None or holder is None or not session.valid():
+        registration, holder = node.registration, node.machine_controller
+        if registration is None or holder is None or not registration.lease_is_valid():
             return reply(503)
-        held = session.holder_of(report.machine)
+        held = registration.holder_of(report.machine)
         if held is None:
             machine = Machine(
                 report.machine, report.address, report.kind, report.zone, bool(report.spot)
             )
             node.saw(machine)
             return reply(503)
-        if held[0] != session.me:
+        if held[0] != registration.me:
             reachable = node.reachable(held[0])
             if reachable or not node.refused.get(held[0]):
                 # It may just be on its way there; the leader knows whether it arrives.
--- a/src/beamspar/placement.py
+++ b/src/beamspar/placement.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from beamspar.protocol.wire import MachineType, Spec
+from beamspar.protocol.wire import JobSpec, MachineType
 
 EPS = 1e-6
 # Of the time that a class has to start, what a fetch may take: rates differ by a third.
@@ -32,13 +32,15 @@
     # Cached images and their sizes, the least recently used first.
     images: dict[str, float] = msgspec.field(default_factory=dict)
     # Per priority rank: what stopping all lower work would add.
-    evictable: list[tuple[float, float, float]] = msgspec.field(default_factory=list)
+    preemptible: list[tuple[float, float, float]] = msgspec.field(
+        name="evictable", default_factory=list
+    )
     usable: bool = True
     tasks: int = 0
     # Images on their way: they share the machine's rate.
     fetching: int = 0
 
-    def take(self, spec: Spec) -> None:
+    def reserve(self, spec: JobSpec) -> None:
         """Reckon with one more task of the job here."""
         self.cpus -= spec.cpus
         self.gpus -= spec.gpus
@@ -53,13 +55,13 @@
     return duplicate
 
 
-def trim(images: dict[str, float], kind: MachineType) -> None:
+def evict_least_recently_used(images: dict[str, float], kind: MachineType) -> None:
     """Drop the least recently used images that the machine has no space for."""
     while sum(images.values()) > kind.cache_gb and len(images) > 1:
         del images[next(iter(images))]
 
 
-def fits_type(spec: Spec, kind: MachineType) -> bool:
+def fits_type(spec: JobSpec, kind: MachineType) -> bool:
     """Could an empty machine of this type take a task of the job?"""
     if spec.kinds is not None and kind.name not in spec.kinds:
         return False
@@ -72,7 +74,7 @@
     )
 
 
-def allowed(spec: Spec, room: Room, zones: Mapping[str, int]) -> bool:
+def allowed(spec: JobSpec, room: Room, zones: Mapping[str, int]) -> bool:
     """May the job have one more task here, given where its others may be?"""
     if not room.usable or (room.spot and not spec.spot):
         return False
@@ -85,7 +87,7 @@
     return not spec.spread or zones.get(room.zone, 0) < (spec.tasks + 1) // 2
 
 
-def has_room(spec: Spec, room: Room) -> bool:
+def has_room(spec: JobSpec, room: Room) -> bool:
     """Is there room for a task of the job now?"""
     return (
         spec.cpus <= room.cpus + EPS
@@ -106,7 +108,7 @@
 PLAIN = Preference()
 
 
-def strands(spec: Spec, room: Room, preference: Preference) -> bool:
+def strands(spec: JobSpec, room: Room, preference: Preference) -> bool:
     """Would this task without accelerators leave some of the machine's without use?"""
     if spec.gpus > EPS or room.gpus < EPS:
         return False
@@ -116,13 +118,13 @@
     )
 
 
-def turn(spec: Spec, zone: str) -> int:
+def turn(spec: JobSpec, zone: str) -> int:
     """Jobs to be spread begin in different zones: a cut should not take most of a class."""
     return crc32(f"{spec.id} {zone}".encode()) if spec.spread else 0
 
 
 def _company(
-    spec: Spec, room: Room, zone: tuple[int, int], machines: Mapping[str, int]
+    spec: JobSpec, room: Room, zone: tuple[int, int], machines: Mapping[str, int]
 ) -> tuple[int, int, int]:
     """How well the room suits what the job has elsewhere; the least is best.
 
@@ -136,7 +138,7 @@
 
 
 def choose(
-    spec: Spec,
+    spec: JobSpec,
     rooms: Iterable[Room],
     zones: Mapping[str, int],
     machines: Mapping[str, int],
@@ -188,7 +190,7 @@
 
 
 def choose_group(
-    spec: Spec,
+    spec: JobSpec,
     count: int,
     rooms: list[Room],
     zones: Mapping[str, int],
@@ -210,7 +212,7 @@
             room = choose(spec, left, there, on, avoid, near, warm_only, preference)
             if room is None:
                 break
-            room.take(spec)
+            room.reserve(spec)
             there[room.zone] = there.get(room.zone, 0) + 1
             on[room.name] = on.get(room.name, 0) + 1
             taken.append(by_name[room.name])
@@ -220,8 +222,8 @@
     return best
 
 
-def choose_group_eviction(
-    spec: Spec, count: int, rooms: list[Room], avoid: Collection[str] = ()
+def choose_group_preemption(
+    spec: JobSpec, count: int, rooms: list[Room], avoid: Collection[str] = ()
 ) -> list[Room]:
     """Machines for all of a group's tasks, where stopping lower work makes room, or none.
 
@@ -230,8 +232,8 @@
     widened = []
     for room in rooms:
         wide = copy(room)
-        if spec.rank < len(room.evictable):
-            cpus, gpus, memory = room.evictable[spec.rank]
+        if spec.rank < len(room.preemptible):
+            cpus, gpus, memory = room.preemptible[spec.rank]
             wide.cpus += cpus
             wide.gpus += gpus
             wide.memory_gb += memory
@@ -240,8 +242,8 @@
     return [by_name[room.name] for room in choose_group(spec, count, widened, {}, {}, avoid)]
 
 
-def choose_eviction(
-    spec: Spec, rooms: Iterable[Room], zones: Mapping[str, int], avoid: Collection[str] = ()
+def choose_preemption(
+    spec: JobSpec, rooms: Iterable[Room], zones: Mapping[str, int], avoid: Collection[str] = ()
 ) -> Room | None:
     """A machine where stopping lower work would make room, losing as little as can be."""
     best: Room | None = None
@@ -249,9 +251,9 @@
     for room in rooms:
         if room.name in avoid or not allowed(spec, room, zones):
             continue
-        if spec.rank >= len(room.evictable):
+        if spec.rank >= len(room.preemptible):
             continue
-        cpus, gpus, memory = room.evictable[spec.rank]
+        cpus, gpus, memory = room.preemptible[spec.rank]
         widened = Room(
             room.name,
             room.kind,
@@ -270,7 +272,7 @@
     return best
 
 
-def per_gpu(specs: Iterable[Spec]) -> tuple[float, float]:
+def per_gpu(specs: Iterable[JobSpec]) -> tuple[float, float]:
     """The most CPUs and memory that work with accelerators takes for each of them."""
     cpus = memory = 0.0
     for spec in specs:
@@ -280,7 +282,7 @@
     return cpus, memory
 
 
-def slow_kinds(spec: Spec, within_s: float, kinds: Iterable[MachineType]) -> frozenset[str]:
+def slow_kinds(spec: JobSpec, within_s: float, kinds: Iterable[MachineType]) -> frozenset[str]:
     """Types that need most of the time in which the class should start for its image."""
     return frozenset(
         kind.name
@@ -289,20 +291,20 @@
     )
 
 
-def fitting(spec: Spec, room: Room) -> int:
+def fitting(spec: JobSpec, room: Room) -> int:
     """How many tasks of this shape the room is large enough for."""
     counts = [
-        int((have + EPS) / want)
-        for have, want in (
+        int((have + EPS) / desired)
+        for have, desired in (
             (room.cpus, spec.cpus),
             (room.gpus, spec.gpus),
             (room.memory_gb, spec.memory_gb),
         )
-        if want > 0
+        if desired > 0
     ]
     return max(min(counts, default=0), 0)
 
 
-def slots(spec: Spec, rooms: Iterable[Room]) -> int:
+def slots(spec: JobSpec, rooms: Iterable[Room]) -> int:
     """How many tasks of this shape would fit now."""
     return sum(fitting(spec, room) for room in rooms if allowed(spec, room, {}))
--- a/src/beamspar/protocol/peer_messages.py
+++ b/src/beamspar/protocol/peer_messages.py
@@ -17,11 +17,11 @@
 GONE, REFUSED, ENDED, KEPT = "gone", "refused", "ended", "kept"
 
 
-class Want(msgspec.Struct, array_like=True):
+class DesiredAttempt(msgspec.Struct, array_like=True):
     """What an owner wants of one attempt on one machine under one number."""
 
     machine: str
-    number: int
+    fencing_token: int
     task: str
     attempt: int
     action: str
@@ -33,14 +33,14 @@
     rank: int = 0
     saves: bool = False
     save_s: float = 0.0
-    evict: bool = False
+    preempt: bool = False
     # A task of a gang: stopping it costs all of them their time.
     gang: bool = False
     # Its job fails wherever it runs: an error says nothing of the machine.
     job_to_blame: bool = False
 
 
-class Sync(msgspec.Struct):
+class DesiredStateUpdate(msgspec.Struct):
     """All that the owner of a partition wants on these machines of one holder, or on all.
 
     It replaces what was said of them before. An owner has one such message under way
@@ -50,31 +50,31 @@
     owner: str
     partition: str = msgspec.field(name="folio")
     version: int
-    inc: int
-    seq: int
-    wants: list[Want]
+    incarnation: int = msgspec.field(name="inc")
+    sequence: int = msgspec.field(name="seq")
+    desired_attempts: list[DesiredAttempt] = msgspec.field(name="wants")
     machines: list[str] | None = None
 
 
-class Status(msgspec.Struct, array_like=True):
+class AttemptStatus(msgspec.Struct, array_like=True):
     """The state of one attempt, as its holder tells its owner."""
 
     machine: str
-    number: int
+    fencing_token: int
     task: str
     attempt: int
     state: str
-    why: str | None = None
+    exit_reason: str | None = None
     saved: bool = False
 
 
-class Statuses(msgspec.Struct):
+class AttemptStatusBatch(msgspec.Struct):
     """States of attempts that an owner should know of."""
 
-    statuses: list[Status]
+    statuses: list[AttemptStatus]
 
 
-class Ask(msgspec.Struct):
+class CapacityRequest(msgspec.Struct):
     """A waiting job's wish for room, with where its other tasks may be."""
 
     spec: dict[str, Any]
@@ -85,39 +85,39 @@
     waited_s: float = 0.0
 
 
-class Asks(msgspec.Struct):
+class CapacityRequestBatch(msgspec.Struct):
     """The room that one member asks the leader for."""
 
     member: str
-    asks: list[Ask]
+    requests: list[CapacityRequest] = msgspec.field(name="asks")
 
 
-class Placed(msgspec.Struct, array_like=True):
+class PlacementOffer(msgspec.Struct, array_like=True):
     """Room for one task of a job; `evict`: once lower work there has stopped."""
 
     job: str
     machine: str
-    evict: bool = False
+    preempt: bool = False
 
 
-class Offers(msgspec.Struct):
+class CapacityOffers(msgspec.Struct):
     """The leader's answer to a request for room."""
 
-    offers: list[Placed]
+    offers: list[PlacementOffer]
 
 
-class View(msgspec.Struct):
+class MachineStatus(msgspec.Struct):
     """One machine in a holder's summary."""
 
     room: Room
-    number: int
+    fencing_token: int = msgspec.field(name="number")
     fresh: bool
-    lost: bool
-    sick: bool
+    is_expired: bool = msgspec.field(name="lost")
+    is_quarantined: bool = msgspec.field(name="sick")
     # Several jobs failed there and none has been done since: to be replaced.
-    bad: bool
-    leaving: bool
-    retiring: bool
+    is_degraded: bool = msgspec.field(name="bad")
+    has_termination_notice: bool = msgspec.field(name="leaving")
+    draining: bool = msgspec.field(name="retiring")
     silent_s: float
     idle_s: float
 
@@ -131,24 +131,24 @@
     zones: dict[str, int] = {}
 
 
-class Summary(msgspec.Struct):
+class MemberHeartbeat(msgspec.Struct):
     """A member's heartbeat to the leader: what changed since one that it has taken in.
 
     `since` is 0 for a full picture; `count` is what the next one builds on.
     """
 
     member: str
-    inc: int
-    views: list[View]
+    incarnation: int = msgspec.field(name="inc")
+    machines: list[MachineStatus] = msgspec.field(name="views")
     since: int = 0
     count: int = 0
-    seen: list[dict[str, Any]] = []
+    unassigned_machines: list[dict[str, Any]] = msgspec.field(name="seen", default_factory=list)
     classes: dict[str, JobClass] = msgspec.field(name="lanes", default_factory=dict)
     # Up to where the leader's cache map is known; at first contact, the map itself.
     caches_known: int = 0
     caches: dict[str, dict[str, float]] = {}
     # Machines whose workers came here, for their holder does not answer them.
-    strays: list[str] = []
+    unserved_machines: list[str] = msgspec.field(name="strays", default_factory=list)
     # More changes than one message holds: the next heartbeat goes on where this one ends.
     partial: bool = False
     # Tasks of its jobs that are bound or waiting, and how late its timers fire.
@@ -156,17 +156,17 @@
     late_s: float = 0.0
 
 
-class Directions(msgspec.Struct):
+class HeartbeatResponse(msgspec.Struct):
     """The leader's answer to a heartbeat."""
 
     leading: bool
     ready: bool = False
     # The heartbeat's changes were taken in; otherwise the next one tells all.
-    taken: bool = False
+    accepted: bool = msgspec.field(name="taken", default=False)
     # CPUs and memory that work with accelerators takes for each of them.
     per_gpu: tuple[float, float] = (0.0, 0.0)
     # Idle machines of this member that are to take nothing more and go back.
-    retire: list[str] = []
+    machines_to_drain: list[str] = msgspec.field(name="retire", default_factory=list)
     # Machines whose cached images changed, for whoever holds them next.
     caches: dict[str, dict[str, float]] = {}
     caches_known: int = 0
@@ -174,13 +174,13 @@
     reserved: list[str] = []
 
 
-class Pulse(msgspec.Struct):
+class HealthProbeResponse(msgspec.Struct):
     """How long ago the state service served this member."""
 
     served_s: float
 
 
-class Relay(msgspec.Struct):
+class ForwardedRequest(msgspec.Struct):
     """A user's request that the sender can't serve while the receiver can."""
 
     method: str
@@ -188,7 +188,7 @@
     data: Any = None
 
 
-class Relayed(msgspec.Struct):
+class ForwardedResponse(msgspec.Struct):
     """The answer to a relayed request."""
 
     status: int
@@ -196,7 +196,7 @@
     headers: list[tuple[str, str]] = []
 
 
-class Withdrawals(msgspec.Struct):
+class CancellationNotice(msgspec.Struct):
     """Jobs whose withdrawal is stored, and the revision by which it was. It is final."""
 
     jobs: dict[str, int]
--- a/src/beamspar/protocol/wire.py
+++ b/src/beamspar/protocol/wire.py
@@ -31,7 +31,7 @@
     """What arrived is malformed; the text says which field."""
 
 
-class Spec(msgspec.Struct):
+class JobSpec(msgspec.Struct):
     """A job as its user submitted it."""
 
     id: str
@@ -97,7 +97,7 @@
 )
 
 
-def parse_spec(data: Any) -> Spec:
+def parse_spec(data: Any) -> JobSpec:
     """Check a submission; InvalidInputError names the field that is wrong."""
     if not isinstance(data, dict):
         raise InvalidInputError("body is not a map")
@@ -105,7 +105,7 @@
         if data.get(name) is None:
             raise InvalidInputError(f"{name} is missing")
     try:
-        spec = msgspec.convert(data, Spec)
+        spec = msgspec.convert(data, JobSpec)
     except msgspec.ValidationError as error:
         raise InvalidInputError(str(error)) from error
     if not JOB_ID.match(spec.id):
@@ -137,41 +137,41 @@
     return spec
 
 
-class TaskReport(msgspec.Struct):
+class TaskStatus(msgspec.Struct):
     """One task in a worker's report."""
 
-    parcel: str
+    task: str = msgspec.field(name="parcel")
     attempt: int = msgspec.field(name="try")
     status: str
-    why: str | None = msgspec.field(name="exit_cause", default=None)
+    exit_reason: str | None = msgspec.field(name="exit_cause", default=None)
     saved: bool | None = None
 
 
-class Report(msgspec.Struct):
+class WorkerHeartbeat(msgspec.Struct):
     """What a worker says of itself; newer by (session, seq)."""
 
     machine: str = msgspec.field(name="rig")
     address: str
     kind: str = msgspec.field(name="rig_kind")
     zone: str = msgspec.field(name="yard")
-    session: int = msgspec.field(name="shift")
+    agent_epoch: int = msgspec.field(name="shift")
     seq: int = msgspec.field(name="tally")
-    token: int = msgspec.field(name="baton")
-    tasks: list[TaskReport] = msgspec.field(name="parcels", default_factory=list)
+    observed_fencing_token: int = msgspec.field(name="baton")
+    tasks: list[TaskStatus] = msgspec.field(name="parcels", default_factory=list)
     spot: bool | None = msgspec.field(name="standby", default=False)
-    notice_s: float | None = msgspec.field(name="recall_s", default=None)
+    termination_notice_s: float | None = msgspec.field(name="recall_s", default=None)
 
 
-_report = msgspec.msgpack.Decoder(Report)
+_report = msgspec.msgpack.Decoder(WorkerHeartbeat)
 
 
-def parse_report(body: bytes) -> Report:
+def parse_report(body: bytes) -> WorkerHeartbeat:
     """A worker's report; raises InvalidInputError."""
     try:
         report = _report.decode(body)
     except (msgspec.ValidationError, msgspec.DecodeError) as error:
         raise InvalidInputError(str(error)) from error
-    if report.session < 1 or report.seq < 0 or report.token < 0:
+    if report.agent_epoch < 1 or report.seq < 0 or report.observed_fencing_token < 0:
         raise InvalidInputError("shift, tally or baton is out of range")
     return report
 
@@ -191,9 +191,9 @@
     return {"verb": "clear", "parcel": task, "try": attempt}
 
 
-def orders(token: int, session: int, commands: list[dict[str, Any]]) -> bytes:
+def orders(token: int, agent_epoch: int, commands: list[dict[str, Any]]) -> bytes:
     """The body of a direct command."""
-    return pack({"baton": token, "shift": session, "orders": commands})
+    return pack({"baton": token, "shift": agent_epoch, "orders": commands})
 
 
 def report_answer(token: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
@@ -226,7 +226,7 @@
     zones: list[str] = msgspec.field(name="yards", default_factory=list)
 
 
-class Rental(msgspec.Struct):
+class Instance(msgspec.Struct):
     """A machine in the cloud's list."""
 
     machine: str = msgspec.field(name="id")
--- a/src/beamspar/quota/allocations.py
+++ b/src/beamspar/quota/allocations.py
@@ -19,7 +19,7 @@
 NOTHING: Amounts = (0.0, 0.0)
 
 
-class Share(NamedTuple):
+class Allocation(NamedTuple):
     """What one partition may use, and what work of it waits for."""
 
     cpus: float = 0.0
@@ -49,16 +49,16 @@
         return [*self.amounts, self.waiting_rank, *self.lacking, *served]
 
 
-def read_share(value: Any) -> Share | None:
+def read_share(value: Any) -> Allocation | None:
     """A stored entry; None when it is not one."""
     if not isinstance(value, list | tuple):
         return None
     if len(value) < SHARE_LENGTH or not all(_is_amount(part) for part in value):
         return None
     if len(value) < LACKING_LENGTH:
-        return Share(float(value[0]), float(value[1]))
+        return Allocation(float(value[0]), float(value[1]))
     served = int(value[5]) if len(value) >= SERVED_LENGTH else None
-    return Share(
+    return Allocation(
         float(value[0]), float(value[1]), int(value[2]), float(value[3]), float(value[4]), served
     )
 
@@ -69,7 +69,7 @@
     return math.isfinite(value) and value >= 0
 
 
-class TeamShares:
+class TeamQuota:
     """A team's record, read at one version; it is not changed after that."""
 
     def __init__(self, value: Any, version: int) -> None:
@@ -77,7 +77,7 @@
         # What the record holds, entries that can't be read included.
         self.raw: dict[str, Any] = dict(value) if isinstance(value, dict) else {}
         self.readable = isinstance(value, dict)
-        self.entries: dict[str, Share] = {}
+        self.entries: dict[str, Allocation] = {}
         self.unreadable: set[str] = set()
         for partition, entry in self.raw.items():
             share = read_share(entry)
@@ -90,9 +90,9 @@
             sum(share.gpus for share in self.entries.values()),
         )
 
-    def of(self, partition: str) -> Share:
+    def of(self, partition: str) -> Allocation:
         """The partition's share; nothing when it has none."""
-        return self.entries.get(partition, Share())
+        return self.entries.get(partition, Allocation())
 
     def room(self, partition: str, team: Team) -> Amounts:
         """What the other partitions leave of the limit; infinite where there is none."""
@@ -111,7 +111,7 @@
             limit and total > limit + EPS for limit, total in zip(limits, self.total, strict=True)
         )
 
-    def waiting_elsewhere(self, partition: str) -> list[tuple[str, Share]]:
+    def waiting_elsewhere(self, partition: str) -> list[tuple[str, Allocation]]:
         """Other partitions whose work waits for a share."""
         return [
             (name, share)
@@ -119,9 +119,9 @@
             if share.waiting_rank and name != partition
         ]
 
-    def with_share(self, partition: str, share: Share | None) -> TeamShares:
+    def with_share(self, partition: str, share: Allocation | None) -> TeamQuota:
         """The record with another entry for the partition, or with none."""
         raw = {name: entry for name, entry in self.raw.items() if name != partition}
         if share is not None:
             raw[partition] = share.stored()
-        return TeamShares(raw, self.version)
+        return TeamQuota(raw, self.version)
--- a/src/beamspar/quota/fair_share.py
+++ b/src/beamspar/quota/fair_share.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from beamspar.quota.allocations import EPS, NOTHING, Amounts, Share, TeamShares
+from beamspar.quota.allocations import EPS, NOTHING, Allocation, Amounts, TeamQuota
 from beamspar.settings import Team
 
 # Digits after the point in stored amounts, and in what the highest rank lacks.
@@ -15,7 +15,7 @@
 SLACK = 0.5
 
 
-class ShareRequest(NamedTuple):
+class AllocationRequest(NamedTuple):
     """Tasks of one job that wait for a share. Requests sort by who is served first."""
 
     rank: int
@@ -30,7 +30,7 @@
     whole: bool
 
 
-class Grant(NamedTuple):
+class AllocationDecision(NamedTuple):
     """What a partition is to have for its use and its requests."""
 
     need: Amounts
@@ -44,11 +44,11 @@
 def desired_share(
     team: Team,
     partition: str,
-    shares: TeamShares,
+    shares: TeamQuota,
     used: Amounts,
-    requests: list[ShareRequest],
+    requests: list[AllocationRequest],
     nodes: int,
-) -> Share | None:
+) -> Allocation | None:
     """The partition's entry in the team's record; None for no entry.
 
     Nothing is given back while nobody asks for it, and all that lies unused as soon as somebody
@@ -64,17 +64,17 @@
         for wanted, have, left, old in zip(need, used, room, entry, strict=True)
     )
     if grant.met:
-        return Share(cpus, gpus) if cpus or gpus else None
+        return Allocation(cpus, gpus) if cpus or gpus else None
     # Arrays start and end tasks all the time: a write for each would be too many.
     highest = grant.waiting_rank == 1
     lacking_cpus, lacking_gpus = (
         round(amount, LACKING_DIGITS) if highest else _next_power_of_two(amount)
         for amount in grant.lacking
     )
-    return Share(cpus, gpus, grant.waiting_rank, lacking_cpus, lacking_gpus, grant.served)
+    return Allocation(cpus, gpus, grant.waiting_rank, lacking_cpus, lacking_gpus, grant.served)
 
 
-def waits_before(partition: str, share: Share, other: tuple[int, int, str]) -> bool:
+def waits_before(partition: str, share: Allocation, other: tuple[int, int, str]) -> bool:
     """Has the partition's waiting work waited longer than other work of its rank, or of a lower?
 
     The other work is given by its rank (from 0), when it was served, and its partition. The
@@ -87,11 +87,11 @@
 
 def _grant(
     partition: str,
-    shares: TeamShares,
+    shares: TeamQuota,
     used: Amounts,
-    requests: Iterable[ShareRequest],
+    requests: Iterable[AllocationRequest],
     room: Amounts,
-) -> Grant:
+) -> AllocationDecision:
     """The use and as much of the requests as there is room for.
 
     A request that can't be met whole gets whole tasks: a part of a task is of no use here, and
@@ -114,10 +114,10 @@
         if first == request.rank + 1:
             left = request.tasks - fit
             lacking = (lacking[0] + left * request.cpus, lacking[1] + left * request.gpus)
-    return Grant(need, met, first, lacking, served)
+    return AllocationDecision(need, met, first, lacking, served)
 
 
-def _after_others(request: ShareRequest, partition: str, shares: TeamShares) -> bool:
+def _after_others(request: AllocationRequest, partition: str, shares: TeamQuota) -> bool:
     """Does another partition's work come before this request?"""
     order = (request.rank, request.served, partition)
     return any(
@@ -126,7 +126,7 @@
     )
 
 
-def _tasks_that_fit(request: ShareRequest, need: Amounts, room: Amounts) -> int:
+def _tasks_that_fit(request: AllocationRequest, need: Amounts, room: Amounts) -> int:
     fit = request.tasks
     for size, left, taken in zip((request.cpus, request.gpus), room, need, strict=True):
         if size > 0 and left < math.inf:
--- a/src/beamspar/quota/quota_manager.py
+++ b/src/beamspar/quota/quota_manager.py
@@ -13,10 +13,10 @@
 
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import Session
+from beamspar.cluster.registration import Registration
 from beamspar.jobs.job import Job
-from beamspar.quota.allocations import EPS, NOTHING, Amounts, Share, TeamShares
-from beamspar.quota.fair_share import ShareRequest, desired_share, waits_before
+from beamspar.quota.allocations import EPS, NOTHING, Allocation, Amounts, TeamQuota
+from beamspar.quota.fair_share import AllocationRequest, desired_share, waits_before
 from beamspar.settings import Settings
 from beamspar.state.client import (
     PLACE,
@@ -38,7 +38,7 @@
 Key = tuple[str, str]
 
 
-class Doubt(NamedTuple):
+class IndeterminateWrite(NamedTuple):
     """A share that a write without an answer may have left us, on top of this version."""
 
     version: int
@@ -46,44 +46,44 @@
     gpus: float
 
 
-class Budget:
+class QuotaManager:
     """Owns what the tasks of our partitions use, and writes the partitions' shares."""
 
-    def __init__(self, session: Session, state: StateClient, settings: Settings) -> None:
-        self.session = session
+    def __init__(self, registration: Registration, state: StateClient, settings: Settings) -> None:
+        self.registration = registration
         self.state = state
-        self.nodes = max(settings.facts.nodes, 1)
+        self.nodes = max(settings.platform.nodes, 1)
         # Conditions of one transaction, less those on our fence and on the record.
-        self.most_conditions = settings.facts.state.smallest.txn_ops * 4 - 2
-        self.teams = {t.name: t for t in settings.facts.teams if t.cpus_max or t.gpus_max}
+        self.most_conditions = settings.platform.state.smallest.txn_ops * 4 - 2
+        self.teams = {t.name: t for t in settings.platform.teams if t.cpus_max or t.gpus_max}
         self.used: dict[Key, Amounts] = {}
         # Tasks of each job that are in `used`.
         self.counted: dict[Job, int] = {}
-        self.requests: dict[Key, dict[str, ShareRequest]] = {}
+        self.requests: dict[Key, dict[str, AllocationRequest]] = {}
         # The highest rank (from 0) among the requests, where it is known.
         self.highest: dict[Key, int] = {}
         # The lowest of these holds until the record has moved on: then each write that was
         # made on top of an older version is in the mirror or can't be applied any more.
-        self.doubts: dict[Key, list[Doubt]] = {}
+        self.doubts: dict[Key, list[IndeterminateWrite]] = {}
         self.writing: set[str] = set()
         self.scheduled: set[str] = set()
         # What was said last of a record that is wrong, and of use above a share.
         self.complaints: dict[Key, str] = {}
-        self.shares_read: dict[str, TeamShares] = {}
+        self.shares_read: dict[str, TeamQuota] = {}
         # Teams whose record as it was read last lets nothing more start.
         self.stopped: set[str] = set()
         self.loaded: Callable[[], set[str]] = set
         self.on_share: Callable[[], None] = lambda: None
-        session.listeners.append(self._changed)
+        registration.listeners.append(self._changed)
 
     # -- what is stored
 
-    def shares(self, team: str) -> TeamShares:
+    def shares(self, team: str) -> TeamQuota:
         """The team's record as the mirror has it."""
-        value, version = self.session.values.get(TEAM + team, ({}, 0))
+        value, version = self.registration.values.get(TEAM + team, ({}, 0))
         known = self.shares_read.get(team)
         if known is None or known.version != version:
-            known = self.shares_read[team] = TeamShares(value, version)
+            known = self.shares_read[team] = TeamQuota(value, version)
             (self.stopped.add if self._wrong(known, team) else self.stopped.discard)(team)
         return known
 
@@ -91,7 +91,7 @@
         """What the partition may use for certain, whatever became of writes in doubt."""
         return self._certain((partition, team), self.shares(team))
 
-    def _certain(self, key: Key, shares: TeamShares) -> Amounts:
+    def _certain(self, key: Key, shares: TeamQuota) -> Amounts:
         cpus, gpus = shares.of(key[0]).amounts
         for doubt in self.doubts.get(key, ()):
             if doubt.version == shares.version:
@@ -102,7 +102,7 @@
         """Is the partition in no team's record, so that it may be forgotten?"""
         return not any(partition in self.shares(name).raw for name in self.teams)
 
-    def _wrong(self, shares: TeamShares, name: str) -> bool:
+    def _wrong(self, shares: TeamQuota, name: str) -> bool:
         """Is the team's record such that nothing more of the team may start?"""
         unreadable = not shares.readable or bool(shares.unreadable)
         return unreadable or shares.exceeds(self.teams[name])
@@ -115,7 +115,7 @@
     def _inspect(self, name: str) -> None:
         """Say what is wrong with the team's record."""
         shares, team = self.shares(name), self.teams[name]
-        unknown = sorted(shares.entries.keys() - self.session.partitions.keys())
+        unknown = sorted(shares.entries.keys() - self.registration.partitions.keys())
         what = ""
         if unknown or self._wrong(shares, name):
             # An unknown partition's share counts: its tasks can't be proven gone.
@@ -139,7 +139,7 @@
         """Take in what the job's tasks use now; returns how many more count than before."""
         if job.spec.team not in self.teams:
             return 0
-        tasks = job.limit_use.tasks
+        tasks = job.quota_usage.tasks
         more = tasks - self.counted.get(job, 0)
         if more:
             self.counted[job] = tasks
@@ -221,7 +221,7 @@
             # It has what it needs, and only waits its turn.
             return
         spec, key = job.spec, (job.partition, job.spec.team)
-        heartbeat, now = self.session.timing.heartbeat, self.session.clock.seconds()
+        heartbeat, now = self.registration.timeouts.heartbeat, self.registration.clock.seconds()
         until = now + heartbeat * REQUEST_HEARTBEATS
         requests = self.requests.setdefault(key, {})
         known = requests.get(job.id)
@@ -230,7 +230,7 @@
             self._schedule(spec.team)
             return
         tasks = max(tasks, known.tasks) if known else tasks
-        requests[job.id] = ShareRequest(
+        requests[job.id] = AllocationRequest(
             spec.rank, job.served, spec.cpus, spec.gpus, tasks, until, whole
         )
         self.highest[key] = min(spec.rank, self._highest(key))
@@ -244,14 +244,14 @@
             known = self.highest[key] = min(ranks, default=LOWEST)
         return known
 
-    def take(self, job: Job, indexes: Sequence[int]) -> bool:
+    def reserve(self, job: Job, indexes: Sequence[int]) -> bool:
         """May all of these tasks be bound now? Then the job's request is less by so many."""
         if not self.covers(job, indexes, whole=True):
             return False
-        now = self.session.clock.seconds()
-        if now - job.served_at >= self.session.timing.report:
+        now = self.registration.clock.seconds()
+        if now - job.served_at >= self.registration.timeouts.report:
             # Not for each task: every step is told in the team's record.
-            job.served, job.served_at = self.session.revision, now
+            job.served, job.served_at = self.registration.revision, now
         requests = self.requests.get((job.partition, job.spec.team), {})
         if job.id in requests:
             request = requests.pop(job.id)
@@ -278,7 +278,7 @@
             for other in requests
         )
 
-    def _others_first(self, shares: TeamShares, job: Job) -> bool:
+    def _others_first(self, shares: TeamQuota, job: Job) -> bool:
         """Does some partition say that it can't start higher work, or work of the same rank
         that has waited longer? What ends here is for that then. Our own may say the latter."""
         order = (job.spec.rank, job.served, job.partition)
@@ -289,7 +289,7 @@
             waits_before(partition, share, order) for partition, share in shares.entries.items()
         )
 
-    def yields(self, name: str, rank: int) -> Amounts:
+    def amount_to_preempt(self, name: str, rank: int) -> Amounts:
         """What work of this rank should give up now, for higher work that the team's limit
         keeps waiting, here or elsewhere. Each owner gives its part, round by round."""
         team = self.teams.get(name)
@@ -325,7 +325,7 @@
         all of them, and after a restart hundreds of jobs request at once."""
         if name not in self.scheduled:
             self.scheduled.add(name)
-            self.session.clock.callLater(0, self._check, name)
+            self.registration.clock.callLater(0, self._check, name)
 
     def _check(self, name: str) -> None:
         self.scheduled.discard(name)
@@ -334,7 +334,7 @@
 
     def tick(self) -> None:
         """Ask again for what is short, and give back what others wait for."""
-        now = self.session.clock.seconds()
+        now = self.registration.clock.seconds()
         for key, requests in list(self.requests.items()):
             for job in [j for j, request in requests.items() if request.until < now]:
                 del requests[job]
@@ -359,7 +359,7 @@
         requesting = (partition for partition, team in self.requests if team == name)
         return sorted(p for p in {*self.shares(name).raw, *requesting} if self._ours(p))
 
-    def _differs(self, name: str, partition: str, shares: TeamShares) -> bool:
+    def _differs(self, name: str, partition: str, shares: TeamQuota) -> bool:
         share = self._desired(name, partition, shares)
         if partition in shares.unreadable:
             return True
@@ -376,21 +376,21 @@
         under tasks that still run. And an older mirror may show a share that the former owner
         has given back since: what we wrote ourselves is known before the watch tells the rest.
         """
-        record = self.session.partitions.get(partition)
-        if record is None or record.owner != self.session.me:
+        record = self.registration.partitions.get(partition)
+        if record is None or record.owner != self.registration.me:
             return False
-        return record.since <= self.session.revision and partition in self.loaded()
+        return record.since <= self.registration.revision and partition in self.loaded()
 
-    def _writable(self, shares: TeamShares) -> bool:
+    def _writable(self, shares: TeamQuota) -> bool:
         """Is it known what all others have? Each owner mends its own entries."""
         return shares.readable and all(self._ours(name) for name in shares.unreadable)
 
-    def _desired(self, name: str, partition: str, shares: TeamShares) -> Share | None:
+    def _desired(self, name: str, partition: str, shares: TeamQuota) -> Allocation | None:
         """What our partition's entry should be; None for no entry."""
         key = (partition, name)
         used = self.used.get(key, NOTHING)
         requests = list(self.requests.get(key, {}).values())
-        if partition != self.session.partition and not requests and max(used) <= EPS:
+        if partition != self.registration.partition and not requests and max(used) <= EPS:
             # A former self's partition takes no new jobs: when nothing of it uses anything
             # its entry goes, or one more would stay with every restart.
             return None
@@ -399,7 +399,7 @@
     # -- writing
 
     def _start_write(self, name: str) -> None:
-        if name not in self.writing and self.session.valid():
+        if name not in self.writing and self.registration.lease_is_valid():
             self.writing.add(name)
             spawn(self._write(name), f"budget {name}")
 
@@ -410,16 +410,16 @@
         # Each is a condition: those that change go first, the others wait for the next write.
         partitions.sort(key=lambda p: (not self._differs(name, p, before), p))
         del partitions[self.most_conditions :]
-        conditions = {**self.session.fence(), TEAM + name: before.version}
+        conditions = {**self.registration.fence(), TEAM + name: before.version}
         moved = self._in_doubt(name)
-        made: list[tuple[Key, Doubt]] = []
+        made: list[tuple[Key, IndeterminateWrite]] = []
         for partition in sorted(partitions):
             share = self._desired(name, partition, shares)
-            conditions.update(self.session.partition_fence(partition))
+            conditions.update(self.registration.partition_fence(partition))
             shares = shares.with_share(partition, share)
             # Until the write is known, the lower of both shares holds, and of all before
             # that are not known yet.
-            doubt = Doubt(before.version, *(share or Share()).amounts)
+            doubt = IndeterminateWrite(before.version, *(share or Allocation()).amounts)
             made.append(((partition, name), doubt))
             self.doubts.setdefault((partition, name), []).append(doubt)
         changed = moved or shares.raw != before.raw
@@ -439,11 +439,11 @@
             self.on_share()
 
     async def _store(self, name: str, conditions: dict[str, int], record: dict[str, Any]) -> None:
-        revision = await self.state.multi(conditions, [put(TEAM + name, record)], PLACE)
-        self.session.learn(TEAM + name, record, revision)
+        revision = await self.state.transact(conditions, [put(TEAM + name, record)], PLACE)
+        self.registration.observe(TEAM + name, record, revision)
         log.info("team {team}: shares {value}", team=name, value=record)
 
-    def _resolve(self, made: list[tuple[Key, Doubt]]) -> None:
+    def _resolve(self, made: list[tuple[Key, IndeterminateWrite]]) -> None:
         """What became of these writes is known."""
         for key, doubt in made:
             if doubt in self.doubts.get(key, ()):
--- a/src/beamspar/quota/quota_preemption.py
+++ b/src/beamspar/quota/quota_preemption.py
@@ -14,7 +14,7 @@
 from beamspar.state.job_records import LIVE
 
 
-class Unit(NamedTuple):
+class PreemptionUnit(NamedTuple):
     """Tasks of a job that are stopped together, and what that frees."""
 
     # The lowest goes first.
@@ -30,7 +30,7 @@
     jobs: Iterable[Job],
     spot: Collection[str],
     lacking: Callable[[int], tuple[float, float]],
-) -> list[Unit]:
+) -> list[PreemptionUnit]:
     """The units to stop: as many as free what is lacking for work above their rank.
 
     The lowest rank goes first, then what is on ordinary machines, where higher work can take
@@ -40,7 +40,7 @@
         unit for job in jobs if job.status == LIVE and job.spec.rank for unit in units_of(job, spot)
     ]
     wanted = {rank: lacking(rank) for rank in {unit.rank for unit in units}}
-    chosen: list[Unit] = []
+    chosen: list[PreemptionUnit] = []
     cpus = gpus = 0.0
     for unit in sorted(units, key=lambda unit: unit.order):
         cpus_wanted, gpus_wanted = wanted[unit.rank]
@@ -53,7 +53,7 @@
 
 def choose_unstarted(
     jobs: Iterable[Job], spot: Collection[str], excess: tuple[float, float]
-) -> list[Unit]:
+) -> list[PreemptionUnit]:
     """Units of which nothing was ever seen on a machine, as many as free the excess."""
     units = [
         unit
@@ -62,7 +62,7 @@
         for unit in units_of(job, spot)
         if not any(task.state for _, task in unit.tasks)
     ]
-    chosen: list[Unit] = []
+    chosen: list[PreemptionUnit] = []
     cpus = gpus = 0.0
     for unit in sorted(units, key=lambda unit: unit.order):
         if cpus + EPS >= excess[0] and gpus + EPS >= excess[1]:
@@ -72,7 +72,7 @@
     return chosen
 
 
-def units_of(job: Job, spot: Collection[str]) -> list[Unit]:
+def units_of(job: Job, spot: Collection[str]) -> list[PreemptionUnit]:
     """What may be stopped of a job at a time: a task, or a gang as a whole."""
     tasks = [
         (index, task)
@@ -83,7 +83,7 @@
     return [_unit(job, group, spot) for group in groups]
 
 
-def _unit(job: Job, tasks: list[tuple[int, Task]], spot: Collection[str]) -> Unit:
+def _unit(job: Job, tasks: list[tuple[int, Task]], spot: Collection[str]) -> PreemptionUnit:
     spec = job.spec
     order = (
         -spec.rank,
@@ -93,4 +93,6 @@
         job.id,
         tasks[0][0],
     )
-    return Unit(order, spec.rank, spec.cpus * len(tasks), spec.gpus * len(tasks), job, tasks)
+    return PreemptionUnit(
+        order, spec.rank, spec.cpus * len(tasks), spec.gpus * len(tasks), job, tasks
+    )
--- a/src/beamspar/quota/quota_usage.py
+++ b/src/beamspar/quota/quota_usage.py
@@ -13,7 +13,7 @@
 from collections.abc import Collection, Iterable
 
 
-class LimitUse:
+class QuotaUsage:
     """Counts the bound tasks of one job, in memory and in what may be stored."""
 
     def __init__(self) -> None:
--- a/src/beamspar/settings.py
+++ b/src/beamspar/settings.py
@@ -11,7 +11,7 @@
     """The settings can't be used; the text is one clear line for the operator."""
 
 
-class Sibling(msgspec.Struct, frozen=True):
+class PeerSettings(msgspec.Struct, frozen=True):
     """Another controller."""
 
     member: str
@@ -45,7 +45,7 @@
     share: float = 0.0
 
 
-class WorkerFacts(msgspec.Struct, frozen=True):
+class WorkerSettings(msgspec.Struct, frozen=True):
     """Intervals and leases of workers."""
 
     report_s: float
@@ -66,7 +66,7 @@
     txn_ops: int | None = None
 
 
-class StateFacts(msgspec.Struct, frozen=True):
+class StateServiceLimits(msgspec.Struct, frozen=True):
     """Limits of the state service."""
 
     rps: float
@@ -76,12 +76,12 @@
     next: NextLimits = NextLimits()
 
     @property
-    def smallest(self) -> StateFacts:
+    def smallest(self) -> StateServiceLimits:
         """The smaller of the present and the announced limits.
 
         Nothing larger is ever written: the change comes without notice.
         """
-        return StateFacts(
+        return StateServiceLimits(
             min(self.rps, self.next.rps or self.rps),
             min(self.write_rps, self.next.write_rps or self.write_rps),
             min(self.value_kb, self.next.value_kb or self.value_kb),
@@ -89,7 +89,7 @@
         )
 
 
-class CloudFacts(msgspec.Struct, frozen=True):
+class CloudLimits(msgspec.Struct, frozen=True):
     """Limits of the cloud's interface."""
 
     rps: float
@@ -104,12 +104,12 @@
     sockets: int = 1000
 
 
-class Facts(msgspec.Struct, frozen=True):
+class PlatformSettings(msgspec.Struct, frozen=True):
     """What holds for the whole deployment."""
 
-    workers: WorkerFacts
-    state: StateFacts
-    cloud: CloudFacts
+    workers: WorkerSettings
+    state: StateServiceLimits
+    cloud: CloudLimits
     nodes: int = 1
     zones: list[str] = []
     skew_ms: float = 0.0
@@ -125,19 +125,19 @@
         return min(found, default=0.0)
 
 
-class Settings(msgspec.Struct, frozen=True):
+class Settings(msgspec.Struct, frozen=True, rename={"platform": "facts", "peers": "siblings"}):
     """The settings file of one controller."""
 
     member: str
     public_addr: str
     peer_bind: str
     services: Services
-    facts: Facts
+    platform: PlatformSettings
     site: str = ""
-    siblings: list[Sibling] = []
+    peers: list[PeerSettings] = []
 
 
-class Tuning(msgspec.Struct, frozen=True):
+class OperatorSettings(msgspec.Struct, frozen=True):
     """What operators may set by flag or variable; ratios to the platform's figures."""
 
     # 0: from the fleet's size and the state service's limits.
@@ -154,56 +154,56 @@
 DRIFT = 0.0005
 
 
-class Timing:
+class Timeouts:
     """Every duration of the service, as a ratio to a figure of the settings."""
 
-    def __init__(self, settings: Settings, tuning: Tuning) -> None:
-        w = settings.facts.workers
+    def __init__(self, settings: Settings, operator_settings: OperatorSettings) -> None:
+        w = settings.platform.workers
         self.report = w.report_s
         self.worker_lease = w.lease_s
         # A controller that is cut off learns of no withdrawal. It may answer its
         # workers until its lease ends and they may run on for theirs, so both
         # together must fit into the time that a cancellation has.
-        room = (w.cancel_s - w.lease_s) * tuning.lease_share
-        self.grant = max(room * 0.97, 1.0)
-        self.validity = self.grant * (1 - 4 * DRIFT) - room * 0.03
+        room = (w.cancel_s - w.lease_s) * operator_settings.lease_share
+        self.registration_lease = max(room * 0.97, 1.0)
+        self.validity = self.registration_lease * (1 - 4 * DRIFT) - room * 0.03
         # A task on a silent worker is certainly gone this long after the last answer.
         self.worker_gone = w.lease_s * (1 + 4 * DRIFT) + w.report_s * 0.1
-        self.renew = self.grant / 10
+        self.lease_renewal = self.registration_lease / 10
         # The lead is no lease of machines: withdrawals don't bound it, and the sooner it
         # passes on the better. A leader's writes fail once it has passed.
-        self.lead = w.lease_s * 0.4
+        self.leader_lease = w.lease_s * 0.4
         # Workers of an earlier release do not say how long the tasks of a gang wait.
         self.gang_wait = w.gang_wait_s or w.lease_s * 2
         self.gang_peer = w.gang_peer_s or w.report_s
-        self.hold = w.report_s * 0.67
+        self.watch_hold = w.report_s * 0.67
         # How old the mirror may be to begin something by it: a watch and its answer.
-        self.current = w.report_s * 1.67
+        self.mirror_freshness = w.report_s * 1.67
         self.heartbeat = w.report_s / 6
         # How long polls are gathered for one comparison with the state service: a call for
         # every other poll took more of processor and rate than all else.
-        self.gather = self.heartbeat / 4
+        self.poll_batching = self.heartbeat / 4
         # How long a task that no owner speaks for may stay so; and how often an owner
         # repeats all that it wants, though nothing seems to have been lost.
         self.unknown_task = w.report_s * 1.5
-        self.repair = w.lease_s
+        self.resync = w.lease_s
         # How long what is bound beyond its team's share may stay so without being seen to run.
         self.unstarted = w.lease_s * 2
         self.retry = w.report_s / 6
-        self.call = w.report_s / 2
-        self.order = w.report_s * 0.67
+        self.request = w.report_s / 2
+        self.command = w.report_s * 0.67
         # How long a connection without a request stays open: a few reports' time.
         self.keep_open = w.report_s * 5
         # How long a gang waits before machines are kept for it.
-        self.starved = self.gang_wait * 1.5
+        self.gang_starvation = self.gang_wait * 1.5
         self.silent = w.report_s * 2.5
         # A worker that nobody answers comes round to each controller within this time. Its
         # holder counts as out of reach after the other: early enough for another to answer
         # within the worker's lease, though the worker may be waiting for an answer first.
-        self.stray = w.report_s * 3
+        self.unserved_machine = w.report_s * 3
         self.out_of_reach = w.lease_s * 0.4
         # How long a class's largest job is a measure for the room to keep.
-        self.remember = w.lease_s * 12
+        self.largest_job_memory = w.lease_s * 12
         # How long a machine is idle before it may go back.
         self.idle = w.lease_s * 2
 
@@ -231,9 +231,9 @@
     _address(settings.peer_bind, "peer_bind")
     _address(settings.services.cloud, "services.cloud")
     _address(settings.services.state, "services.state")
-    for sibling in settings.siblings:
+    for sibling in settings.peers:
         _address(sibling.peer_addr, f"siblings {sibling.member} peer_addr")
-    facts = settings.facts
+    facts = settings.platform
     if facts.workers.report_s <= 0 or facts.workers.lease_s <= 0:
         raise SettingsError("settings: facts.workers durations must be above 0")
     if facts.workers.cancel_s <= facts.workers.lease_s:
--- a/src/beamspar/sharing/command.py
+++ b/src/beamspar/sharing/command.py
@@ -44,14 +44,14 @@
     if share is None:
         return f"{standing}{lead}"
     return (
-        f"{standing}{lead}, {share.machines} machines in {share.blocks} blocks "
+        f"{standing}{lead}, {share.machines} machines in {share.shards} blocks "
         f"(share {share.target:g}), demand {share.demand:g}, timers {share.late_s:g} s late"
     )
 
 
 def describe_move(move: MoveShown) -> str:
     """One line for people on one move."""
-    return f"{move.stage}: {move.block} from {move.source} to {move.target} ({move.reason})"
+    return f"{move.stage}: {move.shard} from {move.source} to {move.target} ({move.reason})"
 
 
 @main.command()
@@ -109,10 +109,10 @@
 @click.argument("block")
 @click.option("--to", required=True, help="The controller that shall hold the block.")
 @click.pass_obj
-def move(settings: Settings, block: str, to: str) -> None:
+def move(settings: Settings, shard: str, to: str) -> None:
     """Move a block to another controller; `shares` tells what becomes of it."""
     leader = leading(ask_shares(settings))
     if leader is None:
         click.echo("nobody decides", err=True)
         sys.exit(NOT_DONE)
-    carry_out(settings, leader.member, "move", {"block": block, "to": to})
+    carry_out(settings, leader.member, "move", {"block": shard, "to": to})
--- a/src/beamspar/sharing/handover.py
+++ b/src/beamspar/sharing/handover.py
@@ -12,10 +12,10 @@
 
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import BLOCK, Block, Session, block_record
-from beamspar.leader.shard_leasing import Leasing
+from beamspar.cluster.registration import BLOCK, MachineShard, Registration, shard_record
+from beamspar.leader.shard_leasing import ShardLeasing
 from beamspar.protocol.peer_messages import decode
-from beamspar.settings import Timing
+from beamspar.settings import Timeouts
 from beamspar.sharing.messages import MoveShown, PrepareReply, PrepareRequest
 from beamspar.sharing.planner import Move
 from beamspar.transport.http import CallFailedError, Clock, spawn
@@ -36,16 +36,16 @@
     def __init__(
         self,
         clock: Clock,
-        session: Session,
-        leasing: Leasing,
-        timing: Timing,
+        registration: Registration,
+        shard_leasing: ShardLeasing,
+        timeouts: Timeouts,
         prepare: Prepare,
         is_fixed: Callable[[str], bool],
     ) -> None:
         self.clock = clock
-        self.session = session
-        self.leasing = leasing
-        self.timing = timing
+        self.registration = registration
+        self.shard_leasing = shard_leasing
+        self.timeouts = timeouts
         self.prepare = prepare
         # Is the return of one of the block's machines under way?
         self.is_fixed = is_fixed
@@ -53,15 +53,15 @@
         self.under_way: dict[str, MoveShown] = {}
         self.made: deque[MoveShown] = deque(maxlen=MOST_SHOWN)
 
-    def rests(self, block: str) -> bool:
+    def rests(self, shard: str) -> bool:
         """Did the block move a short while ago?"""
-        moved_at = self.moved_at.get(block)
-        dwell_s = self.timing.worker_lease * DWELL_LEASES
+        moved_at = self.moved_at.get(shard)
+        dwell_s = self.timeouts.worker_lease * DWELL_LEASES
         return moved_at is not None and self.clock.seconds() - moved_at < dwell_s
 
     def forget_dropped(self) -> None:
         """Blocks that are gone need no rest."""
-        for name in [name for name in self.moved_at if name not in self.session.blocks]:
+        for name in [name for name in self.moved_at if name not in self.registration.shards]:
             del self.moved_at[name]
 
     async def carry_out(self, moves: list[Move]) -> None:
@@ -69,39 +69,41 @@
 
         Raises what `BlockWriter.write` raises: a move whose write failed is planned anew.
         """
-        before = {move.block: self.session.blocks.get(move.block) for move in moves}
-        moves = [move for move in moves if self._still_due(move, before[move.block])]
-        self.under_way = {move.block: _shown(move, "preparing") for move in moves}
+        before = {move.shard: self.registration.shards.get(move.shard) for move in moves}
+        moves = [move for move in moves if self._still_due(move, before[move.shard])]
+        self.under_way = {move.shard: _shown(move, "preparing") for move in moves}
         try:
             ready = await self._prepare_all(moves, before)
             chosen = [
                 move
                 for move in moves
-                if (move.forced or move.block in ready)
-                and self._still_due(move, before[move.block])
-                and _number(self.session.blocks.get(move.block)) == _number(before[move.block])
+                if (move.forced or move.shard in ready)
+                and self._still_due(move, before[move.shard])
+                and _number(self.registration.shards.get(move.shard)) == _number(before[move.shard])
             ]
             await self._commit(chosen)
         finally:
             self.under_way = {}
 
-    def _still_due(self, move: Move, block: Block | None) -> bool:
+    def _still_due(self, move: Move, shard: MachineShard | None) -> bool:
         """Is the block still its source's, and the target there to take it?"""
-        now = self.session.blocks.get(move.block)
+        now = self.registration.shards.get(move.shard)
         return (
-            block is not None
+            shard is not None
             and now is not None
             and now.holder == move.source
             and move.target != move.source
-            and not self.is_fixed(move.block)
-            and move.target in self.leasing.heard()
+            and not self.is_fixed(move.shard)
+            and move.target in self.shard_leasing.heard()
         )
 
-    async def _prepare_all(self, moves: list[Move], blocks: dict[str, Block | None]) -> set[str]:
+    async def _prepare_all(
+        self, moves: list[Move], shards: dict[str, MachineShard | None]
+    ) -> set[str]:
         """Ask all sources at once; the blocks that are ready when all answered or time is up."""
         numbers: dict[str, dict[str, int]] = {}
         for move in moves:
-            numbers.setdefault(move.source, {})[move.block] = _number(blocks[move.block])
+            numbers.setdefault(move.source, {})[move.shard] = _number(shards[move.shard])
         ready: set[str] = set()
         asked = [
             spawn(self._prepare(source, wanted, ready), f"preparing {source}")
@@ -111,11 +113,11 @@
             await waiting
         return ready
 
-    async def _prepare(self, source: str, blocks: dict[str, int], ready: set[str]) -> None:
+    async def _prepare(self, source: str, shards: dict[str, int], ready: set[str]) -> None:
         # Twice the time that the call may take: a source goes on by itself when it is over.
-        for_s = self.timing.heartbeat * 2
+        for_s = self.timeouts.heartbeat * 2
         try:
-            reply = await self.prepare(source, PrepareRequest(self.session.me, blocks, for_s))
+            reply = await self.prepare(source, PrepareRequest(self.registration.me, shards, for_s))
         except (CallFailedError, ValueError) as error:
             log.info("{source} does not prepare: {error}", source=source, error=error)
         else:
@@ -126,25 +128,25 @@
         changes: list[tuple[str, Any]] = []
         terms: dict[str, int] = {}
         for move in moves:
-            block = self.session.blocks[move.block]
-            record = block_record(move.target, block.machines, live=True)
-            changes.append((BLOCK + move.block, record))
+            shard = self.registration.shards[move.shard]
+            record = shard_record(move.target, shard.machines, live=True)
+            changes.append((BLOCK + move.shard, record))
             # A target that ended meanwhile would leave the block without anybody for its grant.
             key = f"c/member/{move.target}"
-            terms[key] = self.session.values.get(key, (None, 0))[1]
-            self.under_way[move.block] = _shown(move, "committing")
+            terms[key] = self.registration.values.get(key, (None, 0))[1]
+            self.under_way[move.shard] = _shown(move, "committing")
         if not changes:
             return
-        await self.leasing.blocks.write(changes, terms)
+        await self.shard_leasing.shards.write(changes, terms)
         for move in moves:
             log.info(
-                "moved {block} from {source} to {target} ({reason})",
-                block=move.block,
+                "moved {shard} from {source} to {target} ({reason})",
+                shard=move.shard,
                 source=move.source,
                 target=move.target,
                 reason=move.reason,
             )
-            self.moved_at[move.block] = self.clock.seconds()
+            self.moved_at[move.shard] = self.clock.seconds()
             self.made.append(_shown(move, "moved"))
 
     def shown(self, wanted: Iterable[Move]) -> list[MoveShown]:
@@ -152,7 +154,7 @@
         return [
             *self.made,
             *self.under_way.values(),
-            *(_shown(move, "wanted") for move in wanted if move.block not in self.under_way),
+            *(_shown(move, "wanted") for move in wanted if move.shard not in self.under_way),
         ]
 
 
@@ -167,9 +169,9 @@
     return reply
 
 
-def _number(block: Block | None) -> int:
-    return block.number if block is not None else 0
+def _number(shard: MachineShard | None) -> int:
+    return shard.fencing_token if shard is not None else 0
 
 
 def _shown(move: Move, stage: str) -> MoveShown:
-    return MoveShown(move.block, move.source, move.target, move.reason, stage)
+    return MoveShown(move.shard, move.source, move.target, move.reason, stage)
--- a/src/beamspar/sharing/leave.py
+++ b/src/beamspar/sharing/leave.py
@@ -12,9 +12,9 @@
 import msgspec
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import Session
+from beamspar.cluster.registration import Registration
 from beamspar.leader.leader import Leader
-from beamspar.settings import Timing
+from beamspar.settings import Timeouts
 from beamspar.sharing.messages import CommandReply
 from beamspar.state.client import (
     URGENT,
@@ -39,18 +39,18 @@
 SERVING, LEAVES, LEFT = "serving", "leaving", "left"
 
 
-def leaving_members(session: Session) -> set[str]:
+def leaving_members(registration: Registration) -> set[str]:
     """Controllers that are leaving, by the mirror; nobody if then no one would serve."""
-    leaving = set(_entries(session)) & session.members
-    return leaving if session.members - leaving else set()
+    leaving = set(_entries(registration)) & registration.members
+    return leaving if registration.members - leaving else set()
 
 
-def _entries(session: Session) -> dict[str, int]:
+def _entries(registration: Registration) -> dict[str, int]:
     """The entries of the record that speak of a present incarnation."""
-    value, _ = session.values.get(LEAVING, ({}, 0))
+    value, _ = registration.values.get(LEAVING, ({}, 0))
     found = {}
     for member, incarnation in (_read(value) or {}).items():
-        fence, _ = session.values.get(f"c/fence/{member}", ({}, 0))
+        fence, _ = registration.values.get(f"c/fence/{member}", ({}, 0))
         if fence.get("inc") == incarnation:
             found[member] = incarnation
     return found
@@ -70,39 +70,39 @@
     def __init__(
         self,
         clock: Clock,
-        session: Session,
+        registration: Registration,
         state: StateClient,
         leader: Leader,
-        timing: Timing,
+        timeouts: Timeouts,
         resign: Callable[[], Awaitable[None]],
     ) -> None:
         self.clock = clock
-        self.session = session
+        self.registration = registration
         self.state = state
         self.leader = leader
-        self.timing = timing
+        self.timeouts = timeouts
         self.resign = resign
         self.since: float | None = None
-        session.listeners.append(self._changed)
+        registration.listeners.append(self._changed)
 
     def _changed(self, key: str) -> None:
-        value, _ = self.session.values.get(LEAVING, ({}, 0))
+        value, _ = self.registration.values.get(LEAVING, ({}, 0))
         if key == LEAVING and _read(value) is None:
             log.error("odd record {key}: {value}", key=LEAVING, value=value)
 
     def is_leaving(self) -> bool:
         """Does this controller hand everything over?"""
-        return self.session.me in leaving_members(self.session)
+        return self.registration.me in leaving_members(self.registration)
 
     async def request(self, undo: bool) -> CommandReply:
         """Begin to leave, or serve on."""
         for _ in range(TRIES):
-            if not self.session.valid():
+            if not self.registration.lease_is_valid():
                 return CommandReply(False, "this controller is not registered at present")
-            entries = _entries(self.session)
-            if (self.session.me in entries) != undo:
+            entries = _entries(self.registration)
+            if (self.registration.me in entries) != undo:
                 return CommandReply(True)
-            others = self.session.members - set(entries) - {self.session.me}
+            others = self.registration.members - set(entries) - {self.registration.me}
             if not undo and not others:
                 return CommandReply(False, "no other controller would serve")
             try:
@@ -115,28 +115,28 @@
             except (StateUnavailableError, LeaseExpiredError) as error:
                 return CommandReply(False, str(error))
             else:
-                log.info("{me} {what}", me=self.session.me, what="stays" if undo else "leaves")
+                log.info("{me} {what}", me=self.registration.me, what="stays" if undo else "leaves")
                 return CommandReply(True)
         return CommandReply(False, "the record keeps changing: try again")
 
     async def _store(self, entries: dict[str, int], undo: bool, others: set[str]) -> None:
-        _, version = self.session.values.get(LEAVING, (None, 0))
-        conditions = {LEAVING: version, **self.session.fence()}
+        _, version = self.registration.values.get(LEAVING, (None, 0))
+        conditions = {LEAVING: version, **self.registration.fence()}
         if undo:
-            del entries[self.session.me]
+            del entries[self.registration.me]
         else:
-            entries[self.session.me] = self.session.inc
+            entries[self.registration.me] = self.registration.incarnation
             # Somebody who serves is registered at the moment of the write.
             key = f"c/member/{min(others)}"
-            conditions[key] = self.session.values.get(key, (None, 0))[1]
-        revision = await self.state.multi(conditions, [put(LEAVING, entries)], URGENT)
-        self.session.learn(LEAVING, entries, revision)
+            conditions[key] = self.registration.values.get(key, (None, 0))[1]
+        revision = await self.state.transact(conditions, [put(LEAVING, entries)], URGENT)
+        self.registration.observe(LEAVING, entries, revision)
 
     async def _catch_up(self) -> None:
         """Read the record that another one changed; the mirror may be late."""
         item = await self.state.get(LEAVING, URGENT)
         if item is not None:
-            self.session.learn(LEAVING, item.value, item.version)
+            self.registration.observe(LEAVING, item.value, item.version)
 
     async def step(self) -> None:
         """Do what is next: give up the lead, wait for the blocks to go, end the registration."""
@@ -151,11 +151,14 @@
             except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
                 log.info("the lead is not given up yet: {error}", error=error)
             return
-        if any(block.holder == self.session.me for block in self.session.blocks.values()):
+        if any(shard.holder == self.registration.me for shard in self.registration.shards.values()):
             return
-        if now - self.since < self.timing.report * LEAST_REPORTS or not self.session.valid():
+        if (
+            now - self.since < self.timeouts.report * LEAST_REPORTS
+            or not self.registration.lease_is_valid()
+        ):
             return
         # Registered is not enough: others that ended a moment ago are so until their grants end.
-        serving = self.session.members - leaving_members(self.session)
-        if any(self.leader.leasing.unreached(member) is None for member in serving):
+        serving = self.registration.members - leaving_members(self.registration)
+        if any(self.leader.shard_leasing.unreached(member) is None for member in serving):
             await self.resign()
--- a/src/beamspar/sharing/messages.py
+++ b/src/beamspar/sharing/messages.py
@@ -9,7 +9,7 @@
     """The leader is about to move these blocks (name: number): start nothing new there."""
 
     member: str
-    blocks: dict[str, int]
+    shards: dict[str, int] = msgspec.field(name="blocks")
     # For how long; a holder that sees no move until then goes on as before.
     for_s: float
 
@@ -29,24 +29,24 @@
 
     machine: str
     # The new holder's number, and the one that the sender had.
-    number: int
-    former_number: int
+    fencing_token: int
+    former_fencing_token: int
     # Nobody before the sender can still answer this machine's worker.
     sole: bool
     # How long ago somebody entitled may have answered the worker last.
     answered_ago_s: float
     # The newest message of the worker, and its newest own report.
-    session: int
+    agent_epoch: int
     sequence: int
-    report_session: int
+    report_agent_epoch: int
     report_sequence: int
     # Tasks of earlier sessions are proven to be gone.
-    min_session: int
+    min_agent_epoch: int
     silent_s: float
     idle_s: float
     # For how long it is still set aside for failures, and whether it is to be replaced.
     set_aside_s: float
-    bad: bool
+    is_degraded: bool
     # It goes back to the cloud as soon as it is empty.
     draining: bool
     images: dict[str, float] = {}
@@ -70,7 +70,7 @@
 class MoveRequest(msgspec.Struct, frozen=True):
     """An operator wants a block to go to a controller."""
 
-    block: str
+    shard: str = msgspec.field(name="block")
     to: str
 
 
@@ -92,7 +92,7 @@
 
     member: str
     machines: int
-    blocks: int
+    shards: int = msgspec.field(name="blocks")
     # Tasks that are bound or waiting, averaged; how late its timers fire.
     demand: float
     late_s: float
@@ -103,7 +103,7 @@
 class MoveShown(msgspec.Struct, frozen=True):
     """A move that is wanted, under way, or was made of late."""
 
-    block: str
+    shard: str = msgspec.field(name="block")
     source: str
     target: str
     reason: str
--- a/src/beamspar/sharing/planner.py
+++ b/src/beamspar/sharing/planner.py
@@ -49,7 +49,7 @@
 class Move(msgspec.Struct, frozen=True):
     """A block that should go from one controller to another."""
 
-    block: str
+    shard: str
     source: str
     target: str
     reason: str
@@ -76,24 +76,24 @@
 def plan(loads: Sequence[Load], holdings: Iterable[Holding], most: int) -> list[Move]:
     """The next moves, at most so many: those off leaving controllers first, then those back to
     a block's own zone, then those that even out shares by demand."""
-    blocks = sorted(holdings, key=lambda block: block.name)
+    shards = sorted(holdings, key=lambda shard: shard.name)
     known = {load.member for load in loads}
     held = dict.fromkeys(known, 0)
-    for block in blocks:
-        if block.holder in held:
-            held[block.holder] += block.machines
+    for shard in shards:
+        if shard.holder in held:
+            held[shard.holder] += shard.machines
     targets = target_shares(loads, sum(held.values()))
     planner = _Plan(loads, held, targets, most)
-    movable = [b for b in blocks if b.holder in known and b.machines and not b.fixed]
-    for block in movable:
-        if targets.get(block.holder) == 0.0:
-            planner.move_off(block)
-    for block in movable:
-        if not block.resting:
-            planner.move_home(block)
-    for block in movable:
-        if not block.resting:
-            planner.move_by_load(block)
+    movable = [b for b in shards if b.holder in known and b.machines and not b.fixed]
+    for shard in movable:
+        if targets.get(shard.holder) == 0.0:
+            planner.move_off(shard)
+    for shard in movable:
+        if not shard.resting:
+            planner.move_home(shard)
+    for shard in movable:
+        if not shard.resting:
+            planner.move_by_load(shard)
     return planner.moves
 
 
@@ -115,31 +115,31 @@
         """Machines that it holds beyond its share."""
         return self.held[member] - self.targets[member]
 
-    def move_off(self, block: Holding) -> None:
+    def move_off(self, shard: Holding) -> None:
         """Its holder leaves: the block goes to its zone's controllers, else to anybody."""
-        target = self._neediest(self._candidates(block.zone))
+        target = self._neediest(self._candidates(shard.zone))
         if target is not None:
-            self._add(block, target, "leave", forced=True)
+            self._add(shard, target, "leave", forced=True)
 
-    def move_home(self, block: Holding) -> None:
+    def move_home(self, shard: Holding) -> None:
         """A zone's machines belong to its controllers, which a cut leaves beside them."""
-        home = self._at_home(block.zone)
-        if home and block.holder not in home and block.holder in self.staying:
+        home = self._at_home(shard.zone)
+        if home and shard.holder not in home and shard.holder in self.staying:
             target = self._neediest(home)
             if target is not None:
-                self._add(block, target, "zone")
+                self._add(shard, target, "zone")
 
-    def move_by_load(self, block: Holding) -> None:
+    def move_by_load(self, shard: Holding) -> None:
         """A block goes where it is needed more, if that is clear enough to be worth a move."""
-        group = self._candidates(block.zone)
+        group = self._candidates(shard.zone)
         target = self._neediest(group)
-        if block.holder not in group or target is None or target == block.holder:
+        if shard.holder not in group or target is None or target == shard.holder:
             return
         even = sum(self.held.values()) / len(self.staying)
-        least = max(even * CLEAR_IMBALANCE, MOVE_COST * block.machines)
+        least = max(even * CLEAR_IMBALANCE, MOVE_COST * shard.machines)
         # What comes after the move must still be on the better side of the threshold.
-        if self.surplus(block.holder) - self.surplus(target) > least:
-            self._add(block, target, "load")
+        if self.surplus(shard.holder) - self.surplus(target) > least:
+            self._add(shard, target, "load")
 
     def _at_home(self, zone: str) -> list[str]:
         return [member for member in self.staying if self.zones[member] == zone]
@@ -150,13 +150,13 @@
     def _neediest(self, members: list[str]) -> str | None:
         return min(members, key=lambda member: (self.surplus(member), member), default=None)
 
-    def _add(self, block: Holding, target: str, reason: str, forced: bool = False) -> None:
-        if block.name in self.moved or len(self.moves) >= self.most:
+    def _add(self, shard: Holding, target: str, reason: str, forced: bool = False) -> None:
+        if shard.name in self.moved or len(self.moves) >= self.most:
             return
-        self.moved.add(block.name)
-        self.held[block.holder] -= block.machines
-        self.held[target] += block.machines
-        self.moves.append(Move(block.name, block.holder, target, reason, forced))
+        self.moved.add(shard.name)
+        self.held[shard.holder] -= shard.machines
+        self.held[target] += shard.machines
+        self.moves.append(Move(shard.name, shard.holder, target, reason, forced))
 
 
 class DemandAverage:
--- a/src/beamspar/sharing/service.py
+++ b/src/beamspar/sharing/service.py
@@ -7,11 +7,11 @@
 
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import Session
+from beamspar.cluster.registration import Registration
 from beamspar.leader.leader import Leader
-from beamspar.machines.machine_controller import Holder
+from beamspar.machines.machine_controller import MachineController
 from beamspar.protocol.peer_messages import decode, encode
-from beamspar.settings import Timing
+from beamspar.settings import Timeouts
 from beamspar.sharing.handover import Handover, ask_to_prepare
 from beamspar.sharing.leave import LEAVES, LEFT, SERVING, Leave, leaving_members
 from beamspar.sharing.messages import (
@@ -43,30 +43,30 @@
     def __init__(
         self,
         clock: Clock,
-        session: Session,
+        registration: Registration,
         state: StateClient,
-        holder: Holder,
+        holder: MachineController,
         leader: Leader,
-        timing: Timing,
+        timeouts: Timeouts,
         send: Send,
         resign: Callable[[], Awaitable[None]],
     ) -> None:
         self.clock = clock
-        self.session = session
+        self.registration = registration
         self.leader = leader
-        self.leasing = leader.leasing
-        self.timing = timing
+        self.shard_leasing = leader.shard_leasing
+        self.timeouts = timeouts
         self.send = send
-        self.transfer = Transfer(clock, session, holder, timing, send)
-        self.leave = Leave(clock, session, state, leader, timing, resign)
+        self.transfer = Transfer(clock, registration, holder, timeouts, send)
+        self.leave = Leave(clock, registration, state, leader, timeouts, resign)
         self.handover = Handover(
-            clock, session, self.leasing, timing, self._prepare, self._is_fixed
+            clock, registration, self.shard_leasing, timeouts, self._prepare, self._is_fixed
         )
-        self.demand = DemandAverage(timing.worker_lease * AVERAGE_LEASES)
+        self.demand = DemandAverage(timeouts.worker_lease * AVERAGE_LEASES)
         self.requested: dict[str, Move] = {}
         self.stepping = False
-        self.leasing.balance = self.balance
-        self.leasing.excluded = self._excluded
+        self.shard_leasing.balance = self.balance
+        self.shard_leasing.excluded = self._excluded
         leader.stands = lambda: not self.leave.is_leaving()
 
     def tick(self) -> None:
@@ -85,45 +85,45 @@
 
     def _excluded(self) -> set[str]:
         """Controllers that get no blocks while another one can take them."""
-        return leaving_members(self.session)
+        return leaving_members(self.registration)
 
     async def balance(self) -> None:
         """Move what operators asked for, and what the planner finds."""
         self.handover.forget_dropped()
-        most = max(self.leasing.blocks.limits.txn_ops // 4, 1)
+        most = max(self.shard_leasing.shards.limits.txn_ops // 4, 1)
         holdings = self._holdings()
         moves = self._due_requests()[:most]
-        asked = {move.block for move in moves}
-        others = [block for block in holdings if block.name not in asked]
+        asked = {move.shard for move in moves}
+        others = [shard for shard in holdings if shard.name not in asked]
         moves += plan(self._loads(), others, most - len(moves))
         if moves:
             try:
                 await self.handover.carry_out(moves)
             finally:
                 for move in moves:
-                    if self.requested.get(move.block) is move:
-                        del self.requested[move.block]
+                    if self.requested.get(move.shard) is move:
+                        del self.requested[move.shard]
 
     def _due_requests(self) -> list[Move]:
-        return [move for move in self.requested.values() if not self._drains(move.block)]
+        return [move for move in self.requested.values() if not self._drains(move.shard)]
 
     def _loads(self) -> list[Load]:
         """What the controllers that can be reached have to do."""
         now = self.clock.seconds()
-        leaving = leaving_members(self.session)
+        leaving = leaving_members(self.registration)
         loads = []
-        for member in sorted(self.leasing.heard()):
-            view = self.leasing.members[member]
+        for member in sorted(self.shard_leasing.heard()):
+            view = self.shard_leasing.members[member]
             self.demand.take(member, view.demand, now)
-            if self.leasing.blind.get(member, 0.0) >= now:
+            if self.shard_leasing.blind.get(member, 0.0) >= now:
                 # Its workers could not reach it a moment ago: it gets nothing yet.
                 continue
             loads.append(
                 Load(
                     member,
-                    self.leasing.sites.get(member, ""),
+                    self.shard_leasing.sites.get(member, ""),
                     self.demand.value(member),
-                    view.late_s / self.timing.heartbeat,
+                    view.late_s / self.timeouts.heartbeat,
                     member in leaving,
                 )
             )
@@ -131,47 +131,49 @@
 
     def _holdings(self) -> list[Holding]:
         holdings = []
-        for name, block in self.session.blocks.items():
-            zone = block.machines[0].zone if block.machines else ""
+        for name, shard in self.registration.shards.items():
+            zone = shard.machines[0].zone if shard.machines else ""
             resting = self.handover.rests(name) or self._drains(name)
             fixed = self._is_fixed(name)
-            holdings.append(Holding(name, block.holder, zone, len(block.machines), resting, fixed))
+            holdings.append(Holding(name, shard.holder, zone, len(shard.machines), resting, fixed))
         return holdings
 
-    def _drains(self, block: str) -> bool:
+    def _drains(self, shard: str) -> bool:
         """Is one of the block's machines told to take nothing more, for it is to go back?"""
-        return self._has_one_of(block, self.leader.retiring.keys())
+        return self._has_one_of(shard, self.leader.draining.keys())
 
-    def _is_fixed(self, block: str) -> bool:
+    def _is_fixed(self, shard: str) -> bool:
         """Is one of them being returned? Its new holder would give it work that is lost with it."""
-        fleet = self.leader.fleet
-        return self._has_one_of(block, fleet.due) or self._has_one_of(block, fleet.going)
+        instance_manager = self.leader.instance_manager
+        return self._has_one_of(shard, instance_manager.due) or self._has_one_of(
+            shard, instance_manager.going
+        )
 
     def _has_one_of(self, name: str, machines: Collection[str]) -> bool:
-        block = self.session.blocks.get(name)
-        return bool(machines and block and any(m.name in machines for m in block.machines))
+        shard = self.registration.shards.get(name)
+        return bool(machines and shard and any(m.name in machines for m in shard.machines))
 
     async def _prepare(self, source: str, request: PrepareRequest) -> PrepareReply:
-        if source == self.session.me:
+        if source == self.registration.me:
             return await self.transfer.prepare(request)
         return await ask_to_prepare(self.send, source, request)
 
     def request_move(self, request: MoveRequest) -> CommandReply:
         """An operator's move, if it can be made; it is made with the next pass."""
-        block = self.session.blocks.get(request.block)
+        shard = self.registration.shards.get(request.shard)
         if not self.leader.ready:
             return CommandReply(False, "this controller does not lead")
-        if block is None:
-            return CommandReply(False, f"no block {request.block}")
-        if request.to not in self.leasing.heard():
+        if shard is None:
+            return CommandReply(False, f"no block {request.shard}")
+        if request.to not in self.shard_leasing.heard():
             return CommandReply(False, f"no controller {request.to} that can be reached")
-        if request.to in leaving_members(self.session):
+        if request.to in leaving_members(self.registration):
             return CommandReply(False, f"{request.to} is leaving")
-        if request.to == block.holder:
+        if request.to == shard.holder:
             return CommandReply(True, "it is there already")
         if len(self.requested) >= MOST_REQUESTED:
             return CommandReply(False, "too many moves are waiting")
-        self.requested[request.block] = Move(request.block, block.holder, request.to, "asked for")
+        self.requested[request.shard] = Move(request.shard, shard.holder, request.to, "asked for")
         return CommandReply(True)
 
     # -- what is shown
@@ -179,22 +181,24 @@
     def shares(self) -> SharesReply:
         """What operators are shown; the leader's answer has the shares and moves."""
         standing = LEAVES if self.leave.is_leaving() else SERVING
-        reply = SharesReply(self.session.me, self.session.leader, self.leader.ready, standing)
+        reply = SharesReply(
+            self.registration.me, self.registration.leader, self.leader.ready, standing
+        )
         if not self.leader.ready:
             return reply
         loads = self._loads()
-        targets = target_shares(loads, len(self.session.block_of))
-        blocks = Counter(block.holder for block in self.session.blocks.values())
+        targets = target_shares(loads, len(self.registration.shard_of))
+        shards = Counter(shard.holder for shard in self.registration.shards.values())
         machines: Counter[str] = Counter()
-        for block in self.session.blocks.values():
-            machines[block.holder] += len(block.machines)
+        for shard in self.registration.shards.values():
+            machines[shard.holder] += len(shard.machines)
         shares = [
             MemberShare(
                 load.member,
                 machines[load.member],
-                blocks[load.member],
+                shards[load.member],
                 round(load.demand, 1),
-                round(load.lateness * self.timing.heartbeat, 3),
+                round(load.lateness * self.timeouts.heartbeat, 3),
                 round(targets.get(load.member, 0.0), 1),
                 load.leaving,
             )
--- a/src/beamspar/sharing/transfer.py
+++ b/src/beamspar/sharing/transfer.py
@@ -12,11 +12,11 @@
 
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import Session
-from beamspar.machines.machine_controller import Holder
-from beamspar.machines.managed_machine import HeldMachine
+from beamspar.cluster.registration import Registration
+from beamspar.machines.machine_controller import MachineController
+from beamspar.machines.managed_machine import ManagedMachine
 from beamspar.protocol.peer_messages import VIEWS_AT_ONCE, decode
-from beamspar.settings import Timing
+from beamspar.settings import Timeouts
 from beamspar.sharing.messages import (
     MachineState,
     PrepareReply,
@@ -36,17 +36,22 @@
     """Owns the releases that this controller still has to tell; lasts as long as its session."""
 
     def __init__(
-        self, clock: Clock, session: Session, holder: Holder, timing: Timing, send: Send
+        self,
+        clock: Clock,
+        registration: Registration,
+        holder: MachineController,
+        timeouts: Timeouts,
+        send: Send,
     ) -> None:
         self.clock = clock
-        self.session = session
-        self.holder = holder
-        self.timing = timing
+        self.registration = registration
+        self.machine_controller = holder
+        self.timeouts = timeouts
         self.send = send
         # Machines that are another's now, by their new holder, with the number they have there.
-        self.released: dict[str, dict[str, tuple[HeldMachine, int]]] = {}
+        self.released: dict[str, dict[str, tuple[ManagedMachine, int]]] = {}
         # Machines taken over with what their former holder knew, of late.
-        self.taken_over = 0
+        self.is_taken_over = 0
         holder.on_released = self._released
         holder.repeats_at_once = True
 
@@ -57,21 +62,26 @@
 
         Work goes on and reports are answered: should the leader end now, no lease runs out.
         """
-        if request.member != self.session.leader or not self.session.valid():
+        if request.member != self.registration.leader or not self.registration.lease_is_valid():
             log.info("{member} does not lead: nothing is prepared", member=request.member)
             return PrepareReply([])
         now = self.clock.seconds()
-        for_s = min(max(request.for_s, 0.0), self.timing.report)
+        for_s = min(max(request.for_s, 0.0), self.timeouts.report)
         waiting = {}
-        for name, number in request.blocks.items():
-            block = self.session.blocks.get(name)
-            if block is None or (block.holder, block.number) != (self.session.me, number):
+        for name, number in request.shards.items():
+            shard = self.registration.shards.get(name)
+            if shard is None or (shard.holder, shard.fencing_token) != (
+                self.registration.me,
+                number,
+            ):
                 log.info("{name} is not ours under {number}", name=name, number=number)
                 continue
-            machines = [self.holder.machines.get(machine.name) for machine in block.machines]
+            machines = [
+                self.machine_controller.machines.get(machine.name) for machine in shard.machines
+            ]
             waiting[name] = [machine for machine in machines if machine is not None]
             for machine in waiting[name]:
-                self.holder.pause(machine, now + for_s)
+                self.machine_controller.pause(machine, now + for_s)
         ready: list[str] = []
         while waiting:
             for name in [name for name, held in waiting.items() if not any(map(_starting, held))]:
@@ -79,14 +89,14 @@
                 ready.append(name)
             if not waiting or self.clock.seconds() >= now + for_s / 2:
                 break
-            await sleep(self.clock, self.timing.heartbeat / 20)
+            await sleep(self.clock, self.timeouts.heartbeat / 20)
         return PrepareReply(sorted(ready))
 
     # -- after the move, at the former holder
 
-    def _released(self, machine: HeldMachine, successor: str, number: int) -> None:
+    def _released(self, machine: ManagedMachine, successor: str, number: int) -> None:
         """The mirror says that the machine is another's: tell that one what we know."""
-        if successor not in self.session.members:
+        if successor not in self.registration.members:
             return
         waiting = self.released.setdefault(successor, {})
         if not waiting:
@@ -96,19 +106,19 @@
     async def _release(self, successor: str) -> None:
         """Say it until it was heard; the rules of a move without it hold meanwhile."""
         # When the longest lease that we may have had is over it gains nothing more.
-        until = self.clock.seconds() + self.timing.grant
+        until = self.clock.seconds() + self.timeouts.registration_lease
         waiting = self.released[successor]
-        while waiting and not self.session.lost and self.clock.seconds() < until:
-            pause_s = self.timing.heartbeat / 10
+        while waiting and not self.registration.lost and self.clock.seconds() < until:
+            pause_s = self.timeouts.heartbeat / 10
             part = list(waiting.items())[:VIEWS_AT_ONCE]
             states = [self._state(machine, number) for _, (machine, number) in part]
-            request = ReleaseRequest(self.session.me, self.session.inc, states)
+            request = ReleaseRequest(self.registration.me, self.registration.incarnation, states)
             try:
-                body = await self.send(successor, "release", request, self.timing.call)
+                body = await self.send(successor, "release", request, self.timeouts.request)
                 reply: ReleaseReply = decode(body, ReleaseReply)
             except (CallFailedError, ValueError) as error:
                 log.info("release to {member} waits: {error}", member=successor, error=error)
-                pause_s = self.timing.retry
+                pause_s = self.timeouts.retry
             else:
                 again = set(reply.unknown_yet)
                 for name, told in part:
@@ -117,23 +127,23 @@
             await sleep(self.clock, pause_s)
         self.released.pop(successor, None)
 
-    def _state(self, machine: HeldMachine, number: int) -> MachineState:
+    def _state(self, machine: ManagedMachine, number: int) -> MachineState:
         now = self.clock.seconds()
         return MachineState(
             machine.info.name,
             number,
-            machine.number,
+            machine.fencing_token,
             machine.sole,
             now - machine.last_answer,
-            machine.session,
+            machine.agent_epoch,
             machine.seq,
             *machine.report_seq,
-            machine.min_session,
+            machine.min_agent_epoch,
             now - machine.reported_at,
             now - machine.idle_since,
-            max(machine.sick_until - now, 0.0),
-            machine.bad,
-            machine.retiring,
+            max(machine.quarantined_until - now, 0.0),
+            machine.is_degraded,
+            machine.draining,
             dict(machine.images),
         )
 
@@ -143,34 +153,34 @@
         """Take in what a former holder knew, of machines that we hold from it under that number."""
         accepted: list[str] = []
         unknown_yet: list[str] = []
-        fence, _ = self.session.values.get(f"c/fence/{request.member}", ({}, 0))
+        fence, _ = self.registration.values.get(f"c/fence/{request.member}", ({}, 0))
         if fence.get("inc") != request.incarnation:
             log.info("release of a former {member} is refused", member=request.member)
             return ReleaseReply([])
         for state in request.machines:
-            machine = self.holder.machines.get(state.machine)
-            if state.number > self.session.revision:
+            machine = self.machine_controller.machines.get(state.machine)
+            if state.fencing_token > self.registration.revision:
                 # The sender's mirror is ahead of ours.
                 unknown_yet.append(state.machine)
             elif machine is None or not self._is_from(request.member, state, machine):
                 log.info("release of {name} is refused", name=state.machine)
             else:
                 accepted.append(state.machine)
-                if not machine.taken_over:
-                    machine.taken_over = True
-                    self.taken_over += 1
+                if not machine.is_taken_over:
+                    machine.is_taken_over = True
+                    self.is_taken_over += 1
                     self._take_over(machine, state)
         return ReleaseReply(accepted, unknown_yet)
 
-    def _is_from(self, member: str, state: MachineState, machine: HeldMachine) -> bool:
+    def _is_from(self, member: str, state: MachineState, machine: ManagedMachine) -> bool:
         """Is it about the very move by which we got the machine?"""
         return (
-            machine.number == state.number
-            and state.former_number < state.number
-            and self.session.former.get(state.machine) == member
+            machine.fencing_token == state.fencing_token
+            and state.former_fencing_token < state.fencing_token
+            and self.registration.former.get(state.machine) == member
         )
 
-    def _take_over(self, machine: HeldMachine, state: MachineState) -> None:
+    def _take_over(self, machine: ManagedMachine, state: MachineState) -> None:
         now = self.clock.seconds()
         if state.sole:
             # The sender answers no more, and nobody before it can: what it answered last counts.
@@ -179,23 +189,23 @@
             machine.last_answer = max(machine.answered_at, answered)
             machine.sole = True
         # Copies of older reports that arrive late are known as such.
-        if (machine.session, machine.seq) < (state.session, state.sequence):
-            machine.session, machine.seq = state.session, state.sequence
+        if (machine.agent_epoch, machine.seq) < (state.agent_epoch, state.sequence):
+            machine.agent_epoch, machine.seq = state.agent_epoch, state.sequence
         if machine.report_seq == (0, -1):
             machine.reported_at = now - max(state.silent_s, 0.0)
-        reported = (state.report_session, state.report_sequence)
+        reported = (state.report_agent_epoch, state.report_sequence)
         machine.report_seq = max(machine.report_seq, reported)
-        machine.min_session = max(machine.min_session, state.min_session)
-        machine.sick_until = max(machine.sick_until, now + state.set_aside_s)
-        machine.bad = machine.bad or state.bad
-        machine.retiring = machine.retiring or state.draining
+        machine.min_agent_epoch = max(machine.min_agent_epoch, state.min_agent_epoch)
+        machine.quarantined_until = max(machine.quarantined_until, now + state.set_aside_s)
+        machine.is_degraded = machine.is_degraded or state.is_degraded
+        machine.draining = machine.draining or state.draining
         if not machine.tasks:
             machine.idle_since = min(machine.idle_since, now - max(state.idle_s, 0.0))
-        self.holder.learn_images(machine, state.images)
+        self.machine_controller.learn_images(machine, state.images)
         machine.touch_all()
-        self.holder.step(machine)
+        self.machine_controller.step(machine)
 
 
-def _starting(machine: HeldMachine) -> bool:
+def _starting(machine: ManagedMachine) -> bool:
     """Is an order of ours under way there, or a start that may still be carried out?"""
     return machine.ordering or any(machine.in_doubt(key) for key in machine.starts)
--- a/src/beamspar/standby/command.py
+++ b/src/beamspar/standby/command.py
@@ -17,7 +17,7 @@
 
 from beamspar.settings import Settings, SettingsError, load
 from beamspar.standby.messages import HandOverReply
-from beamspar.standby.standby import Status
+from beamspar.standby.standby import StandbyStatus
 
 NOT_DONE, BAD_SETTINGS = 1, 2
 # A hand-over is an election, a controller's answer to a question is much less.
@@ -45,22 +45,22 @@
 def addresses(settings: Settings) -> dict[str, str]:
     """Every controller's address for siblings."""
     found = {settings.member: settings.peer_bind}
-    found.update({sibling.member: sibling.peer_addr for sibling in settings.siblings})
+    found.update({sibling.member: sibling.peer_addr for sibling in settings.peers})
     return dict(sorted(found.items()))
 
 
-def statuses(settings: Settings) -> dict[str, Status | str]:
+def statuses(settings: Settings) -> dict[str, StandbyStatus | str]:
     """What each controller says of itself, or why it says nothing."""
-    found: dict[str, Status | str] = {}
+    found: dict[str, StandbyStatus | str] = {}
     for member, address in addresses(settings).items():
         try:
-            found[member] = msgspec.convert(call(address, "standby", {}, ANSWER_S), Status)
+            found[member] = msgspec.convert(call(address, "standby", {}, ANSWER_S), StandbyStatus)
         except (NoAnswerError, msgspec.ValidationError) as error:
             found[member] = str(error)
     return found
 
 
-def describe(status: Status) -> str:
+def describe(status: StandbyStatus) -> str:
     """One line for people."""
     if status.leading:
         doing = "decides" if status.deciding else "leads, and confirms who is alive"
@@ -97,7 +97,7 @@
     else:
         for member, value in found.items():
             click.echo(f"{member}: {value if isinstance(value, str) else describe(value)}")
-    if not any(isinstance(value, Status) and value.deciding for value in found.values()):
+    if not any(isinstance(value, StandbyStatus) and value.deciding for value in found.values()):
         sys.exit(NOT_DONE)
 
 
@@ -106,7 +106,9 @@
 @click.pass_obj
 def hand_over(settings: Settings, to: str) -> None:
     """Let another controller lead, for instance before this one is restarted."""
-    leaders = [v for v in statuses(settings).values() if isinstance(v, Status) and v.deciding]
+    leaders = [
+        v for v in statuses(settings).values() if isinstance(v, StandbyStatus) and v.deciding
+    ]
     if not leaders:
         click.echo("nobody decides", err=True)
         sys.exit(NOT_DONE)
--- a/src/beamspar/standby/failure_detector.py
+++ b/src/beamspar/standby/failure_detector.py
@@ -8,7 +8,7 @@
 from twisted.internet.defer import ensureDeferred
 from twisted.logger import Logger
 
-from beamspar.settings import Timing
+from beamspar.settings import Timeouts
 from beamspar.transport.http import Clock, sleep
 
 log = Logger(namespace="standby")
@@ -30,12 +30,12 @@
     def __init__(
         self,
         clock: Clock,
-        timing: Timing,
+        timeouts: Timeouts,
         reach: Callable[[str], Coroutine[Any, Any, bool]],
         ask: Callable[[str, str], Coroutine[Any, Any, bool | None]],
     ) -> None:
         self.clock = clock
-        self.timing = timing
+        self.timeouts = timeouts
         # Can we reach the member?
         self.reach = reach
         # What another member says of it: reachable or not; None when it does not answer.
@@ -45,7 +45,7 @@
         """Confirm a suspicion. Takes some heartbeats; asks the suspect itself in each round."""
         for round_number in range(CONFIRMING_ROUNDS):
             if round_number:
-                await sleep(self.clock, self.timing.heartbeat / 2)
+                await sleep(self.clock, self.timeouts.heartbeat / 2)
             # All at once: one after the other, time-outs would add up to a takeover too late.
             own = ensureDeferred(self.reach(suspect))
             asked = [ensureDeferred(self.ask(other, suspect)) for other in others]
--- a/src/beamspar/standby/standby.py
+++ b/src/beamspar/standby/standby.py
@@ -8,10 +8,10 @@
 import msgspec
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import LEADER, Session
+from beamspar.cluster.registration import LEADER, Registration
 from beamspar.leader.leader import Leader
-from beamspar.protocol.peer_messages import Pulse, Summary, decode, encode
-from beamspar.settings import Timing
+from beamspar.protocol.peer_messages import HealthProbeResponse, MemberHeartbeat, decode, encode
+from beamspar.settings import Timeouts
 from beamspar.standby.decision_log import DecisionLog, Replica, StaleTermError
 from beamspar.standby.failure_detector import FailureDetector
 from beamspar.standby.messages import (
@@ -33,7 +33,7 @@
 Send = Callable[[str, str, Any, float], Awaitable[bytes]]
 
 
-class Status(msgspec.Struct, frozen=True):
+class StandbyStatus(msgspec.Struct, frozen=True):
     """What a controller's standby says of itself."""
 
     member: str
@@ -59,29 +59,29 @@
     def __init__(
         self,
         clock: Clock,
-        session: Session,
+        registration: Registration,
         leader: Leader,
-        timing: Timing,
+        timeouts: Timeouts,
         zones: dict[str, str],
         send: Send,
-        summary: Callable[[], Summary],
+        summary: Callable[[], MemberHeartbeat],
     ) -> None:
         self.clock = clock
-        self.session = session
+        self.registration = registration
         self.leader = leader
-        self.timing = timing
+        self.timeouts = timeouts
         self.zones = zones
         self.send = send
         # All that this controller knows of its machines and jobs.
         self.summary = summary
         self.log: DecisionLog = leader.decisions
         self.replica = Replica(clock, self.log.state)
-        self.detector = FailureDetector(clock, timing, self._reach, self._ask)
+        self.detector = FailureDetector(clock, timeouts, self._reach, self._ask)
         self.succession: list[str] = []
         # When the lead was last taken from one that held it, as far as we saw.
         self.takeovers: list[float] = []
         self.led_by: str | None = None
-        session.listeners.append(self._changed)
+        registration.listeners.append(self._changed)
         leader.on_ready = self._ready
         leader.lends_by_zone = True
 
@@ -100,15 +100,16 @@
     def _succession(self) -> list[str]:
         """Followers heard of late: the most complete first, of another zone, the least busy."""
         now = self.clock.seconds()
-        home = self.zones.get(self.session.me)
+        home = self.zones.get(self.registration.me)
         held = dict.fromkeys(self.log.followers, 0)
-        for block in self.session.blocks.values():
-            if block.holder in held:
-                held[block.holder] += len(block.machines)
+        for shard in self.registration.shards.values():
+            if shard.holder in held:
+                held[shard.holder] += len(shard.machines)
         ranked = [
             (self.log.index - follower.index, self.zones.get(member) == home, held[member], member)
             for member, follower in self.log.followers.items()
-            if now - follower.heard_at < self.timing.report and member in self.session.members
+            if now - follower.heard_at < self.timeouts.report
+            and member in self.registration.members
         ]
         return [member for *_, member in sorted(ranked)]
 
@@ -118,25 +119,31 @@
         Nothing is decided meanwhile. If no follower takes it, this controller goes on.
         """
         if not self.leader.ready:
-            return HandOverReply(False, self.session.leader or "", "this controller does not lead")
+            return HandOverReply(
+                False, self.registration.leader or "", "this controller does not lead"
+            )
         now = self.clock.seconds()
         # Long enough for the followers to catch up, and for one of them to be elected.
-        self.leader.paused_until = now + self.timing.call * 3
+        self.leader.paused_until = now + self.timeouts.request * 3
         try:
-            successor = await self._complete_follower(request.to, now + self.timing.call)
+            successor = await self._complete_follower(request.to, now + self.timeouts.request)
             if successor is None:
-                return HandOverReply(False, self.session.me, "no such follower has the whole log")
+                return HandOverReply(
+                    False, self.registration.me, "no such follower has the whole log"
+                )
             index = self.log.followers[successor].index
-            take = TakeLeadRequest(self.session.me, self.log.term, index)
-            body = await self.send(successor, "take-lead", take, self.timing.call * 2)
+            take = TakeLeadRequest(self.registration.me, self.log.term, index)
+            body = await self.send(successor, "take-lead", take, self.timeouts.request * 2)
             taken = decode(body, TakeLeadReply).taken
         except (CallFailedError, ValueError) as error:
             log.info("not handed over: {error}", error=error)
-            return HandOverReply(False, self.session.me, "the follower did not answer")
+            return HandOverReply(False, self.registration.me, "the follower did not answer")
         finally:
             self.leader.paused_until = self.clock.seconds()
         if not taken:
-            return HandOverReply(False, self.session.me, f"{successor} could not take the lead")
+            return HandOverReply(
+                False, self.registration.me, f"{successor} could not take the lead"
+            )
         log.info("the lead is handed over to {member}", member=successor)
         return HandOverReply(True, successor)
 
@@ -149,23 +156,23 @@
                     return member
             if self.clock.seconds() >= until:
                 return None
-            await sleep(self.clock, self.timing.heartbeat / 4)
+            await sleep(self.clock, self.timeouts.heartbeat / 4)
 
     async def take_lead(self, request: TakeLeadRequest) -> TakeLeadReply:
         """The leader hands over to us: take the lead, if we have all that it decided."""
         complete = self.replica.term == request.term and self.replica.index >= request.index
-        if not complete or self.session.leader != request.member or self.leader.electing:
+        if not complete or self.registration.leader != request.member or self.leader.electing:
             return TakeLeadReply(False)
         await self.leader.elect(replaces=request.member, failed=False)
         self._confirm_all()
-        return TakeLeadReply(self.session.leader == self.session.me)
+        return TakeLeadReply(self.registration.leader == self.registration.me)
 
     def _ready(self) -> None:
         """The first decision may be made: say what it will be based on."""
         log.info(
             "{me} decides in term {term}: copied up to {index} of {was}, lag {lag}, "
             "confirmed by {heard}",
-            me=self.session.me,
+            me=self.registration.me,
             term=self.log.term,
             index=self.replica.index,
             was=self.replica.term,
@@ -176,34 +183,38 @@
     # -- the follower's side
 
     async def _following(self) -> None:
-        while not self.session.lost:
-            leader = self.session.leader
-            if leader is None or leader == self.session.me or not self.session.valid():
-                await sleep(self.clock, self.timing.heartbeat)
+        while not self.registration.lost:
+            leader = self.registration.leader
+            if (
+                leader is None
+                or leader == self.registration.me
+                or not self.registration.lease_is_valid()
+            ):
+                await sleep(self.clock, self.timeouts.heartbeat)
                 continue
-            pause_s = self.timing.heartbeat / 2
+            pause_s = self.timeouts.heartbeat / 2
             try:
                 if await self._fetch(leader):
                     pause_s /= 10
             except CallRefusedError as error:
                 # It is there: an earlier release, or one that registers anew.
                 log.debug("{leader} has no log: {error}", leader=leader, error=error)
-                pause_s = self.timing.heartbeat * 2
+                pause_s = self.timeouts.heartbeat * 2
             except (CallFailedError, ValueError) as error:
                 log.debug("following {leader}: {error}", leader=leader, error=error)
-                if leader == self.session.leader and not self.session.lost:
+                if leader == self.registration.leader and not self.registration.lost:
                     await self._suspect(leader)
             await sleep(self.clock, pause_s)
 
     async def _fetch(self, leader: str) -> bool:
         """Ask for what we lack; says whether there is more."""
-        request = self.replica.request(self.session.me)
-        body = await self.send(leader, "follow", request, self.timing.heartbeat * 2)
+        request = self.replica.request(self.registration.me)
+        body = await self.send(leader, "follow", request, self.timeouts.heartbeat * 2)
         reply: FollowReply = decode(body, FollowReply)
         if not reply.term:
             # It does not lead yet, or not any more.
             return False
-        if self.session.leader == self.session.me:
+        if self.registration.leader == self.registration.me:
             # We took the lead meanwhile: a former leader's word counts no more.
             return False
         try:
@@ -218,20 +229,20 @@
     async def _suspect(self, leader: str) -> None:
         """The leader does not answer: confirm that it has failed, in turn take the lead."""
         log.info("{leader} is suspected", leader=leader)
-        record = self.session.values.get(LEADER, (None, 0))
-        me = self.session.me
+        record = self.registration.values.get(LEADER, (None, 0))
+        me = self.registration.me
         rank = self.succession.index(me) if me in self.succession else len(self.succession)
         if rank:
             # Who is preferred goes first; the others only step in for it.
-            await sleep(self.clock, self.timing.heartbeat * 2 * rank)
+            await sleep(self.clock, self.timeouts.heartbeat * 2 * rank)
         if not self.leader.stands() or not self._may_take_over():
             return
-        others = sorted(self.session.members - {me, leader})
+        others = sorted(self.registration.members - {me, leader})
         if not await self.detector.has_failed(leader, others):
             return
-        if self.session.lost or not self.session.valid() or self.leader.electing:
+        if self.registration.lost or not self.registration.lease_is_valid() or self.leader.electing:
             return
-        if self.session.values.get(LEADER, (None, 0))[0] != record[0]:
+        if self.registration.values.get(LEADER, (None, 0))[0] != record[0]:
             log.info("the lead has passed on meanwhile")
             return
         log.warn(
@@ -251,14 +262,14 @@
         is not waited for in vain.
         """
         if self.leader.leading:
-            for member in sorted(self.session.members - {self.session.me, but}):
+            for member in sorted(self.registration.members - {self.registration.me, but}):
                 spawn(self._confirm(member), f"confirming {member}")
 
     async def _confirm(self, member: str) -> None:
-        request = ConfirmRequest(self.session.me)
+        request = ConfirmRequest(self.registration.me)
         try:
-            body = await self.send(member, "confirm", request, self.timing.call)
-            summary: Summary = decode(body, Summary)
+            body = await self.send(member, "confirm", request, self.timeouts.request)
+            summary: MemberHeartbeat = decode(body, MemberHeartbeat)
         except (CallFailedError, ValueError) as error:
             log.info("{member} does not confirm: {error}", member=member, error=error)
             return
@@ -268,16 +279,16 @@
     def _may_take_over(self) -> bool:
         """Takeovers that follow each other closely have to wait, twice as long each time."""
         now = self.clock.seconds()
-        recent = [at for at in self.takeovers if now - at < self.timing.worker_lease * 8]
+        recent = [at for at in self.takeovers if now - at < self.timeouts.worker_lease * 8]
         self.takeovers = recent
         if len(recent) < 2:
             return True
-        return now - recent[-1] > self.timing.lead * 2.0 ** (len(recent) - 2)
+        return now - recent[-1] > self.timeouts.leader_lease * 2.0 ** (len(recent) - 2)
 
     def _changed(self, key: str) -> None:
         if key != LEADER:
             return
-        leader = self.session.leader
+        leader = self.registration.leader
         if leader is not None and self.led_by is not None and leader != self.led_by:
             self.takeovers.append(self.clock.seconds())
         self.led_by = leader if leader is not None else self.led_by
@@ -286,14 +297,17 @@
 
     async def _reach(self, member: str) -> bool:
         try:
-            decode(await self.send(member, "pulse", {}, self.timing.heartbeat * 2), Pulse)
+            decode(
+                await self.send(member, "pulse", {}, self.timeouts.heartbeat * 2),
+                HealthProbeResponse,
+            )
         except (CallFailedError, ValueError) as error:
             log.debug("{member} is not reached: {error}", member=member, error=error)
             return False
         return True
 
     async def _ask(self, member: str, suspect: str) -> bool | None:
-        limit_s = self.timing.heartbeat * 3
+        limit_s = self.timeouts.heartbeat * 3
         try:
             body = await self.send(member, "probe", ProbeRequest(suspect), limit_s)
             reply: ProbeReply = decode(body, ProbeReply)
@@ -306,12 +320,12 @@
         """Find out for another member whether we can reach one."""
         return ProbeReply(await self._reach(request.member))
 
-    def status(self) -> Status:
+    def status(self) -> StandbyStatus:
         """What operators are shown."""
         leading = self.leader.leading
-        return Status(
-            self.session.me,
-            self.session.leader,
+        return StandbyStatus(
+            self.registration.me,
+            self.registration.leader,
             leading,
             self.leader.ready,
             self.log.term if leading else self.replica.term,
@@ -329,7 +343,7 @@
             return encode(await self.probe(decode(body, ProbeRequest)))
         if name == "confirm":
             decode(body, ConfirmRequest)
-            if not self.session.valid():
+            if not self.registration.lease_is_valid():
                 # What it knows may be another's by now.
                 raise KeyError(name)
             return encode(self.summary())
--- a/src/beamspar/state/client.py
+++ b/src/beamspar/state/client.py
@@ -11,7 +11,7 @@
 from twisted.internet.defer import Deferred
 
 from beamspar.protocol.wire import pack, unpack
-from beamspar.settings import Settings, Timing
+from beamspar.settings import Settings, Timeouts
 from beamspar.transport.http import Answer, CallFailedError, Clock, Net, sleep
 
 
@@ -43,7 +43,7 @@
         self.failed = failed
 
 
-class Item(msgspec.Struct):
+class KeyValue(msgspec.Struct):
     """A key with its value and version."""
 
     key: str
@@ -51,7 +51,7 @@
     version: int = msgspec.field(name="entry_rev")
 
 
-class Event(msgspec.Struct):
+class WatchEvent(msgspec.Struct):
     """A change that a watch tells of."""
 
     version: int = msgspec.field(name="entry_rev")
@@ -115,13 +115,13 @@
 
     SHARE = 1.25
 
-    def __init__(self, clock: Clock, net: Net, settings: Settings, timing: Timing) -> None:
+    def __init__(self, clock: Clock, net: Net, settings: Settings, timeouts: Timeouts) -> None:
         self.clock = clock
         self.net = net
         self.address = settings.services.state
-        self.facts = settings.facts.state
-        self.limit_s = timing.call
-        nodes = max(settings.facts.nodes, 1)
+        self.facts = settings.platform.state
+        self.limit_s = timeouts.request
+        nodes = max(settings.platform.nodes, 1)
         self.smallest = self.facts.smallest
         fair = max(self.facts.rps / nodes * self.SHARE * 0.8, 2.0)
         floor = self.smallest.rps / nodes * 0.8
@@ -218,14 +218,14 @@
         priority: int = ACCEPT,
         weight: float = 0.0,
         leaves: Callable[[], None] = lambda: None,
-    ) -> Item | None:
+    ) -> KeyValue | None:
         """One key; None if it does not exist. `leaves` is called as the request leaves."""
         await self._admit(priority, 0, weight)
         leaves()
         status, data = await self._call("GET", f"/store/{key}", None, self.limit_s, False)
         if status == 404:
             return None
-        item: Item = self._convert(data, Item, status)
+        item: KeyValue = self._convert(data, KeyValue, status)
         return item
 
     def _convert(self, data: Any, kind: Any, status: int) -> Any:
@@ -236,9 +236,9 @@
         except msgspec.ValidationError as error:
             raise StateUnavailableError(f"odd reply: {error}") from error
 
-    async def scan(self, prefix: str, priority: int = ACCEPT) -> tuple[list[Item], int]:
+    async def scan(self, prefix: str, priority: int = ACCEPT) -> tuple[list[KeyValue], int]:
         """All keys below the prefix, and a revision the first page is at least as new as."""
-        items: list[Item] = []
+        items: list[KeyValue] = []
         first = 0
         after = ""
         while True:
@@ -247,7 +247,7 @@
             if after:
                 path += f"&since={quote(after, safe='/')}"
             status, data = await self._call("GET", path, None, self.limit_s * 2, False)
-            rows = self._convert(data.get("rows", []), list[Item], status)
+            rows = self._convert(data.get("rows", []), list[KeyValue], status)
             revision = data.get("ledger_rev")
             if not isinstance(revision, int):
                 raise StateUnavailableError("odd reply: no ledger_rev")
@@ -257,7 +257,7 @@
                 return items, first
             after = rows[-1].key
 
-    async def multi(
+    async def transact(
         self,
         conditions: dict[str, int],
         changes: list[dict[str, Any]],
@@ -299,52 +299,52 @@
             raise OutcomeUnknownError(f"odd reply to a transaction: {status}")
         return revision
 
-    async def grant(self, life_s: float) -> int:
+    async def grant_lease(self, life_s: float) -> int:
         """A new lease of this length; its ID."""
         await self._admit(URGENT, 0)
         body = {"life_ms": int(life_s * 1000)}
         status, data = await self._call("POST", "/grants", body, self.limit_s, True)
-        permit = data.get("permit")
-        if status != 200 or not isinstance(permit, int):
+        lease_id = data.get("permit")
+        if status != 200 or not isinstance(lease_id, int):
             raise StateUnavailableError(f"odd reply to a grant: {status}")
-        return permit
+        return lease_id
 
-    async def extend(self, permit: int) -> None:
+    async def renew_lease(self, lease_id: int) -> None:
         """Renew a lease; raises LeaseExpiredError if it has ended."""
         await self._admit(URGENT, 0)
-        path = f"/grants/{permit}/extend"
+        path = f"/grants/{lease_id}/extend"
         status, _ = await self._call("POST", path, {}, self.limit_s, True)
         if status == 404:
-            raise LeaseExpiredError(f"grant {permit}")
+            raise LeaseExpiredError(f"grant {lease_id}")
         if status != 200:
             raise StateUnavailableError(f"odd reply to an extension: {status}")
 
-    async def revoke(self, permit: int) -> None:
+    async def revoke_lease(self, lease_id: int) -> None:
         """End a lease; its keys go with it."""
         await self._admit(URGENT, 0)
-        status, _ = await self._call("DELETE", f"/grants/{permit}", None, self.limit_s, True)
+        status, _ = await self._call("DELETE", f"/grants/{lease_id}", None, self.limit_s, True)
         if status not in (200, 204, 404):
             raise StateUnavailableError(f"odd reply to the end of a lease: {status}")
 
-    async def watch(self, prefix: str, since: int, hold_s: float) -> tuple[list[Event], int]:
+    async def watch(self, prefix: str, since: int, hold_s: float) -> tuple[list[WatchEvent], int]:
         """Changes below the prefix after a revision; empty when the time runs out."""
         await self._admit(URGENT, 0)
         path = f"/watch?under={quote(prefix, safe='/')}&since={since}&hold_ms={int(hold_s * 1000)}"
         status, data = await self._call("GET", path, None, hold_s + self.limit_s * 2, False)
         if status == 410:
             raise CompactedError
-        events = self._convert(data.get("events") or [], list[Event], status)
+        events = self._convert(data.get("events") or [], list[WatchEvent], status)
         revision = data.get("ledger_rev")
         if not isinstance(revision, int):
             raise StateUnavailableError("odd reply: no ledger_rev")
         return events, revision
 
 
-def put(key: str, value: Any, permit: int | None = None) -> dict[str, Any]:
+def put(key: str, value: Any, lease_id: int | None = None) -> dict[str, Any]:
     """A change that stores a value, on a lease if one is named."""
     change = {"put": key, "data": value}
-    if permit is not None:
-        change["permit"] = permit
+    if lease_id is not None:
+        change["permit"] = lease_id
     return change
 
 
--- a/src/beamspar/state/job_records.py
+++ b/src/beamspar/state/job_records.py
@@ -16,11 +16,11 @@
 
 import msgspec
 
-from beamspar.protocol.wire import Spec
-from beamspar.settings import StateFacts
-from beamspar.state.client import CHORE, Item, StateClient
+from beamspar.protocol.wire import JobSpec
+from beamspar.settings import StateServiceLimits
+from beamspar.state.client import CHORE, KeyValue, StateClient
 
-LIVE, WITHDRAWN, DONE = "live", "withdrawn", "done"
+LIVE, CANCELLED, DONE = "live", "withdrawn", "done"
 # Bytes that one task takes in a record at most, in JSON form, with room to spare.
 TASK_BYTES = 44
 # What a transaction may hold altogether (PROTOCOL), and the part of it that is used.
@@ -99,17 +99,17 @@
         return int(rest) if rest.isdigit() else None
 
 
-def first_layout(facts: StateFacts) -> Layout:
+def first_layout(facts: StateServiceLimits) -> Layout:
     """The layout of the first release: by the present limit, whatever has been announced."""
     return Layout(chunk_size(facts.value_kb), first=True)
 
 
-def small_layout(facts: StateFacts) -> Layout:
+def small_layout(facts: StateServiceLimits) -> Layout:
     """The layout that fits the smallest limit."""
     return Layout(chunk_size(facts.smallest.value_kb))
 
 
-def layout_of(record: JobRecord, facts: StateFacts) -> Layout:
+def layout_of(record: JobRecord, facts: StateServiceLimits) -> Layout:
     """The layout that a job's record was written in."""
     return Layout(record.per) if record.per else first_layout(facts)
 
@@ -119,7 +119,7 @@
     return max(int(value_kb * 1024 / 2 / TASK_BYTES), 1)
 
 
-def chunks_at_once(facts: StateFacts) -> int:
+def chunks_at_once(facts: StateServiceLimits) -> int:
     """Chunks that fit into one transaction beside the job's own record."""
     # Chunks of the first release's layout may be as large as the present limit lets them be.
     left = TXN_KB * MARGIN - facts.value_kb
@@ -137,20 +137,20 @@
     return found
 
 
-def read_job(item: Item) -> JobRecord:
+def read_job(item: KeyValue) -> JobRecord:
     """The job's record; raises ValidationError."""
     record: JobRecord = msgspec.convert(item.value, JobRecord)
     return record
 
 
-def read_spec(record: JobRecord) -> Spec:
+def read_spec(record: JobRecord) -> JobSpec:
     """What the user submitted; raises ValidationError."""
-    spec: Spec = msgspec.convert(record.spec, Spec)
+    spec: JobSpec = msgspec.convert(record.spec, JobSpec)
     return spec
 
 
 async def is_bound(
-    state: StateClient, facts: StateFacts, task: str, attempt: int, machine: str
+    state: StateClient, facts: StateServiceLimits, task: str, attempt: int, machine: str
 ) -> bool:
     """Does the stored record bind this attempt to this machine?"""
     job, _, index_text = task.partition("/")
--- a/src/beamspar/transport/http.py
+++ b/src/beamspar/transport/http.py
@@ -60,7 +60,7 @@
         return cls(public, peers, orders, max(peers // max(nodes - 1, 1), 1))
 
 
-class Gates:
+class ConnectionLimits:
     """Bounds the calls under way to workers and siblings: when many of them hang, each call
     holds its socket until its time is over."""
 
--- a/src/beamspar/transport/tcp.py
+++ b/src/beamspar/transport/tcp.py
@@ -10,7 +10,7 @@
 from twisted.internet.error import ConnectionRefusedError
 from twisted.internet.main import installReactor
 
-from beamspar.transport.http import Answer, CallFailedError, Gates, Handler, Sockets
+from beamspar.transport.http import Answer, CallFailedError, ConnectionLimits, Handler, Sockets
 from beamspar.transport.http_client import HttpClient
 from beamspar.transport.http_server import Site
 
@@ -43,7 +43,7 @@
         self.reactor = reactor
         self.idle_s = idle_s
         self.client = HttpClient(reactor, connect_s, idle_s)
-        self.gates = Gates(sockets)
+        self.gates = ConnectionLimits(sockets)
 
     def request(
         self, method: str, address: str, path: str, body: bytes | None, limit_s: float
--- a/tests/kill_leader.py
+++ b/tests/kill_leader.py
@@ -75,10 +75,10 @@
 class Killer:
     """Drives one run on a deployment."""
 
-    def __init__(self, world: Any, kills: int, dice: random.Random) -> None:
+    def __init__(self, world: Any, kills: int, rng: random.Random) -> None:
         self.world = world
         self.kills = kills
-        self.dice = dice
+        self.rng = rng
         self.jobs = 0
         self.submitting = True
 
@@ -112,27 +112,27 @@
             return
         job = f"j-{self.jobs}"
         self.jobs += 1
-        shape = self.dice.choice(["standing", "sweep", "sweep"])
-        run_s = self.dice.choice([1.0, 4.0])
-        self.world.submit(job, shape=shape, parcels=self.dice.randint(1, 3), run_s=run_s)
-        if shape == "standing" or self.dice.random() < 0.2:
-            self.world.clock.callLater(self.dice.uniform(0.5, 15.0), self.world.withdraw, job)
-        self.world.clock.callLater(self.dice.uniform(0.3, 1.2), self.submit)
+        shape = self.rng.choice(["standing", "sweep", "sweep"])
+        run_s = self.rng.choice([1.0, 4.0])
+        self.world.submit(job, shape=shape, parcels=self.rng.randint(1, 3), run_s=run_s)
+        if shape == "standing" or self.rng.random() < 0.2:
+            self.world.clock.callLater(self.rng.uniform(0.5, 15.0), self.world.cancel, job)
+        self.world.clock.callLater(self.rng.uniform(0.3, 1.2), self.submit)
 
     async def kill_once(self) -> Takeover:
         """Kill the one that decides, at a random moment, and wait for the next."""
         clock = self.world.clock
-        await sleep(clock, self.dice.uniform(0.0, 2.0))
+        await sleep(clock, self.rng.uniform(0.0, 2.0))
         status = await self.deciding()
         name = status["member"]
         followers = status["succession"]
-        held = followers[0] if followers and self.dice.random() < 0.25 else ""
+        held = followers[0] if followers and self.rng.random() < 0.25 else ""
         if held:
             # It falls behind, and wakes as the leader is gone.
             self.world.hold(held, True)
             await sleep(clock, 1.0)
         killed_at = clock.seconds()
-        self.world.crash(name, self.dice.choice([0.5, 3.0, 6.0]))
+        self.world.crash(name, self.rng.choice([0.5, 3.0, 6.0]))
         if held:
             self.world.hold(held, False)
         after = await self.deciding(status["term"])
@@ -232,7 +232,7 @@
     reactor: Any = steady_reactor()
     from tests.standins.loopback import LoopbackWorld, deploy_line, drive
 
-    dice = random.Random(seed)
+    rng = random.Random(seed)
     world = LoopbackWorld(
         reactor,
         seed,
@@ -242,7 +242,7 @@
         capacity=[{"kind": "small", "zone": zone, "count": 4} for zone in ZONES],
         machines=[{"kind": "small", "zone": zone, "count": 4} for zone in ZONES],
     )
-    result = drive(reactor, world, Killer(world, kills, dice).run())
+    result = drive(reactor, world, Killer(world, kills, rng).run())
     if report is not None:
         write_report(result, report)
     click.echo(orjson.dumps(msgspec.to_builtins(result)).decode())
--- a/tests/reshuffle.py
+++ b/tests/reshuffle.py
@@ -77,10 +77,10 @@
 class Reshuffler:
     """Drives one run on a deployment."""
 
-    def __init__(self, world: Any, minutes: float, dice: random.Random, faults: bool) -> None:
+    def __init__(self, world: Any, minutes: float, rng: random.Random, faults: bool) -> None:
         self.world = world
         self.minutes = minutes
-        self.dice = dice
+        self.rng = rng
         self.faults = faults
         self.jobs = 0
         self.going = True
@@ -109,13 +109,13 @@
         job = f"j-{self.jobs}"
         self.jobs += 1
         shape = "standing" if self.jobs % 15 == 0 else "sweep"
-        run_s = self.dice.choice([1.0, 5.0, 20.0])
-        self.world.submit(job, shape=shape, parcels=self.dice.randint(1, 4), run_s=run_s)
+        run_s = self.rng.choice([1.0, 5.0, 20.0])
+        self.world.submit(job, shape=shape, parcels=self.rng.randint(1, 4), run_s=run_s)
         if shape == "standing":
-            self.world.clock.callLater(self.dice.uniform(5.0, 60.0), self.world.withdraw, job)
+            self.world.clock.callLater(self.rng.uniform(5.0, 60.0), self.world.cancel, job)
         since, moving = self.world.clock.seconds(), self.moving
         self.world.clock.callLater(0.02, self._accepted, job, since, moving)
-        self.world.clock.callLater(self.dice.uniform(0.2, 0.8), self.submit)
+        self.world.clock.callLater(self.rng.uniform(0.2, 0.8), self.submit)
 
     def _accepted(self, job: str, since: float, moving: bool) -> None:
         at = self.world.checker.accepted.get(job)
@@ -130,35 +130,35 @@
 
     async def reshuffle(self) -> None:
         """Move some blocks to random controllers."""
-        blocks = sorted(k[8:] for k in self.world.state.items if k.startswith("c/block/"))
+        shards = sorted(k[8:] for k in self.world.state.items if k.startswith("c/block/"))
         leader = self.world.leader()
-        for block in self.dice.sample(blocks, min(len(blocks), 4)):
+        for shard in self.rng.sample(shards, min(len(shards), 4)):
             await self.ask(
-                leader, "move", {"block": block, "to": self.dice.choice(self.world.names)}
+                leader, "move", {"block": shard, "to": self.rng.choice(self.world.names)}
             )
 
     def disturb(self) -> None:
         """Kill or pause one or two controllers, or let one leave and come back."""
         alive = [n for n in self.world.names if n in self.world.network.alive]
-        kind = self.dice.choice(["kill", "kill", "pause", "leave"])
+        kind = self.rng.choice(["kill", "kill", "pause", "leave"])
         self.counts[kind] += 1
         self.disturbed_until = self.world.clock.seconds() + 25.0
         if kind == "kill" and len(alive) > 3:
-            for name in self.dice.sample(alive, self.dice.choice([1, 1, 2])):
-                self.world.crash(name, self.dice.choice([0.5, 3.0, 8.0]))
+            for name in self.rng.sample(alive, self.rng.choice([1, 1, 2])):
+                self.world.crash(name, self.rng.choice([0.5, 3.0, 8.0]))
         elif kind == "pause":
-            name = self.dice.choice(alive)
+            name = self.rng.choice(alive)
             self.world.hold(name, True)
             # The same process, for a killed one is started anew.
             process = self.world.processes[name]
-            for_s = self.dice.choice([0.5, 3.0, 20.0])
+            for_s = self.rng.choice([0.5, 3.0, 20.0])
             self.world.clock.callLater(for_s, self.world.wake, process)
         elif kind == "leave":
-            name = self.dice.choice(alive)
+            name = self.rng.choice(alive)
             ensureDeferred(self.ask(name, "leave", {}))
             undo = {"undo": True}
             self.world.clock.callLater(
-                self.dice.choice([1.0, 15.0]), lambda: ensureDeferred(self.ask(name, "leave", undo))
+                self.rng.choice([1.0, 15.0]), lambda: ensureDeferred(self.ask(name, "leave", undo))
             )
 
     async def run(self) -> Result:
@@ -185,10 +185,10 @@
             await self.reshuffle()
             if self.faults and clock.seconds() > next_fault:
                 # Often in the middle of the moves that were just asked for.
-                await sleep(clock, self.dice.uniform(0.0, 0.6))
+                await sleep(clock, self.rng.uniform(0.0, 0.6))
                 self.disturb()
-                next_fault = clock.seconds() + self.dice.uniform(8.0, 25.0)
-            await sleep(clock, self.dice.uniform(1.5, 3.5))
+                next_fault = clock.seconds() + self.rng.uniform(8.0, 25.0)
+            await sleep(clock, self.rng.uniform(1.5, 3.5))
             for gap in gaps[seen:]:
                 self._contact(gap)
             seen = len(gaps)
--- a/tests/standins/gangs.py
+++ b/tests/standins/gangs.py
@@ -31,9 +31,9 @@
     """Owns the attempts of all gangs and the progress of each job."""
 
     def __init__(
-        self, clock: SimClock, checker: Checker, dice: random.Random, facts: dict[str, Any]
+        self, clock: SimClock, checker: Checker, rng: random.Random, facts: dict[str, Any]
     ) -> None:
-        self.clock, self.checker, self.dice = clock, checker, dice
+        self.clock, self.checker, self.rng = clock, checker, rng
         self.wait_s, self.peer_s = facts["gang_wait_s"], facts["gang_peer_s"]
         self.attempts: dict[Key, Attempt] = {}
         # Progress that the next attempt goes on from.
@@ -102,7 +102,7 @@
         if attempt.stopped_at is not None:
             self.failed[attempt.job] = self.failed.get(attempt.job, 0) + 1
         for worker, key, task in list(attempt.members.values()):
-            wait = self.peer_s * self.dice.random()
+            wait = self.peer_s * self.rng.random()
             self.clock.callLater(wait, self._peers, worker, key, task)
 
     def _peers(self, worker: Worker, key: Key, task: dict[str, Any]) -> None:
--- a/tests/standins/history.py
+++ b/tests/standins/history.py
@@ -50,15 +50,15 @@
         by_revision: dict[int, list[dict[str, Any]]] = {}
         for revision, event in history:
             by_revision.setdefault(revision, []).append(event)
-        blocks: dict[str, list[str]] = {}
+        shards: dict[str, list[str]] = {}
         for revision, events in sorted(by_revision.items()):
             changed = [e for e in events if (e.get("put") or e["drop"]).startswith(BLOCK)]
             for event in changed:
                 machines = [m["name"] for m in event["data"]["machines"]] if "put" in event else []
-                blocks[event.get("put") or event["drop"]] = machines
+                shards[event.get("put") or event["drop"]] = machines
             if changed and not any(event.get("put") == LEADER for event in events):
                 self.faults.append(f"blocks change without the lead at {revision}")
-            names = [name for machines in blocks.values() for name in machines] if changed else []
+            names = [name for machines in shards.values() for name in machines] if changed else []
             if len(names) != len(set(names)):
                 self.faults.append(f"a machine is in two blocks at {revision}")
 
--- a/tests/standins/loopback.py
+++ b/tests/standins/loopback.py
@@ -75,8 +75,8 @@
 class LoopbackNetwork(Network):
     """Carries calls over TCP; each address of the simulation stands for a port."""
 
-    def __init__(self, clock: Any, dice: Any, reactor: Any) -> None:
-        super().__init__(clock, dice)
+    def __init__(self, clock: Any, rng: Any, reactor: Any) -> None:
+        super().__init__(clock, rng)
         self.reactor = reactor
         self.ports: dict[str, int] = {}
         self.net = RealNet(reactor, 1.5, 15.0, Sockets.of(10_000, 3))
@@ -129,11 +129,11 @@
         return LoopbackClock(self.reactor)
 
     def make_network(self) -> Network:
-        return LoopbackNetwork(self.clock, self.dice, self.reactor)
+        return LoopbackNetwork(self.clock, self.rng, self.reactor)
 
     def _new_worker(self, machine: dict[str, Any], kind: dict[str, Any]) -> Worker:
         return LoopbackWorker(
-            self.clock, self.network, self.checker, self.dice, machine["id"], kind,
+            self.clock, self.network, self.checker, self.rng, machine["id"], kind,
             machine["yard"], machine["standby"], self.workers_facts, self.addresses, self.gangs,
         )  # fmt: skip
 
--- a/tests/standins/net.py
+++ b/tests/standins/net.py
@@ -8,16 +8,23 @@
 
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from beamspar.transport.http import Answer, Call, CallFailedError, Gates, Handler, lasting
+from beamspar.transport.http import (
+    Answer,
+    Call,
+    CallFailedError,
+    ConnectionLimits,
+    Handler,
+    lasting,
+)
 from tests.standins.clock import SimClock
 
 
 class Network:
     """Carries calls between named hosts. A cut drops, or holds until it ends."""
 
-    def __init__(self, clock: SimClock, dice: random.Random, latency: float = 0.003) -> None:
+    def __init__(self, clock: SimClock, rng: random.Random, latency: float = 0.003) -> None:
         self.clock = clock
-        self.dice = dice
+        self.rng = rng
         self.latency = latency
         self.handlers: dict[str, tuple[str, Handler]] = {}
         self.generation: dict[str, int] = {}
@@ -110,7 +117,7 @@
             del self.doors[address][name]
 
     def _delay(self) -> float:
-        return self.latency * (0.5 + self.dice.random())
+        return self.latency * (0.5 + self.rng.random())
 
     def carry(self, source: str, target: str, deliver: Callable[[], None]) -> None:
         mode = self.cuts.get((source, target))
@@ -201,7 +208,7 @@
         self,
         network: Network,
         host: str,
-        gates: Gates,
+        gates: ConnectionLimits,
         failure: type[Exception] = CallFailedError,
     ) -> None:
         self.network = network
--- a/tests/standins/ownership.py
+++ b/tests/standins/ownership.py
@@ -23,7 +23,7 @@
         self.is_returned = is_returned
         self.ids: dict[str, int] = {}
         self.names: list[str] = []
-        self.blocks: dict[str, tuple[str, BitMap]] = {}
+        self.shards: dict[str, tuple[str, BitMap]] = {}
         self.leased = BitMap()
         self.acting: dict[tuple[str, int], str] = {}
         self.moving: dict[str, tuple[int, float]] = {}
@@ -36,12 +36,12 @@
         changed = [key for key in keys if key.startswith(BLOCK)]
         if not changed:
             return
-        before = {key: self.blocks.pop(key, ("", BitMap())) for key in changed}
+        before = {key: self.shards.pop(key, ("", BitMap())) for key in changed}
         for key in changed:
             if key in items:
                 value, revision, _ = items[key]
                 machines = BitMap(self._id(m["name"]) for m in value["machines"])
-                self.blocks[key] = (value["holder"], machines)
+                self.shards[key] = (value["holder"], machines)
                 holder = before[key][0]
                 if holder and holder != value["holder"]:
                     self.moves += 1
@@ -50,8 +50,8 @@
         self._check()
 
     def _check(self) -> None:
-        held = BitMap.union(*(machines for _, machines in self.blocks.values()), BitMap())
-        if sum(len(machines) for _, machines in self.blocks.values()) != len(held):
+        held = BitMap.union(*(machines for _, machines in self.shards.values()), BitMap())
+        if sum(len(machines) for _, machines in self.shards.values()) != len(held):
             self.faults.append(f"a machine is in two blocks at {self.clock.seconds():.2f}")
         for machine in self.leased - held:
             if not self.is_returned(self.names[machine]):
--- a/tests/standins/releases.py
+++ b/tests/standins/releases.py
@@ -48,12 +48,13 @@
         found: type[Exception] = getattr(http, "CallFailedError", None) or http.CallFailed
         return found
 
-    def node(self, clock: Any, net: Any, facts: dict[str, Any], tuning: Any, dice: Any) -> Any:
+    def node(self, clock: Any, net: Any, facts: dict[str, Any], tuning: Any, rng: Any) -> Any:
         """A controller; settings that it does not know are ignored, as from the file."""
         settings_module = self.module("settings")
         settings = msgspec.convert(facts, settings_module.Settings)
-        own = msgspec.convert(msgspec.to_builtins(tuning), settings_module.Tuning)
-        return self.module(self.node_module).Node(clock, net, settings, own, dice)
+        name = "Tuning" if hasattr(settings_module, "Tuning") else "OperatorSettings"
+        own = msgspec.convert(msgspec.to_builtins(tuning), getattr(settings_module, name))
+        return self.module(self.node_module).Node(clock, net, settings, own, rng)
 
 
 def _loaded() -> dict[str, ModuleType]:
--- a/tests/standins/sharing.py
+++ b/tests/standins/sharing.py
@@ -74,7 +74,7 @@
         self.run(self.clock.seconds() + 2.0)
         return got[0], got[1]
 
-    def blocks(self) -> dict[str, dict[str, Any]]:
+    def shards(self) -> dict[str, dict[str, Any]]:
         """The stored blocks by name."""
         items = self.state.items.items()
         return {key.removeprefix(BLOCK): v[0] for key, v in items if key.startswith(BLOCK)}
@@ -82,28 +82,28 @@
     def choose_move(self, source: str = "") -> tuple[str, str, str]:
         """A block without a trouble, who holds it, and another controller that does not lead."""
         leader = self.leader()
-        for name, record in sorted(self.blocks().items()):
+        for name, record in sorted(self.shards().items()):
             holder = record["holder"]
             others = [n for n in self.names if n not in (holder, leader)]
             if holder == source or (not source and holder != leader):
                 return name, holder, others[0]
         raise AssertionError(f"{source or 'nobody'} holds a block")
 
-    def reshuffle(self, dice: random.Random, until: float, every_s: float = 2.0) -> None:
+    def reshuffle(self, rng: random.Random, until: float, every_s: float = 2.0) -> None:
         """Ask for moves of random blocks to random controllers, again and again."""
         if self.clock.seconds() > until:
             return
-        blocks = sorted(self.blocks())
-        for block in dice.sample(blocks, min(len(blocks), 3)):
-            self.tell(self.leader(), "move", {"block": block, "to": dice.choice(self.names)})
-        self.clock.callLater(every_s, self.reshuffle, dice, until, every_s)
+        shards = sorted(self.shards())
+        for shard in rng.sample(shards, min(len(shards), 3)):
+            self.tell(self.leader(), "move", {"block": shard, "to": rng.choice(self.names)})
+        self.clock.callLater(every_s, self.reshuffle, rng, until, every_s)
 
-    def load(self, dice: random.Random, count: int, every_s: float) -> None:
+    def load(self, rng: random.Random, count: int, every_s: float) -> None:
         """Services that stay, and arrays of short tasks."""
         for number in range(6):
             self.clock.callLater(5 + number * 0.2, self.submit, f"j-s{number}", parcels=2)
         for number in range(count):
-            options = {"shape": "sweep", "parcels": 3, "run_s": dice.choice([1.0, 6.0])}
+            options = {"shape": "sweep", "parcels": 3, "run_s": rng.choice([1.0, 6.0])}
             self.clock.callLater(
                 8 + number * every_s, lambda n=number, o=options: self.submit(f"j-a{n}", **o)
             )
@@ -112,11 +112,11 @@
         """Machines that are up but whose block's holder could not give them work now."""
         found = {}
         for name, worker in self.cloud.workers.items():
-            holders = [r["holder"] for r in self.blocks().values()
+            holders = [r["holder"] for r in self.shards().values()
                        if any(m["name"] == name for m in r["machines"])]  # fmt: skip
             if worker.dead or worker.hung or name not in self.cloud.machines:
                 continue
-            holder = self.nodes[holders[0]].holder if len(holders) == 1 else None
+            holder = self.nodes[holders[0]].machine_controller if len(holders) == 1 else None
             held = holder.machines.get(name) if holder else None
             if held is None or not holder.summaries.usable(held):
                 found[name] = f"held by {holders}"
--- a/tests/standins/state.py
+++ b/tests/standins/state.py
@@ -82,7 +82,7 @@
         self.late_watches: dict[str, float] = {}
         # Told of each transaction's keys, once it is carried out, and of who sent it.
         self.on_commit: Callable[[list[str], Writer | None], None] = lambda keys, writer: None
-        self.dice = random.Random(1)
+        self.rng = random.Random(1)
         self._expire()
 
     def outage(self, on: bool) -> None:
@@ -155,11 +155,11 @@
             if self.at_once:
                 self._multi(body, writer)
             elif not self.lost:
-                self.clock.callLater(2 + 10 * self.dice.random(), self._late, body, writer)
+                self.clock.callLater(2 + 10 * self.rng.random(), self._late, body, writer)
             return await Deferred()
         if self.slow_s:
             slow: Deferred[None] = Deferred()
-            self.clock.callLater(self.slow_s * self.dice.random(), slow.callback, None)
+            self.clock.callLater(self.slow_s * self.rng.random(), slow.callback, None)
             await slow
         if call.path.startswith("/store/"):
             item = self.items.get(call.path.removeprefix("/store/"))
@@ -210,7 +210,7 @@
         keys = [change.get("put") or change["drop"] for change in changes]
         if not self.late_left or not any(key.startswith(self.late_keys) for key in keys):
             return False
-        if self.dice.random() >= self.late_share:
+        if self.rng.random() >= self.late_share:
             return False
         self.late_left -= 1
         return True
