--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -20,19 +20,19 @@
     """One machine's worker: keeps the token rules, the lease and its tasks."""
 
     def __init__(
-        self, clock: SimClock, network: Network, checker: Checker, dice: random.Random,
+        self, clock: SimClock, network: Network, checker: Checker, rng: random.Random,
         name: str, kind: dict[str, Any], zone: str, spot: bool, facts: dict[str, Any],
         nodes: dict[str, str], gangs: Gangs,
     ) -> None:  # fmt: skip
-        self.clock, self.network, self.checker, self.dice = clock, network, checker, dice
+        self.clock, self.network, self.checker, self.rng = clock, network, checker, rng
         self.name, self.kind, self.zone, self.spot = name, kind, zone, spot
         self.facts, self.nodes, self.gangs = facts, nodes, gangs
         self.address = f"{name}:9000"
-        self.token, self.session, self.seq = 0, 1, 0
+        self.token, self.agent_epoch, self.seq = 0, 1, 0
         self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
         self.images: set[str] = set()
         self.leased_at = clock.seconds()
-        self.target = dice.choice(sorted(nodes))
+        self.target = rng.choice(sorted(nodes))
         self.reporting = self.due = self.dead = self.sick = self._hung = False
         self.notice: float | None = None
         self.last_sent = -1e9
@@ -43,7 +43,7 @@
         self.acted: Callable[[str, int, str], None] = lambda machine, token, controller: None
         checker.where[name] = (kind["label"], zone, spot)
         network.serve(name, self.address, self.handle)
-        clock.callLater(dice.random(), self._beat)
+        clock.callLater(rng.random(), self._beat)
         self._lease()
 
     @property
@@ -75,7 +75,7 @@
         # its tasks are gone, whenever it wakes to notice.
         if self.clock.seconds() > self.leased_at + self.facts["lease_s"]:
             self._forget()
-            self.session += 1
+            self.agent_epoch += 1
             self.leased_at = self.clock.seconds()
             self.changed()
         self.clock.callLater(0.1, self._lease)
@@ -84,7 +84,7 @@
         self.seq += 1
         return {
             "rig": self.name, "address": self.address, "rig_kind": self.kind["label"],
-            "yard": self.zone, "standby": self.spot, "shift": self.session, "tally": self.seq,
+            "yard": self.zone, "standby": self.spot, "shift": self.agent_epoch, "tally": self.seq,
             "baton": self.token, "recall_s": self.notice,
             "parcels": [
                 {"parcel": t, "try": a, "status": s["status"], "exit_cause": s.get("why"),
@@ -98,7 +98,7 @@
             return
         if not self.hung:
             self._report()
-        wait = self.facts["report_s"] * (0.75 + 0.5 * self.dice.random())
+        wait = self.facts["report_s"] * (0.75 + 0.5 * self.rng.random())
         self.clock.callLater(wait, self._beat)
 
     def changed(self) -> None:
@@ -112,7 +112,7 @@
         if self.dead or self.hung or self.reporting:
             return
         self.due, self.reporting = False, True
-        sent, session = self.clock.seconds(), self.session
+        sent, agent_epoch = self.clock.seconds(), self.agent_epoch
         self.last_sent = sent
         body = pack(self.message())
         self.copies.append(body)
@@ -120,7 +120,7 @@
         call = self.network.request(
             self.name, "POST", self.nodes[self.target], "/v1/report", body, 4.0
         )
-        call.addCallbacks(lambda a: self._answered(a, sent, session), lambda _: self._next())
+        call.addCallbacks(lambda a: self._answered(a, sent, agent_epoch), lambda _: self._next())
 
     def _next(self) -> None:
         self.reporting = False
@@ -128,7 +128,7 @@
         self.target = names[(names.index(self.target) + 1) % len(names)]
         self.clock.callLater(1.0, self._report)
 
-    def _answered(self, answer: Answer, sent: float, session: int) -> None:
+    def _answered(self, answer: Answer, sent: float, agent_epoch: int) -> None:
         self.reporting = False
         data = unpack(answer.body) if answer.body else {}
         if (
@@ -140,7 +140,11 @@
             self.clock.callLater(0.2, self._report)
         elif answer.status != 200:
             self._next()
-        elif data.get("baton", -1) >= self.token and session == self.session and not self.dead:
+        elif (
+            data.get("baton", -1) >= self.token
+            and agent_epoch == self.agent_epoch
+            and not self.dead
+        ):
             self.acted(self.name, data["baton"], self.target)
             self._learn(data["baton"])
             self.leased_at = max(self.leased_at, sent)
@@ -161,7 +165,7 @@
             return Answer(500)
         if call.path == "/orders":
             body = unpack(call.body)
-            if body["baton"] < self.token or body["shift"] != self.session:
+            if body["baton"] < self.token or body["shift"] != self.agent_epoch:
                 return Answer(409, pack(self.message()))
             self.acted(self.name, body["baton"], caller)
             self._learn(body["baton"])
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -9,8 +9,8 @@
 from twisted.internet.defer import Deferred, ensureDeferred
 
 from beamspar.protocol.wire import pack, unpack
-from beamspar.settings import Settings, Tuning
-from beamspar.transport.http import CallFailedError, Gates, Sockets
+from beamspar.settings import OperatorSettings, Settings
+from beamspar.transport.http import CallFailedError, ConnectionLimits, Sockets
 from tests.standins import releases
 from tests.standins.checker import FINAL, Checker
 from tests.standins.clock import SimClock
@@ -39,7 +39,7 @@
 class World:
     def __init__(self, seed: int = 1, **options: Any) -> None:
         self.clock = self.make_clock()
-        self.dice = random.Random(seed)
+        self.rng = random.Random(seed)
         self.network = self.make_network()
         self.workers_facts = {
             "report_s": 3.0, "lease_s": 15.0, "cancel_s": 45.0,
@@ -51,7 +51,7 @@
             self.workers_facts["cancel_s"],
             {t["name"]: (t.get("cpus_max", 0.0), t.get("gpus_max", 0.0)) for t in teams},
         )
-        self.gangs = Gangs(self.clock, self.checker, self.dice, self.workers_facts)
+        self.gangs = Gangs(self.clock, self.checker, self.rng, self.workers_facts)
         state = {"rps": 200.0, "write_rps": 60.0, "value_kb": 4.0, "txn_ops": 8}
         state.update(options.get("state", {}))
         next_limits = state.pop("next", {})
@@ -104,7 +104,7 @@
         self.old = set(self.names if old == "all" else old)
         # Processes of production's release; what they sent may be carried out late.
         self.old_processes: set[Writer | None] = set()
-        self.tuning = Tuning(**options.get("tuning", {}))
+        self.tuning = OperatorSettings(**options.get("tuning", {}))
         self.nodes: dict[str, Any] = {}
         for place in options.get("capacity", []):
             self.cloud.capacity[(place["kind"], place["zone"], place.get("spot", False))] = place[
@@ -117,7 +117,7 @@
             for _ in range(m.get("count", 1)):
                 self.cloud.add(m["kind"], m["zone"], m.get("spot", False), 0.0)
         for name in self.names:
-            self.network.limits[name] = self.settings[name].facts.limits.sockets
+            self.network.limits[name] = self.settings[name].platform.limits.sockets
             self.boot(name)
         self.network.ordering = self._ordered
         self.checker.finished = self._finished
@@ -139,7 +139,7 @@
 
     def make_network(self) -> Network:
         """What carries the calls."""
-        return Network(self.clock, self.dice)
+        return Network(self.clock, self.rng)
 
     def _committed(self, keys: list[str], writer: Writer | None) -> None:
         """Stored jobs fit stored shares after each write, unless production's release wrote it.
@@ -158,7 +158,7 @@
 
     def _new_worker(self, machine: dict[str, Any], kind: dict[str, Any]) -> Worker:
         return Worker(
-            self.clock, self.network, self.checker, self.dice, machine["id"], kind,
+            self.clock, self.network, self.checker, self.rng, machine["id"], kind,
             machine["yard"], machine["standby"], self.workers_facts, self.addresses, self.gangs,
         )  # fmt: skip
 
@@ -248,13 +248,13 @@
 
     def _copied(self, body: bytes) -> None:
         until, share, for_next = self.copying
-        if self.clock.seconds() > until or self.dice.random() >= share:
+        if self.clock.seconds() > until or self.rng.random() >= share:
             return
         if for_next:
             self.kept.append(body)
             return
-        wait = 2.0 + 2 * self.workers_facts["lease_s"] * self.dice.random()
-        node = self.dice.choice(self.names)
+        wait = 2.0 + 2 * self.workers_facts["lease_s"] * self.rng.random()
+        node = self.rng.choice(self.names)
         self.clock.callLater(wait, self.call, node, "POST", "/v1/report", body)
 
     def mute(self, machine: str) -> None:
@@ -269,12 +269,12 @@
             worker.hung = True
             self.clock.callLater(hang_s, setattr, worker, "hung", False)
         for job in jobs:
-            self.clock.callLater(0.2 * self.dice.random(), self.withdraw, job)
+            self.clock.callLater(0.2 * self.rng.random(), self.cancel, job)
 
     def _finished(self, job: str) -> None:
         until, share = self.ending
-        if self.clock.seconds() <= until and self.dice.random() < share:
-            self.clock.callLater(0.01 * self.dice.random(), self.withdraw, job)
+        if self.clock.seconds() <= until and self.rng.random() < share:
+            self.clock.callLater(0.01 * self.rng.random(), self.cancel, job)
 
     def _look(self, job: str) -> None:
         """Users ask everybody, again and again, and repeat what they asked for."""
@@ -285,8 +285,8 @@
             for n in range(3):
                 self.clock.callLater(0.004 * n, self._poll, job, True, node)
             self.clock.callLater(0.003, self._submit, job, node, 0)
-        if self.dice.random() < share:
-            self.clock.callLater(0.002, self.withdraw, job)
+        if self.rng.random() < share:
+            self.clock.callLater(0.002, self.cancel, job)
 
     def odd(self, until: float) -> None:
         """Repeats of unfinished jobs, cancellations of done ones, and what can't be taken."""
@@ -295,14 +295,14 @@
         going = [j for j in self.checker.accepted if j not in self.checker.told]
         done = [j for j, (state, _) in self.checker.told.items() if state == "done"]
         if going:
-            job = self.dice.choice(going)
+            job = self.rng.choice(going)
             less = dict(self.checker.jobs[job], cpus=1e6)
             del less["shape"]
-            self.call(self.dice.choice(self.names), "POST", "/submissions", less).addCallback(
+            self.call(self.rng.choice(self.names), "POST", "/submissions", less).addCallback(
                 lambda result: self.checker.submitted(job, result[0])
             )
         if done:
-            self.withdraw(self.dice.choice(done))
+            self.cancel(self.rng.choice(done))
         bad = f"j-bad-{self.clock.seconds():.1f}"
         for name, spec in ((f"{bad}-a", dict(JOB, cpus=1e6)), (f"{bad}-b", dict(JOB))):
             spec["id"] = name
@@ -310,7 +310,7 @@
                 del spec["owner"]
             self.checker.bad.add(name)
             self.checker.asked.add(name)
-            node = self.dice.choice(self.names)
+            node = self.rng.choice(self.names)
             self.call(node, "POST", "/submissions", spec).addCallback(
                 lambda result, name=name: self.checker.submitted(name, result[0])
             )
@@ -320,16 +320,16 @@
 
     def boot(self, name: str) -> None:
         self.network.alive.add(name)
-        facts = self.settings[name].facts
-        gates = Gates(Sockets.of(facts.limits.sockets, facts.nodes))
+        facts = self.settings[name].platform
+        gates = ConnectionLimits(Sockets.of(facts.limits.sockets, facts.nodes))
         release = releases.production() if name in self.old else releases.present()
         if name in self.old:
             self.old_processes.add(Writer(name, self.network.generation.get(name, 0)))
         net = HostNet(self.network, name, gates, release.call_failed)
         drift = 0.0005 * (2 * self.names.index(name) / max(len(self.names) - 1, 1) - 1)
         clock = HostClock(self.network, name, drift)
-        dice = random.Random(self.dice.random())
-        node = release.node(clock, net, self.raw_settings[name], self.tuning, dice)
+        rng = random.Random(self.rng.random())
+        node = release.node(clock, net, self.raw_settings[name], self.tuning, rng)
         self.nodes[name] = node
         ensureDeferred(node.start())
 
@@ -376,7 +376,7 @@
         self._submit(job, node, 60)
 
     def _submit(self, job: str, node: str | None, tries: int) -> None:
-        target = node or self.dice.choice(self.names)
+        target = node or self.rng.choice(self.names)
         asked = self.clock.seconds()
 
         def answered(result: tuple[int, Any]) -> None:
@@ -395,7 +395,7 @@
         self.call(target, "POST", "/submissions", body).addCallback(answered)
 
     def _poll(self, job: str, once: bool = False, node: str | None = None) -> None:
-        node = node or self.dice.choice(self.names)
+        node = node or self.rng.choice(self.names)
         asked = self.clock.seconds()
 
         def answered(result: tuple[int, Any]) -> None:
@@ -409,8 +409,8 @@
 
         self.call(node, "GET", f"/submissions/{job}").addCallback(answered)
 
-    def withdraw(self, job: str, node: str | None = None) -> None:
-        target = node or self.dice.choice(self.names)
+    def cancel(self, job: str, node: str | None = None) -> None:
+        target = node or self.rng.choice(self.names)
         asked = self.clock.seconds()
 
         def answered(result: tuple[int, Any]) -> None:
@@ -419,7 +419,7 @@
             if job in self.checker.told and not old:
                 self._look(job)
             if result[0] not in (200, 404):
-                self.clock.callLater(1.0, self.withdraw, job)
+                self.clock.callLater(1.0, self.cancel, job)
 
         self.call(target, "POST", f"/submissions/{job}/withdraw").addCallback(answered)
 
--- a/tests/test_acceptor.py
+++ b/tests/test_acceptor.py
@@ -8,69 +8,69 @@
 import pytest
 from twisted.internet.defer import ensureDeferred
 
-from beamspar.cluster.registration import Session
-from beamspar.jobs.job_controller import Owner
+from beamspar.cluster.registration import Registration
+from beamspar.jobs.job_controller import JobController
 from beamspar.placement import Room
-from beamspar.protocol.wire import Spec
-from beamspar.quota.quota_manager import Budget
-from beamspar.settings import Timing, Tuning
-from beamspar.state.client import Item, OutcomeUnknownError, StateUnavailableError
+from beamspar.protocol.wire import JobSpec
+from beamspar.quota.quota_manager import QuotaManager
+from beamspar.settings import OperatorSettings, Timeouts
+from beamspar.state.client import KeyValue, OutcomeUnknownError, StateUnavailableError
 from beamspar.state.job_records import JobRecord
 from tests.standins.clock import SimClock
 from tests.test_budget import KEY, settings
 
-SPEC = Spec("j-1", "front", "red", "standing", "normal", 2, 2.0, 0.0, 1.0, "img", 1.0)
+SPEC = JobSpec("j-1", "front", "red", "standing", "normal", 2, 2.0, 0.0, 1.0, "img", 1.0)
 
 
 class Store:
     """Loses the answer to an accept, which is carried out late; reads may fail."""
 
     def __init__(self) -> None:
-        self.items: dict[str, Item] = {}
+        self.items: dict[str, KeyValue] = {}
         self.reads = 0
         # Does each second read of the job fail, which would take it into memory?
         self.failing = False
         self.renewed = 0
 
-    async def multi(self, conditions: Any, changes: Any, *rest: Any) -> int:
+    async def transact(self, conditions: Any, changes: Any, *rest: Any) -> int:
         if changes[0]["put"] == "job/j-1":
             self.accept = changes[0]["data"]
             raise OutcomeUnknownError("no answer")
         self.renewed += 1
         return 20
 
-    async def get(self, key: str, *rest: Any) -> Item | None:
+    async def get(self, key: str, *rest: Any) -> KeyValue | None:
         self.reads += key == "job/j-1"
         if self.failing and self.reads % 2 == 0:
             raise StateUnavailableError("refused")
         return self.items.get(key)
 
 
-def make() -> tuple[Owner, Store, SimClock]:
+def make() -> tuple[JobController, Store, SimClock]:
     clock, store = SimClock(), Store()
-    timing = Timing(settings(), Tuning())
-    session = Session(clock, store, settings(), timing)  # type: ignore[arg-type]
-    session.started, session.partition = True, "rig-0.1"
-    owner = Owner(clock, session, store, settings(), timing)  # type: ignore[arg-type]
-    owner.budget = budget = Budget(session, store, settings())  # type: ignore[arg-type]
-    budget.loaded = lambda: owner.loaded
-    session.learn("c/folio/rig-0.1", {"owner": "rig-0"}, 3)
-    session.learn(KEY, {"rig-0.1": [10.0, 0.0]}, 5)
-    session._caught_up(5)
+    timeouts = Timeouts(settings(), OperatorSettings())
+    registration = Registration(clock, store, settings(), timeouts)  # type: ignore[arg-type]
+    registration.started, registration.partition = True, "rig-0.1"
+    owner = JobController(clock, registration, store, settings(), timeouts)  # type: ignore[arg-type]
+    owner.quota_manager = quota_manager = QuotaManager(registration, store, settings())  # type: ignore[arg-type]
+    quota_manager.loaded = lambda: owner.loaded
+    registration.observe("c/folio/rig-0.1", {"owner": "rig-0"}, 3)
+    registration.observe(KEY, {"rig-0.1": [10.0, 0.0]}, 5)
+    registration._caught_up(5)
     owner.loaded = {"rig-0.1"}
     room = Room("m-1", "small", "east", False, 8.0, 0.0, 64.0)
     owner.placer.rooms = lambda: [room]
     # The session is kept valid by hand.
-    session.valid = lambda: True  # type: ignore[method-assign]
+    registration.lease_is_valid = lambda: True  # type: ignore[method-assign]
     return owner, store, clock
 
 
-def accept_in_doubt() -> tuple[Owner, Store, SimClock]:
+def accept_in_doubt() -> tuple[JobController, Store, SimClock]:
     owner, store, clock = make()
     failed: list[Any] = []
     ensureDeferred(owner.accept(SPEC)).addErrback(failed.append)
     assert failed and failed[0].check(OutcomeUnknownError)
-    assert owner.budget.used[("rig-0.1", "red")] == (4.0, 0.0)
+    assert owner.quota_manager.used[("rig-0.1", "red")] == (4.0, 0.0)
     return owner, store, clock
 
 
@@ -79,16 +79,16 @@
     record = msgspec.convert(store.accept, JobRecord)
     assert len(record.chunk.bound) == 2
     # Carried out late; and from then on taking it into memory fails.
-    store.items["job/j-1"] = Item("job/j-1", store.accept, 7)
+    store.items["job/j-1"] = KeyValue("job/j-1", store.accept, 7)
     store.failing = True
     clock.advance_to(60.0)
     assert store.renewed, "later accepts are void by now"
     assert "j-1" not in owner.jobs
-    assert owner.budget.used[("rig-0.1", "red")] == (4.0, 0.0)
+    assert owner.quota_manager.used[("rig-0.1", "red")] == (4.0, 0.0)
     store.failing = False
     clock.advance_to(70.0)
     assert owner.jobs["j-1"].bound == 2
-    assert owner.budget.used[("rig-0.1", "red")] == (4.0, 0.0)
+    assert owner.quota_manager.used[("rig-0.1", "red")] == (4.0, 0.0)
 
 
 def test_an_accept_that_can_not_be_stored_any_more_counts_no_longer() -> None:
@@ -96,4 +96,4 @@
     clock.advance_to(60.0)
     assert store.renewed
     assert owner.doubtful == {}
-    assert owner.budget.used[("rig-0.1", "red")] == pytest.approx((0.0, 0.0))
+    assert owner.quota_manager.used[("rig-0.1", "red")] == pytest.approx((0.0, 0.0))
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -4,20 +4,20 @@
 
 from typing import Any
 
-from beamspar.cluster.registration import Partition, Session
+from beamspar.cluster.registration import JobPartition, Registration
 from beamspar.jobs.job import Job
-from beamspar.protocol.wire import Spec
-from beamspar.quota.quota_manager import Budget
+from beamspar.protocol.wire import JobSpec
+from beamspar.quota.quota_manager import QuotaManager
 from beamspar.settings import (
-    CloudFacts,
-    Facts,
+    CloudLimits,
+    OperatorSettings,
+    PlatformSettings,
     Services,
     Settings,
-    StateFacts,
+    StateServiceLimits,
     Team,
-    Timing,
-    Tuning,
-    WorkerFacts,
+    Timeouts,
+    WorkerSettings,
 )
 from beamspar.state.client import ConflictError, OutcomeUnknownError
 from beamspar.state.job_records import Layout
@@ -33,7 +33,7 @@
         self.answers = list(answers)
         self.written: list[Any] = []
 
-    async def multi(self, conditions: Any, changes: Any, *rest: Any) -> int:
+    async def transact(self, conditions: Any, changes: Any, *rest: Any) -> int:
         self.written.append((conditions[KEY], changes[0]["data"]))
         answer = self.answers.pop(0)
         if isinstance(answer, Exception):
@@ -42,75 +42,78 @@
 
 
 def settings() -> Settings:
-    facts = Facts(
-        WorkerFacts(3.0, 15.0, 45.0), StateFacts(200.0, 60.0, 4.0, 8), CloudFacts(3.0, 8.0), 1,
+    facts = PlatformSettings(
+        WorkerSettings(3.0, 15.0, 45.0),
+        StateServiceLimits(200.0, 60.0, 4.0, 8), CloudLimits(3.0, 8.0), 1,
         teams=[Team("red", cpus_max=10.0)],
     )  # fmt: skip
     return Settings("rig-0", "rig-0:80", "rig-0:81", Services("cloud:1", "state:1"), facts)
 
 
-def make(*answers: int | Exception) -> tuple[Budget, Session, Script]:
+def make(*answers: int | Exception) -> tuple[QuotaManager, Registration, Script]:
     clock, script = SimClock(), Script(*answers)
-    timing = Timing(settings(), Tuning())
-    session = Session(clock, script, settings(), timing)  # type: ignore[arg-type]
-    session.started, session.partition = True, "rig-0.1"
-    session.renewed_at = session.watched_at = 0.0
-    session.partitions["rig-0.1"] = Partition("rig-0", 3)
-    budget = Budget(session, script, settings())  # type: ignore[arg-type]
-    budget.loaded = lambda: {"rig-0.1"}
-    return budget, session, script
+    timeouts = Timeouts(settings(), OperatorSettings())
+    registration = Registration(clock, script, settings(), timeouts)  # type: ignore[arg-type]
+    registration.started, registration.partition = True, "rig-0.1"
+    registration.renewed_at = registration.watched_at = 0.0
+    registration.partitions["rig-0.1"] = JobPartition("rig-0", 3)
+    quota_manager = QuotaManager(registration, script, settings())  # type: ignore[arg-type]
+    quota_manager.loaded = lambda: {"rig-0.1"}
+    return quota_manager, registration, script
 
 
 def job(cpus: float, tasks: int = 1) -> Job:
-    spec = Spec("j-1", "front", "red", "sweep", "normal", tasks, cpus, 0.0, 1.0, "img", 1.0)
+    spec = JobSpec("j-1", "front", "red", "sweep", "normal", tasks, cpus, 0.0, 1.0, "img", 1.0)
     return Job(spec, "rig-0.1", Layout(46), 0.0)
 
 
-def count(budget: Budget, held: Job, tasks: int) -> None:
+def count(quota_manager: QuotaManager, held: Job, tasks: int) -> None:
     """Bind so many more tasks of the job, or unbind them with that stored."""
     for _ in range(abs(tasks)):
         if tasks > 0:
-            held.limit_use.bind(0)
+            held.quota_usage.bind(0)
         else:
-            held.limit_use.unbind(0)
-    held.limit_use.written(0, 0)
-    budget.recount(held)
+            held.quota_usage.unbind(0)
+    held.quota_usage.written(0, 0)
+    quota_manager.recount(held)
 
 
 def test_what_a_write_in_doubt_gave_back_is_not_used_again() -> None:
     # Version 5 leaves us 10. Another wants some, so we give back down to 2, without an answer;
     # then we want more again, and that write fails for the first was carried out.
-    budget, session, script = make(
+    quota_manager, registration, script = make(
         OutcomeUnknownError("lost"), ConflictError([KEY]), OutcomeUnknownError("lost")
     )
-    session.learn(KEY, {"rig-0.1": [10.0, 0.0], "rig-1.1": [0.0, 0.0, 3, 4.0, 0.0]}, 5)
+    registration.observe(KEY, {"rig-0.1": [10.0, 0.0], "rig-1.1": [0.0, 0.0, 3, 4.0, 0.0]}, 5)
     held = job(2.0)
-    count(budget, held, 1)
-    budget.tick()
+    count(quota_manager, held, 1)
+    quota_manager.tick()
     assert script.written == [(5, {"rig-0.1": [2.0, 0.0], "rig-1.1": [0.0, 0.0, 3, 4.0, 0.0]})]
-    assert budget.share("rig-0.1", "red") == (2.0, 0.0)
-    assert not budget.take(job(4.0), [0])
-    budget.tick()
+    assert quota_manager.share("rig-0.1", "red") == (2.0, 0.0)
+    assert not quota_manager.reserve(job(4.0), [0])
+    quota_manager.tick()
     assert len(script.written) == 2
-    assert budget.share("rig-0.1", "red") == (2.0, 0.0), "the conflict proves the first write"
-    assert not budget.take(job(4.0), [0])
+    assert quota_manager.share("rig-0.1", "red") == (2.0, 0.0), (
+        "the conflict proves the first write"
+    )
+    assert not quota_manager.reserve(job(4.0), [0])
     # The mirror tells at last: what it says holds again.
-    session.learn(KEY, {"rig-0.1": [2.0, 0.0], "rig-1.1": [8.0, 0.0]}, 6)
-    assert budget.share("rig-0.1", "red") == (2.0, 0.0)
-    session.learn(KEY, {"rig-0.1": [7.0, 0.0]}, 7)
-    assert budget.share("rig-0.1", "red") == (7.0, 0.0)
+    registration.observe(KEY, {"rig-0.1": [2.0, 0.0], "rig-1.1": [8.0, 0.0]}, 6)
+    assert quota_manager.share("rig-0.1", "red") == (2.0, 0.0)
+    registration.observe(KEY, {"rig-0.1": [7.0, 0.0]}, 7)
+    assert quota_manager.share("rig-0.1", "red") == (7.0, 0.0)
 
 
 def test_a_share_in_doubt_is_settled_by_another_write() -> None:
-    budget, session, script = make(OutcomeUnknownError("lost"), 9)
-    session.learn(KEY, {"rig-0.1": [6.0, 0.0], "rig-1.1": [0.0, 0.0, 3, 4.0, 0.0]}, 5)
+    quota_manager, registration, script = make(OutcomeUnknownError("lost"), 9)
+    registration.observe(KEY, {"rig-0.1": [6.0, 0.0], "rig-1.1": [0.0, 0.0, 3, 4.0, 0.0]}, 5)
     held = job(2.0, tasks=3)
-    count(budget, held, 3)
-    count(budget, held, -2)
-    budget.tick()
-    assert budget.share("rig-0.1", "red") == (2.0, 0.0)
+    count(quota_manager, held, 3)
+    count(quota_manager, held, -2)
+    quota_manager.tick()
+    assert quota_manager.share("rig-0.1", "red") == (2.0, 0.0)
     # What is used again by now is what the mirror says: only the doubt calls for a write.
-    count(budget, held, 2)
-    budget.tick()
+    count(quota_manager, held, 2)
+    quota_manager.tick()
     assert len(script.written) == 2
-    assert budget.share("rig-0.1", "red") == (6.0, 0.0)
+    assert quota_manager.share("rig-0.1", "red") == (6.0, 0.0)
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -70,26 +70,26 @@
     checker.start("j-1/1", 1, "m-2")
 
 
-def withdrawn(checker: Checker) -> None:
+def cancelled(checker: Checker) -> None:
     accepted(checker)
     checker.answered("j-1", 200, {"status": "withdrawn"}, 0.0)
 
 
 def ran_cancelled(checker: Checker) -> None:
     checker.start("j-1/0", 1, "m-1")
-    withdrawn(checker)
+    cancelled(checker)
     at(checker, 46.0)
     checker.sweep()
 
 
 def starts_late(checker: Checker) -> None:
-    withdrawn(checker)
+    cancelled(checker)
     at(checker, 46.0)
     checker.start("j-1/0", 1, "m-1")
 
 
 def started_cancelled(checker: Checker) -> None:
-    withdrawn(checker)
+    cancelled(checker)
     checker.ordered(orders(7, 1, [order_start("j-1/0", 1)]))
 
 
--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -13,10 +13,10 @@
 import msgspec
 import pytest
 
-from beamspar.cluster.registration import Block, block_record
+from beamspar.cluster.registration import MachineShard, shard_record
 from beamspar.placement import Room
 from beamspar.protocol import peer_messages as messages
-from beamspar.protocol.wire import Spec
+from beamspar.protocol.wire import JobSpec
 from beamspar.state import job_records as records
 from tests.standins import releases
 
@@ -24,12 +24,12 @@
 RECORD_TYPES = {"job/": "JobRecord", "task/": "Chunk", "end/": "EndRecord"}
 # Each message's type, and its answer's.
 MESSAGE_TYPES: dict[str, tuple[Any, Any]] = {
-    "sync": (list[messages.Sync], messages.Statuses),
-    "statuses": (messages.Statuses, None),
-    "asks": (messages.Asks, messages.Offers),
-    "beat": (messages.Summary, messages.Directions),
-    "pulse": (None, messages.Pulse),
-    "withdrawn": (messages.Withdrawals, None),
+    "sync": (list[messages.DesiredStateUpdate], messages.AttemptStatusBatch),
+    "statuses": (messages.AttemptStatusBatch, None),
+    "asks": (messages.CapacityRequestBatch, messages.CapacityOffers),
+    "beat": (messages.MemberHeartbeat, messages.HeartbeatResponse),
+    "pulse": (None, messages.HealthProbeResponse),
+    "withdrawn": (messages.CancellationNotice, None),
 }
 
 
@@ -50,11 +50,11 @@
             record = msgspec.convert(value, getattr(records, name))
             assert holds(msgspec.to_builtins(record), value)
     if key.startswith("job/"):
-        spec = msgspec.to_builtins(msgspec.convert(value["s"], Spec))
+        spec = msgspec.to_builtins(msgspec.convert(value["s"], JobSpec))
         assert holds(spec, value["s"])
     if key.startswith("c/block/"):
-        block = msgspec.convert(value, Block)
-        assert block_record(block.holder, block.machines, block.live, block.keep) == value
+        shard = msgspec.convert(value, MachineShard)
+        assert shard_record(shard.holder, shard.machines, shard.live, shard.keep) == value
 
 
 def test_every_kind_of_record_is_there() -> None:
@@ -77,15 +77,15 @@
 
 def test_our_messages_are_read_by_production() -> None:
     old = releases.production().module("control.messages")
-    want = messages.Want("host-1", 7, "j-1/0", 2, messages.RUN, gang=True)
-    sync = messages.Sync("rig-0", "rig-0.1", 3, 1, 9, [want])
+    desired = messages.DesiredAttempt("host-1", 7, "j-1/0", 2, messages.RUN, gang=True)
+    sync = messages.DesiredStateUpdate("rig-0", "rig-0.1", 3, 1, 9, [desired])
     read = old.decode(messages.encode([sync]), list[old.Sync])
     assert read[0].wants[0].task == "j-1/0" and not hasattr(read[0].wants[0], "gang")
     room = Room("host-1", "small", "east", False, 4.0, 0.0, 16.0)
-    view = messages.View(room, 7, True, False, False, False, False, False, 0.1, 2.0)
-    summary = messages.Summary("rig-0", 1, [view])
+    view = messages.MachineStatus(room, 7, True, False, False, False, False, False, 0.1, 2.0)
+    summary = messages.MemberHeartbeat("rig-0", 1, [view])
     assert old.decode(messages.encode(summary), old.Summary).views[0].room.name == "host-1"
-    directions = messages.Directions(True, True, True)
+    directions = messages.HeartbeatResponse(True, True, True)
     assert old.decode(messages.encode(directions), old.Directions).taken
 
 
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -50,19 +50,19 @@
     raise AssertionError("never caught up")
 
 
-def some_decision(dice: random.Random, number: int) -> Decision:
-    place = dice.choice(PLACES)
-    name = f"rig-0.1.{dice.randrange(20)}"
-    machines = [f"host-{dice.randrange(50)}"]
-    return dice.choice(
+def some_decision(rng: random.Random, number: int) -> Decision:
+    place = rng.choice(PLACES)
+    name = f"rig-0.1.{rng.randrange(20)}"
+    machines = [f"host-{rng.randrange(50)}"]
+    return rng.choice(
         [
             RentalAsked(name, place, 3),
-            RentalGranted(name, place, machines, dice.choice([0.0, 8.0])),
+            RentalGranted(name, place, machines, rng.choice([0.0, 8.0])),
             RentalRefused(name, place, 4.0),
             RentalAbandoned(name),
             MachinesUp(machines),
             MachinesReturned(machines, [place]),
-            CacheChanged(machines[0], dice.choice([{}, {f"image-{number}": 2.0}])),
+            CacheChanged(machines[0], rng.choice([{}, {f"image-{number}": 2.0}])),
         ]
     )
 
@@ -80,16 +80,16 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_copy_equals_the_original_however_it_was_caught_up(seed: int) -> None:
-    dice = random.Random(seed)
+    rng = random.Random(seed)
     clock, log, replica = pair()
     for number in range(600):
-        log.decide(some_decision(dice, number))
-        clock.advance_to(clock.now + dice.random())
-        if dice.random() < 0.05:
+        log.decide(some_decision(rng, number))
+        clock.advance_to(clock.now + rng.random())
+        if rng.random() < 0.05:
             catch_up(log, replica)
             assert plain(replica.state, clock.now) == plain(log.state, clock.now)
             assert (replica.term, replica.index, replica.lag) == (7, log.index, 0)
-        if dice.random() < 0.02:
+        if rng.random() < 0.02:
             # Its process was started anew, or another term began.
             replica = Replica(clock, LeadState())
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -23,12 +23,12 @@
         world.submit(job, "rig-0")
     for early, job in ((0.04, "j-x"), (0.02, "j-y")):
         world.run(12 + after - early)
-        world.withdraw(job, "rig-0")
+        world.cancel(job, "rig-0")
     world.run(12 + after)
     for other in ("state", "cloud", "rig-0", "rig-2"):
         world.network.cut("rig-1", other, "drop")
     for n in range(12):
-        world.withdraw(f"j-{n}", "rig-0")
+        world.cancel(f"j-{n}", "rig-0")
     world.run(12.1 + after)
     assert [world.status(f"j-{n}") for n in range(12)] == ["withdrawn"] * 12
     assert world.running("j-0") == 3, "nobody could tell the holder"
--- a/tests/test_failure_backoff.py
+++ b/tests/test_failure_backoff.py
@@ -7,8 +7,8 @@
 from beamspar.cluster.registration import Machine
 from beamspar.jobs.failure_backoff import LONGEST_PAUSE, PROBES, FailureBackoff
 from beamspar.machines.fault_evidence import MOST_JOBS, FaultEvidence
-from beamspar.machines.managed_machine import HeldMachine
-from beamspar.settings import Settings, Timing, Tuning
+from beamspar.machines.managed_machine import ManagedMachine
+from beamspar.settings import OperatorSettings, Settings, Timeouts
 from tests.standins.world import World
 
 RETRY_S = 0.5
@@ -22,15 +22,15 @@
     return backoff
 
 
-def machine(name: str) -> HeldMachine:
+def machine(name: str) -> ManagedMachine:
     """A held machine that has not failed anything yet."""
-    return HeldMachine(Machine(name, f"{name}:9000", "small", "east"), 7, 0.0, 0.0)
+    return ManagedMachine(Machine(name, f"{name}:9000", "small", "east"), 7, 0.0, 0.0)
 
 
 def evidence() -> FaultEvidence:
     """A holder's evidence, with the stand-ins' durations."""
     settings: Settings = World().settings["rig-0"]
-    return FaultEvidence(Timing(settings, Tuning()))
+    return FaultEvidence(Timeouts(settings, OperatorSettings()))
 
 
 def test_two_machines_do_not_blame_a_job() -> None:
@@ -69,11 +69,11 @@
     faults, one = evidence(), machine("host-1")
     assert faults.failed(one, "j-1", False, 1.0) == ["j-1"]
     assert faults.failed(one, "j-2", False, 2.0) == ["j-1", "j-2"]
-    assert one.bad and one.sick_until > 2.0
+    assert one.is_degraded and one.quarantined_until > 2.0
     faults.blame("j-1", [one])
-    assert not one.bad
+    assert not one.is_degraded
     faults.blame("j-2", [one])
-    assert one.sick_until == 0.0
+    assert one.quarantined_until == 0.0
     assert faults.failed(one, "j-2", True, 3.0) == []
     assert faults.failed(one, "j-1", False, 3.0) == [], "it was blamed before"
 
@@ -84,7 +84,7 @@
     assert faults.failed(one, "j-broken", True, 1.0) == []
     assert faults.failed(one, "j-1", False, 1.0) == ["j-1"]
     assert faults.failed(one, "j-2", False, 2.0) == ["j-1", "j-2"]
-    assert one.bad
+    assert one.is_degraded
 
 
 def test_memory_is_bounded() -> None:
@@ -92,7 +92,7 @@
     for number in range(MOST_JOBS * 2):
         faults.failed(one, f"j-{number}", False, float(number))
     assert len(faults._places) == MOST_JOBS
-    assert len(one.errors) <= faults.timing.worker_lease * 6 + 1
+    assert len(one.errors) <= faults.timeouts.worker_lease * 6 + 1
 
 
 def test_a_want_of_this_release_is_read_by_one_without_the_field() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,17 +4,17 @@
 
 from typing import Any
 
-from beamspar.leader.instance_manager import Fleet
+from beamspar.leader.instance_manager import InstanceManager
 from beamspar.placement import Room
-from beamspar.protocol.wire import MachineType, Spec
-from beamspar.settings import Timing, Tuning
+from beamspar.protocol.wire import JobSpec, MachineType
+from beamspar.settings import OperatorSettings, Timeouts
 from beamspar.standby.decisions import Booting
 from tests.standins.clock import SimClock
 from tests.test_budget import settings
 
 ZONES = ["east", "south", "west"]
 BIG = MachineType("big", 32.0, 0.0, 64.0, zones=ZONES)
-GANG = Spec(
+GANG = JobSpec(
     "j-1", "merge", "red", "ensemble", "normal", 4, 30.0, 0.0, 1.0, "img", 1.0, one_zone=True
 )
 
@@ -27,10 +27,10 @@
     ]
 
 
-def fleet() -> Fleet:
+def fleet() -> InstanceManager:
     unused: Any = None
-    timing = Timing(settings(), Tuning())
-    return Fleet(SimClock(), unused, unused, settings(), timing, {"big": BIG})
+    timeouts = Timeouts(settings(), OperatorSettings())
+    return InstanceManager(SimClock(), unused, unused, settings(), timeouts, {"big": BIG})
 
 
 def test_room_that_lies_in_several_zones_is_none_for_a_gang_of_one() -> None:
@@ -54,7 +54,7 @@
 def test_a_machine_later_than_boots_usually_are_is_no_room_to_come() -> None:
     rented = fleet()
     rented.booting["host-1"] = Booting("big", "east", False, 0.0)
-    task = Spec("j-2", "front", "red", "standing", "critical", 1, 30.0, 0.0, 1.0, "img", 1.0)
+    task = JobSpec("j-2", "front", "red", "standing", "critical", 1, 30.0, 0.0, 1.0, "img", 1.0)
     rented.clock.now = BIG.boot_s * 1.4  # type: ignore[attr-defined]
     assert rented.plan([(task, 1)], []) is None
     rented.clock.now = BIG.boot_s * 1.6  # type: ignore[attr-defined]
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -20,7 +20,7 @@
 from twisted.internet.defer import Deferred, ensureDeferred, succeed
 
 from beamspar import settings
-from beamspar.cluster import registration as session
+from beamspar.cluster import registration as registration
 from beamspar.leader import cloud_client as cloud
 from beamspar.machines import worker_client as workers
 from beamspar.node import node
@@ -28,7 +28,7 @@
 from beamspar.protocol import peer_messages as messages
 from beamspar.protocol import wire
 from beamspar.quota import allocations as shares
-from beamspar.quota import quota_manager as budget
+from beamspar.quota import quota_manager as quota_manager
 from beamspar.sharing import leave
 from beamspar.sharing import messages as sharing
 from beamspar.standby import decisions as log
@@ -70,12 +70,12 @@
 
 
 def machine() -> Any:
-    return session.Machine("host-7", "10.1.0.7:9000", "g8", "b", True)
+    return registration.Machine("host-7", "10.1.0.7:9000", "g8", "b", True)
 
 
-def want() -> Any:
+def desired() -> Any:
     amounts = (8.5, 1.5, 64.25, "img-07", 6.5)
-    return messages.Want(
+    return messages.DesiredAttempt(
         "host-7", 41, "j-1/3", 2, messages.RUN, *amounts, 1, True, 4.5, True, True, True
     )
 
@@ -86,7 +86,7 @@
 
 
 def view() -> Any:
-    return messages.View(room(), 41, True, True, True, True, True, True, 1.5, 2.5)
+    return messages.MachineStatus(room(), 41, True, True, True, True, True, True, 1.5, 2.5)
 
 
 def job_class() -> Any:
@@ -97,16 +97,18 @@
     seen = [msgspec.to_builtins(machine())]
     caches = {"host-7": {"img-07": 6.5}}
     told = (7, 9, seen, {"train": job_class()}, 12, caches, ["host-8"], True, 21, 0.25)
-    return messages.Summary("rig-1", 3, [view()], *told)
+    return messages.MemberHeartbeat("rig-1", 3, [view()], *told)
 
 
 def directions() -> Any:
     caches = {"host-7": {"img-07": 6.5}}
-    return messages.Directions(True, True, True, (12.5, 96.5), ["host-8"], caches, 13, ["host-9"])
+    return messages.HeartbeatResponse(
+        True, True, True, (12.5, 96.5), ["host-8"], caches, 13, ["host-9"]
+    )
 
 
 def status() -> Any:
-    return messages.Status("host-7", 41, "j-1/3", 2, messages.ENDED, "error", True)
+    return messages.AttemptStatus("host-7", 41, "j-1/3", 2, messages.ENDED, "error", True)
 
 
 def decisions() -> list[Any]:
@@ -154,7 +156,7 @@
 
 
 def job_record() -> Any:
-    return records.JobRecord(JOB, "rig-1.3", records.WITHDRAWN, 8, 1, chunk(), "rig-1.3-5", 372)
+    return records.JobRecord(JOB, "rig-1.3", records.CANCELLED, 8, 1, chunk(), "rig-1.3-5", 372)
 
 
 def least_job() -> dict[str, Any]:
@@ -162,8 +164,8 @@
 
 
 def report() -> Any:
-    tasks = [wire.TaskReport("j-1/3", 2, "ended", "stopped", True)]
-    return wire.Report("host-7", "10.1.0.7:9000", "g8", "b", 5, 88, 41, tasks, True, 20.5)
+    tasks = [wire.TaskStatus("j-1/3", 2, "ended", "stopped", True)]
+    return wire.WorkerHeartbeat("host-7", "10.1.0.7:9000", "g8", "b", 5, 88, 41, tasks, True, 20.5)
 
 
 def machine_type() -> Any:
@@ -172,7 +174,7 @@
 
 
 def rental() -> Any:
-    return wire.Rental("host-7", "10.1.0.7:9000", "g8", "b", True, "starting", 61.5)
+    return wire.Instance("host-7", "10.1.0.7:9000", "g8", "b", True, "starting", 61.5)
 
 
 def commands() -> list[Any]:
@@ -193,33 +195,42 @@
         first.key("j-1", 4),
         small.prefix("j-1"),
         small.key("j-1", 4),
-        session.CONTROL,
-        session.PARTITION,
-        session.BLOCK,
-        session.LEADER,
+        registration.CONTROL,
+        registration.PARTITION,
+        registration.BLOCK,
+        registration.LEADER,
         leave.LEAVING,
         node.TYPES,
-        budget.TEAM,
+        quota_manager.TEAM,
     ]
 
 
 def team_record() -> Any:
-    waiting = shares.Share(8.5, 1.5, 2, 4.5, 0.5, 412)
-    unserved = shares.Share(8.5, 1.5, 3, 4.5, 0.5)
-    record = shares.TeamShares({"rig-2.1": [1.5, 0.5]}, 400)
+    waiting = shares.Allocation(8.5, 1.5, 2, 4.5, 0.5, 412)
+    unserved = shares.Allocation(8.5, 1.5, 3, 4.5, 0.5)
+    record = shares.TeamQuota({"rig-2.1": [1.5, 0.5]}, 400)
     return record.with_share("rig-1.3", waiting).with_share("rig-3.1", unserved).raw
 
 
 # Sent between controllers: encoded as JSON. "-least" marks all that may be left out left out.
 PEER: dict[str, Callable[[], Any]] = {
-    "wants": lambda: [messages.Sync("rig-1", "rig-1.3", 412, 3, 9, [want()], ["host-7"])],
+    "wants": lambda: [
+        messages.DesiredStateUpdate("rig-1", "rig-1.3", 412, 3, 9, [desired()], ["host-7"])
+    ],
     "wants-least": lambda: [
-        messages.Sync(
-            "rig-1", "rig-1.3", 412, 3, 9, [messages.Want("host-7", 41, "j-1/3", 2, "stop")]
+        messages.DesiredStateUpdate(
+            "rig-1",
+            "rig-1.3",
+            412,
+            3,
+            9,
+            [messages.DesiredAttempt("host-7", 41, "j-1/3", 2, "stop")],
         )
     ],
-    "states": lambda: messages.Statuses([status()]),
-    "states-least": lambda: messages.Statuses([messages.Status("host-7", 41, "j-1/3", 2, "gone")]),
+    "states": lambda: messages.AttemptStatusBatch([status()]),
+    "states-least": lambda: messages.AttemptStatusBatch(
+        [messages.AttemptStatus("host-7", 41, "j-1/3", 2, "gone")]
+    ),
     "actions": lambda: [messages.RUN, messages.STOP, messages.CLEAR, messages.HOLD],
     "states-of-an-attempt": lambda: [
         messages.GONE,
@@ -227,19 +238,25 @@
         messages.ENDED,
         messages.KEPT,
     ],
-    "ask-for-room": lambda: messages.Asks(
-        "rig-1", [messages.Ask(JOB, 5, {"b": 2}, {"host-7": 1}, ["host-8"], 7.5)]
+    "ask-for-room": lambda: messages.CapacityRequestBatch(
+        "rig-1", [messages.CapacityRequest(JOB, 5, {"b": 2}, {"host-7": 1}, ["host-8"], 7.5)]
+    ),
+    "ask-for-room-least": lambda: messages.CapacityRequestBatch(
+        "rig-1", [messages.CapacityRequest({}, 1, {}, {}, [])]
+    ),
+    "offer-of-room": lambda: messages.CapacityOffers(
+        [messages.PlacementOffer("j-1", "host-7", True)]
+    ),
+    "offer-of-room-least": lambda: messages.CapacityOffers(
+        [messages.PlacementOffer("j-1", "host-7")]
     ),
-    "ask-for-room-least": lambda: messages.Asks("rig-1", [messages.Ask({}, 1, {}, {}, [])]),
-    "offer-of-room": lambda: messages.Offers([messages.Placed("j-1", "host-7", True)]),
-    "offer-of-room-least": lambda: messages.Offers([messages.Placed("j-1", "host-7")]),
     "heartbeat": heartbeat,
-    "heartbeat-least": lambda: messages.Summary("rig-1", 3, []),
-    "heartbeat-parts-least": lambda: messages.Summary(
+    "heartbeat-least": lambda: messages.MemberHeartbeat("rig-1", 3, []),
+    "heartbeat-parts-least": lambda: messages.MemberHeartbeat(
         "rig-1",
         3,
         [
-            messages.View(
+            messages.MachineStatus(
                 Room("host-7", "g8", "b", False, 0.0, 0.0, 0.0),
                 41,
                 *[False] * 6,
@@ -253,13 +270,15 @@
         {"train": messages.JobClass({})},
     ),
     "heartbeat-answer": directions,
-    "heartbeat-answer-least": lambda: messages.Directions(False),
-    "pulse": lambda: messages.Pulse(0.25),
-    "relayed-request": lambda: messages.Relay("POST", "/submissions", JOB),
-    "relayed-request-least": lambda: messages.Relay("GET", "/submissions/j-1"),
-    "relayed-answer": lambda: messages.Relayed(503, {"error": "busy"}, [("Retry-After", "2")]),
-    "relayed-answer-least": lambda: messages.Relayed(404),
-    "withdrawals": lambda: messages.Withdrawals({"j-1": 412}),
+    "heartbeat-answer-least": lambda: messages.HeartbeatResponse(False),
+    "pulse": lambda: messages.HealthProbeResponse(0.25),
+    "relayed-request": lambda: messages.ForwardedRequest("POST", "/submissions", JOB),
+    "relayed-request-least": lambda: messages.ForwardedRequest("GET", "/submissions/j-1"),
+    "relayed-answer": lambda: messages.ForwardedResponse(
+        503, {"error": "busy"}, [("Retry-After", "2")]
+    ),
+    "relayed-answer-least": lambda: messages.ForwardedResponse(404),
+    "withdrawals": lambda: messages.CancellationNotice({"j-1": 412}),
     "follow": lambda: standby.FollowRequest("rig-1", 412, 9, 512),
     "follow-least": lambda: standby.FollowRequest("rig-1"),
     "follow-answer": lambda: standby.FollowReply(
@@ -276,7 +295,7 @@
     "confirm": lambda: standby.ConfirmRequest("rig-1"),
     "probe": lambda: standby.ProbeRequest("rig-2"),
     "probe-answer": lambda: standby.ProbeReply(True),
-    "standby-status": lambda: standing.Status(
+    "standby-status": lambda: standing.StandbyStatus(
         "rig-1", "rig-2", True, True, 412, 9, 2, ["rig-3"], 4
     ),
     "prepare-move": lambda: sharing.PrepareRequest("rig-1", {"b-1": 41}, 7.5),
@@ -297,17 +316,17 @@
 OUTER: dict[str, Callable[[], Any]] = {
     "job-record": job_record,
     "job-record-least": lambda: records.JobRecord({}, "rig-1.3"),
-    "job-states": lambda: [records.LIVE, records.WITHDRAWN, records.DONE],
+    "job-states": lambda: [records.LIVE, records.CANCELLED, records.DONE],
     "tasks-record": chunk,
     "tasks-record-least": lambda: records.Chunk(),
     "end-record": lambda: records.EndRecord(records.DONE, 16),
-    "end-record-least": lambda: records.EndRecord(records.WITHDRAWN),
+    "end-record-least": lambda: records.EndRecord(records.CANCELLED),
     "keys": keys,
-    "block-record": lambda: session.block_record("rig-1", [machine()], True, 41),
-    "block-record-least": lambda: session.block_record("rig-1", [machine()]),
-    "block-machine-least": lambda: session.Machine("host-7", "10.1.0.7:9000", "g8", "b"),
+    "block-record": lambda: registration.shard_record("rig-1", [machine()], True, 41),
+    "block-record-least": lambda: registration.shard_record("rig-1", [machine()]),
+    "block-machine-least": lambda: registration.Machine("host-7", "10.1.0.7:9000", "g8", "b"),
     "team-record": team_record,
-    "release-told": lambda: session.RELEASE,
+    "release-told": lambda: registration.RELEASE,
     "submission": lambda: wire.parse_spec(JOB),
     "submission-least": lambda: wire.parse_spec(least_job()),
     "job-answer": lambda: wire.job_answer("j-1", "running", 3, 13),
@@ -318,18 +337,18 @@
     "orders": lambda: wire.unpack(wire.orders(41, 5, commands())),
     "report-answer": lambda: wire.report_answer(41, commands()),
     "report": report,
-    "report-least": lambda: wire.Report("host-7", "10.1.0.7:9000", "g8", "b", 5, 88, 41),
-    "task-report-least": lambda: wire.TaskReport("j-1/3", 2, "running"),
+    "report-least": lambda: wire.WorkerHeartbeat("host-7", "10.1.0.7:9000", "g8", "b", 5, 88, 41),
+    "task-report-least": lambda: wire.TaskStatus("j-1/3", 2, "running"),
     "machine-type": machine_type,
     "machine-type-least": lambda: wire.MachineType("g8", 96.5),
     "rental": rental,
-    "rental-least": lambda: wire.Rental("host-7"),
+    "rental-least": lambda: wire.Instance("host-7"),
     "put": lambda: state.put("a/b", {"n": 1}, 7),
     "put-least": lambda: state.put("a/b", None),
     "drop": lambda: state.drop("a/b"),
-    "stored-item": lambda: state.Item("a/b", {"n": 1}, 412),
-    "change-told": lambda: state.Event(412, "a/b", "c/d", {"n": 1}),
-    "change-told-least": lambda: state.Event(412),
+    "stored-item": lambda: state.KeyValue("a/b", {"n": 1}, 412),
+    "change-told": lambda: state.WatchEvent(412, "a/b", "c/d", {"n": 1}),
+    "change-told-least": lambda: state.WatchEvent(412),
 }
 
 
@@ -351,21 +370,21 @@
 
 def deployment() -> settings.Settings:
     """Settings of one of two controllers."""
-    facts = settings.Facts(
-        settings.WorkerFacts(3.0, 15.0, 45.0),
-        settings.StateFacts(100.0, 100.0, 32.0, 64),
-        settings.CloudFacts(5.0, 5.0),
+    facts = settings.PlatformSettings(
+        settings.WorkerSettings(3.0, 15.0, 45.0),
+        settings.StateServiceLimits(100.0, 100.0, 32.0, 64),
+        settings.CloudLimits(5.0, 5.0),
         2,
     )
     services = settings.Services("cloud:1", "state:1")
-    siblings = [settings.Sibling("rig-2", "rig-2:8")]
+    siblings = [settings.PeerSettings("rig-2", "rig-2:8")]
     return settings.Settings("rig-1", "rig-1:7", "rig-1:8", services, facts, "", siblings)
 
 
 def store(net: Recorder) -> state.StateClient:
     """A client of the state service."""
-    timing = settings.Timing(deployment(), settings.Tuning())
-    return state.StateClient(SimClock(), net, deployment(), timing)  # type: ignore[arg-type]
+    timeouts = settings.Timeouts(deployment(), settings.OperatorSettings())
+    return state.StateClient(SimClock(), net, deployment(), timeouts)  # type: ignore[arg-type]
 
 
 def renter(net: Recorder) -> cloud.CloudClient:
@@ -374,35 +393,35 @@
 
 
 async def get_key(net: Recorder) -> None:
-    assert await store(net).get("a/b") == state.Item("a/b", {"n": 1}, 412)
+    assert await store(net).get("a/b") == state.KeyValue("a/b", {"n": 1}, 412)
 
 
 async def scan_keys(net: Recorder) -> None:
     found, revision = await store(net).scan("c/x y")
-    assert found == [state.Item("c/x z", 1, 5), state.Item("c/x&", 2, 6)]
+    assert found == [state.KeyValue("c/x z", 1, 5), state.KeyValue("c/x&", 2, 6)]
     assert revision == 431
 
 
 async def write_keys(net: Recorder) -> None:
     changes = [state.put("a/b", {"n": 1}, 7), state.drop("c/d")]
-    assert await store(net).multi({"a/b": 0, "c/d": 5}, changes) == 432
+    assert await store(net).transact({"a/b": 0, "c/d": 5}, changes) == 432
 
 
 async def compare_keys(net: Recorder) -> None:
-    assert await store(net).multi({"a/b": 412}, []) == 432
+    assert await store(net).transact({"a/b": 412}, []) == 432
 
 
 async def leases(net: Recorder) -> None:
     client = store(net)
-    assert await client.grant(5.25) == 7
-    await client.extend(7)
-    await client.revoke(7)
+    assert await client.grant_lease(5.25) == 7
+    await client.renew_lease(7)
+    await client.revoke_lease(7)
 
 
 async def watch_keys(net: Recorder) -> None:
     events, revision = await store(net).watch("c/", 431, 2.5)
     assert revision == 433
-    assert events == [state.Event(433, "c/9", None, 1), state.Event(432, None, "c/d")]
+    assert events == [state.WatchEvent(433, "c/9", None, 1), state.WatchEvent(432, None, "c/d")]
 
 
 async def list_types(net: Recorder) -> None:
@@ -429,8 +448,8 @@
 
 
 async def relayed_request(net: Recorder) -> None:
-    tuning, dice = settings.Tuning(), random.Random(1)
-    sender = node.Node(SimClock(), net, deployment(), tuning, dice)  # type: ignore[arg-type]
+    tuning, rng = settings.OperatorSettings(), random.Random(1)
+    sender = node.Node(SimClock(), net, deployment(), tuning, rng)  # type: ignore[arg-type]
     call = http.Call("POST", "/submissions", {}, wire.pack(JOB))
     answer = http.Answer(503, wire.pack({"error": "busy"}), (("Retry-After", "2"),))
     assert await sender.relay("rig-2", call) == answer
@@ -514,7 +533,7 @@
     world.submit("j-long", shape="standing")
     world.load(random.Random(11), count=20, every_s=0.5)
     world.run(20)
-    world.withdraw("j-long")
+    world.cancel("j-long")
     world.run(20.5)
     assert marks == {"{'t': 1}"}, "the mark of a cancelled job"
     for path in ("shares", "standby"):
@@ -624,7 +643,9 @@
 
 def test_a_block_is_read_from_its_record() -> None:
     stored = wire.unpack(bytes.fromhex(pinned()["outer"]["block-record"]))
-    assert msgspec.convert(stored, session.Block) == session.Block("rig-1", [machine()], True, 41)
+    assert msgspec.convert(stored, registration.MachineShard) == registration.MachineShard(
+        "rig-1", [machine()], True, 41
+    )
 
 
 @pytest.mark.parametrize("module", [messages, standby, sharing, wire])
--- a/tests/test_gang.py
+++ b/tests/test_gang.py
@@ -4,12 +4,12 @@
 
 from beamspar.jobs.gang import LONGEST_PAUSE, Gang, Phase
 from beamspar.jobs.job import Job
-from beamspar.protocol.wire import Spec
+from beamspar.protocol.wire import JobSpec
 from beamspar.quota import quota_preemption as limit_yield
 from beamspar.state.job_records import Layout
 
 WAIT = 40.0
-SPEC = Spec(
+SPEC = JobSpec(
     "j-1", "merge", "red", "ensemble", "normal", 4, 2.0, 0.0, 1.0, "img", 1.0, checkpoint_s=5.0
 )
 
@@ -96,7 +96,7 @@
     assert gang.pause("j-1", 0.5) == 0.5
 
 
-def job(spec: Spec, since: float) -> Job:
+def job(spec: JobSpec, since: float) -> Job:
     made = Job(spec, "rig-0.1", Layout(46), since)
     for index in range(spec.tasks):
         task = made.take(index)
@@ -106,7 +106,7 @@
 
 def test_a_gang_that_yields_counts_whole() -> None:
     gang = job(SPEC, since=2.0)
-    array = job(Spec("j-2", "b", "red", "sweep", "normal", 2, 2.0, 0.0, 1.0, "img", 1.0), 1.0)
+    array = job(JobSpec("j-2", "b", "red", "sweep", "normal", 2, 2.0, 0.0, 1.0, "img", 1.0), 1.0)
     units = limit_yield.choose([gang, array], (), lambda rank: (3.0, 0.0))
     assert [(unit.job.id, len(unit.tasks), unit.cpus) for unit in units] == [("j-1", 4, 8.0)]
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -57,11 +57,11 @@
     world = SharingWorld(7)
     world.load(random.Random(7), count=40, every_s=0.5)
     world.run(20)
-    block, source, target = world.choose_move()
+    shard, source, target = world.choose_move()
     parts = {"source": source, "target": target, "leader": world.leader()}
     names = {parts[part] for part in victims.split()}
     world.hooks[moment] = lambda: fail_all(world, names, fault)
-    assert world.say(world.leader(), "move", {"block": block, "to": target})[0] == 200
+    assert world.say(world.leader(), "move", {"block": shard, "to": target})[0] == 200
     world.run(95)
     assert not world.hooks, "the moment never came"
     check_whole(world)
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -12,7 +12,7 @@
 ONE, OTHER = MachinesUp(["host-1"]), RentalAbandoned("r-1")
 
 
-def block(revision: int, name: str, *machines: str, lead: bool = True) -> list[Any]:
+def shard(revision: int, name: str, *machines: str, lead: bool = True) -> list[Any]:
     data = {"holder": "rig-0", "machines": [{"name": machine} for machine in machines]}
     events = [(revision, {"put": f"c/block/{name}", "data": data, "entry_rev": revision})]
     if lead:
@@ -28,7 +28,7 @@
     history.copied(1, 5, 1, ONE)
     history.copied(1, 5, 2, OTHER)
     history.restored(1, 9, 0)
-    history.stored(block(3, "a", "host-1") + block(4, "a", "host-1", "host-2"))
+    history.stored(shard(3, "a", "host-1") + shard(4, "a", "host-1", "host-2"))
     assert history.faults == []
 
 
@@ -51,8 +51,8 @@
         ),
         ("replaces", [("restored", 1, 5, 7), ("restored", 1, 5, 6)]),
         ("replaces", [("restored", 1, 5, 0), ("restored", 1, 4, 9)]),
-        ("without the lead", [("stored", block(3, "a", "host-1", lead=False))]),
-        ("in two blocks", [("stored", block(3, "a", "host-1") + block(4, "b", "host-1"))]),
+        ("without the lead", [("stored", shard(3, "a", "host-1", lead=False))]),
+        ("in two blocks", [("stored", shard(3, "a", "host-1") + shard(4, "b", "host-1"))]),
     ],
 )
 def test_a_fault_is_found(says: str, steps: list[tuple[Any, ...]]) -> None:
--- a/tests/test_job_writer.py
+++ b/tests/test_job_writer.py
@@ -14,21 +14,21 @@
     owner, store, _ = make()
     held: list[Deferred[int]] = []
 
-    async def multi(conditions: Any, changes: Any, *rest: Any) -> int:
+    async def transact(conditions: Any, changes: Any, *rest: Any) -> int:
         if not owner.jobs:
             return 7
         held.append(Deferred())
         return await held[-1]
 
-    store.multi = multi  # type: ignore[method-assign]
+    store.transact = transact  # type: ignore[method-assign]
     ensureDeferred(owner.accept(SPEC))
     job = owner.jobs["j-1"]
     key = ("rig-0.1", "red")
-    assert owner.budget.used[key] == (4.0, 0.0)
+    assert owner.quota_manager.used[key] == (4.0, 0.0)
     job.dirty.add(0)
     owner.writer.flush(job)
     assert len(held) == 1
     owner.forget(job)
-    assert owner.budget.used[key] == (0.0, 0.0)
+    assert owner.quota_manager.used[key] == (0.0, 0.0)
     held[0].callback(8)
-    assert owner.budget.used[key] == (0.0, 0.0)
+    assert owner.quota_manager.used[key] == (0.0, 0.0)
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -9,10 +9,10 @@
 import orjson
 from twisted.internet.defer import ensureDeferred
 
-from beamspar.cluster.registration import LEADER, Machine, Session, block_record
-from beamspar.leader.instance_manager import Fleet
+from beamspar.cluster.registration import LEADER, Machine, Registration, shard_record
+from beamspar.leader.instance_manager import InstanceManager
 from beamspar.leader.leader import Leader
-from beamspar.settings import NextLimits, Timing, Tuning
+from beamspar.settings import NextLimits, OperatorSettings, Timeouts
 from tests.standins.clock import SimClock
 from tests.test_budget import settings
 
@@ -26,7 +26,7 @@
         self.revision = 10
         self.written: list[tuple[dict[str, int], list[dict[str, Any]]]] = []
 
-    async def multi(self, conditions: Any, changes: Any, *rest: Any) -> int:
+    async def transact(self, conditions: Any, changes: Any, *rest: Any) -> int:
         self.written.append((conditions, changes))
         self.revision += 1
         return self.revision
@@ -34,16 +34,18 @@
 
 def make(next_limits: NextLimits) -> tuple[Leader, Recorder]:
     base = settings()
-    state = msgspec.structs.replace(base.facts.state, next=next_limits)
-    own = msgspec.structs.replace(base, facts=msgspec.structs.replace(base.facts, state=state))
-    timing, clock, recorder = Timing(own, Tuning()), SimClock(), Recorder()
+    state = msgspec.structs.replace(base.platform.state, next=next_limits)
+    own = msgspec.structs.replace(
+        base, platform=msgspec.structs.replace(base.platform, state=state)
+    )
+    timeouts, clock, recorder = Timeouts(own, OperatorSettings()), SimClock(), Recorder()
     unused: Any = None
     store: Any = recorder
-    session = Session(clock, store, own, timing)
-    session.learn(LEADER, {"name": "rig-0", "inc": 0}, 5)
-    dice = random.Random(1)
-    fleet = Fleet(clock, unused, session, own, timing, {})
-    leader = Leader(clock, session, store, fleet, own, timing, Tuning(), dice)
+    registration = Registration(clock, store, own, timeouts)
+    registration.observe(LEADER, {"name": "rig-0", "inc": 0}, 5)
+    rng = random.Random(1)
+    fleet = InstanceManager(clock, unused, registration, own, timeouts, {})
+    leader = Leader(clock, registration, store, fleet, own, timeouts, OperatorSettings(), rng)
     return leader, recorder
 
 
@@ -53,15 +55,15 @@
 
 def test_a_block_that_outgrew_the_limit_is_split_in_one_write() -> None:
     leader, recorder = make(NextLimits(value_kb=1.0))
-    leader.session.learn(KEY, block_record("rig-1", machines(20)), 7)
-    moved = block_record("rig-0", machines(20), live=True)
-    ensureDeferred(leader.blocks.write([(KEY, moved)]))
+    leader.registration.observe(KEY, shard_record("rig-1", machines(20)), 7)
+    moved = shard_record("rig-0", machines(20), live=True)
+    ensureDeferred(leader.shards.write([(KEY, moved)]))
     ((conditions, changes),) = recorder.written
-    blocks = {c["put"]: c["data"] for c in changes if c["put"].startswith("c/block/")}
-    assert len(blocks) > 1 and conditions[KEY] == 7
-    assert all(len(orjson.dumps(value)) <= 1024 for value in blocks.values())
-    assert all(value["holder"] == "rig-0" and value["live"] for value in blocks.values())
-    names = [machine["name"] for value in blocks.values() for machine in value["machines"]]
+    shards = {c["put"]: c["data"] for c in changes if c["put"].startswith("c/block/")}
+    assert len(shards) > 1 and conditions[KEY] == 7
+    assert all(len(orjson.dumps(value)) <= 1024 for value in shards.values())
+    assert all(value["holder"] == "rig-0" and value["live"] for value in shards.values())
+    names = [machine["name"] for value in shards.values() for machine in value["machines"]]
     assert sorted(names) == sorted(machine.name for machine in machines(20))
 
 
@@ -70,8 +72,8 @@
     changes = []
     for n in range(4):
         part = [msgspec.structs.replace(m, name=f"{m.name}-{n}") for m in machines(14)]
-        changes.append((f"c/block/{part[0].name}", block_record("rig-0", part)))
-    ensureDeferred(leader.blocks.write(changes))
+        changes.append((f"c/block/{part[0].name}", shard_record("rig-0", part)))
+    ensureDeferred(leader.shards.write(changes))
     for _, written in recorder.written:
         assert len(written) <= 6
     for key, value in changes:
--- a/tests/test_leave.py
+++ b/tests/test_leave.py
@@ -29,7 +29,7 @@
 
 
 def held(world: SharingWorld, member: str) -> list[str]:
-    return [name for name, record in world.blocks().items() if record["holder"] == member]
+    return [name for name, record in world.shards().items() if record["holder"] == member]
 
 
 @pytest.mark.parametrize("who", ["leader", "other"])
@@ -53,7 +53,7 @@
     world.crash(member, None)
     world.run(95)
     del world.nodes[member]
-    assert max(worker.session for worker in world.cloud.workers.values()) == 1
+    assert max(worker.agent_epoch for worker in world.cloud.workers.values()) == 1
     check_whole(world)
 
 
@@ -71,7 +71,7 @@
     assert set(standings(world).values()) == {"serving"}
     # West is theirs, and goes back to them.
     world.run(140)
-    holders = {r["holder"] for r in world.blocks().values() if r["machines"][0]["zone"] == "west"}
+    holders = {r["holder"] for r in world.shards().values() if r["machines"][0]["zone"] == "west"}
     assert holders and holders <= {"rig-1", "rig-3"}
     check_whole(world)
 
@@ -108,7 +108,7 @@
         world.crash(name, None)
     world.run(140)
     assert standings(world) == {member: "serving"}
-    assert len(held(world, member)) == len(world.blocks())
+    assert len(held(world, member)) == len(world.shards())
     for name in world.names[1:]:
         del world.nodes[name]
     check_whole(world)
@@ -121,7 +121,9 @@
     world.run(22)
     assert set(standings(world).values()) == {"serving"}
     assert world.say("rig-1", "leave", {})[1]["done"]
-    assert world.state.items["c/leaving"][0] == {"rig-1": world.nodes["rig-1"].session.inc}
+    assert world.state.items["c/leaving"][0] == {
+        "rig-1": world.nodes["rig-1"].registration.incarnation
+    }
     world.run(95)
     check_whole(world)
 
@@ -165,7 +167,7 @@
     )
     world.run(14)
     member = next(name for name in world.names if name != world.leader())
-    machines = sum(len(r["machines"]) for r in world.blocks().values() if r["holder"] == member)
+    machines = sum(len(r["machines"]) for r in world.shards().values() if r["holder"] == member)
     assert machines > 1300
     since, writes = world.clock.seconds(), len(world.state.history)
     world.tell(member, "leave", {})
@@ -175,5 +177,5 @@
     assert world.clock.seconds() - since < 17.0
     assert len(world.state.history) - writes < 100
     world.run(since + 18)
-    assert max(worker.session for worker in world.cloud.workers.values()) == 1
+    assert max(worker.registration for worker in world.cloud.workers.values()) == 1
     assert world.ownership.faults == [] and len(world.ownership.gaps) >= machines
--- a/tests/test_limit_use.py
+++ b/tests/test_limit_use.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from beamspar.jobs.job import Job
-from beamspar.protocol.wire import Spec
-from beamspar.quota.quota_usage import LimitUse
+from beamspar.protocol.wire import JobSpec
+from beamspar.quota.quota_usage import QuotaUsage
 from beamspar.state.job_records import Layout
 
 
-def bound(tasks: int, chunk: int = 0) -> LimitUse:
+def bound(tasks: int, chunk: int = 0) -> QuotaUsage:
     """Tasks that are bound in one chunk, and stored."""
-    use = LimitUse()
+    use = QuotaUsage()
     for _ in range(tasks):
         use.bind(chunk)
     use.written(chunk, use.writing(chunk))
@@ -49,21 +49,21 @@
 
 
 def test_both_layouts_count_until_all_chunks_are_written() -> None:
-    spec = Spec("j-1", "front", "red", "sweep", "normal", 8, 1.0, 0.0, 1.0, "img", 1.0)
+    spec = JobSpec("j-1", "front", "red", "sweep", "normal", 8, 1.0, 0.0, 1.0, "img", 1.0)
     job = Job(spec, "rig-0.1", Layout(46, first=True), 0.0)
     for index in range(8):
         job.take(index)
         job.bind(index, "host-1")
-    job.limit_use.written(0, job.limit_use.writing(0))
+    job.quota_usage.written(0, job.quota_usage.writing(0))
     for index in (0, 1):
         job.unbind(index)
         job.again.append(index)
     job.relayout(Layout(2))
-    assert job.limit_use.tasks == 8
+    assert job.quota_usage.tasks == 8
     for chunk in range(4):
-        job.limit_use.written(chunk, job.limit_use.writing(chunk))
-        assert job.limit_use.tasks == 8
+        job.quota_usage.written(chunk, job.quota_usage.writing(chunk))
+        assert job.quota_usage.tasks == 8
         assert job.waiting(0.0, 8) == [], "nothing is bound meanwhile"
-    job.limit_use.settle()
-    assert job.limit_use.tasks == 6
+    job.quota_usage.settle()
+    assert job.quota_usage.tasks == 6
     assert job.waiting(0.0, 8) == [0, 1]
--- a/tests/test_many_tasks.py
+++ b/tests/test_many_tasks.py
@@ -11,7 +11,7 @@
 from beamspar.jobs.job import Job
 from beamspar.jobs.placer import Placer
 from beamspar.protocol.peer_messages import WANTS_AT_ONCE
-from beamspar.protocol.wire import Spec
+from beamspar.protocol.wire import JobSpec
 from beamspar.state.job_records import Layout
 from tests.standins.world import ZONES, World
 
@@ -27,26 +27,26 @@
 
 
 def test_a_job_counts_what_a_look_at_every_task_would() -> None:
-    dice = random.Random(5)
-    spec = Spec("j-1", "sweep", "red", "sweep", "low", 60, 1.0, 0.0, 1.0, "img", 1.0)
+    rng = random.Random(5)
+    spec = JobSpec("j-1", "sweep", "red", "sweep", "low", 60, 1.0, 0.0, 1.0, "img", 1.0)
     job = Job(spec, "rig-0.1", Layout(8), 0.0)
     for _ in range(2000):
         bound = [index for index, task in job.tasks.items() if task.machine is not None]
         waiting = job.waiting(0.0, 5)
-        action = dice.choice(["bind", "unbind", "run", "save", "done"])
+        action = rng.choice(["bind", "unbind", "run", "save", "done"])
         if action == "bind" and waiting:
-            index = dice.choice(waiting)
+            index = rng.choice(waiting)
             job.take(index)
-            job.bind(index, dice.choice(MACHINES))
+            job.bind(index, rng.choice(MACHINES))
         elif bound:
-            index = dice.choice(bound)
+            index = rng.choice(bound)
             if action == "run":
                 job.saw(job.tasks[index], "running")
             elif action == "save":
                 job.saw(job.tasks[index], "saving")
             elif action in ("unbind", "done"):
                 job.unbind(index)
-                if action == "done" and dice.random() < 0.2:
+                if action == "done" and rng.random() < 0.2:
                     job.complete(index)
                 else:
                     job.again.append(index)
@@ -115,12 +115,16 @@
     for _ in range(40):
         world.run(world.clock.seconds() + 0.25)
         for node in world.nodes.values():
-            for machine in node.holder.machines.values():
-                live = [want for key, want in machine.wants.items() if machine.live(key)]
-                cpus = sum(want.cpus for want in live)
+            for machine in node.machine_controller.machines.values():
+                live = [
+                    desired
+                    for key, desired in machine.desired_attempts.items()
+                    if machine.live(key)
+                ]
+                cpus = sum(desired.cpus for desired in live)
                 assert machine.taken()[0] == pytest.approx(cpus)
-                for key, want in machine.wants.items():
-                    own = want.cpus if machine.live(key) else 0.0
+                for key, desired in machine.desired_attempts.items():
+                    own = desired.cpus if machine.live(key) else 0.0
                     assert machine.taken(key)[0] == pytest.approx(cpus - own)
     assert world.running("j-after") == 40
 
@@ -150,9 +154,9 @@
         world.run(40.0)
     large = [entry for entry in told if entry[2] >= MANY_WANTS]
     assert len(large) > 10
-    for pair, at, wants in large:
+    for pair, at, desired_attempts in large:
         following = [later for other, later, _ in told if other == pair and later > at]
-        pause = 0.5 * wants / WANTS_AT_ONCE
+        pause = 0.5 * desired_attempts / WANTS_AT_ONCE
         assert not following or following[0] >= at + pause * 0.99
 
 
@@ -166,7 +170,7 @@
     world.submit("j-low", urgency="low", **shape)
     world.submit("j-mid", urgency="normal", **shape)
     world.run(24.0)
-    assert max(node.owner.placer.late_s for node in world.nodes.values()) > 0.05
+    assert max(node.job_controller.placer.late_s for node in world.nodes.values()) > 0.05
     assert world.checker.starts.get("j-mid") == 6
     assert "j-low" not in world.checker.starts
     for name in world.names:
--- a/tests/test_moving_machines.py
+++ b/tests/test_moving_machines.py
@@ -112,7 +112,7 @@
 @pytest.mark.parametrize(("trouble", "moment"), CASES)
 def test_a_move_in_the_middle_of_trouble(trouble: str, moment: str) -> None:
     """Services, arrays and gangs of two teams at their limits; the checkers judge."""
-    dice = random.Random(9)
+    rng = random.Random(9)
     world = SharingWorld(
         9,
         teams=[{"name": "red", "cpus_max": 20.0}, {"name": "blue", "cpus_max": 16.0}],
@@ -120,12 +120,12 @@
         tuning={"block_size": 3},
     )
     for number in range(30):
-        world.clock.callLater(4 + number, load, world, dice, number)
+        world.clock.callLater(4 + number, load, world, rng, number)
     world.run(22)
-    block, source, target = world.choose_move()
-    machines = [machine["name"] for machine in world.blocks()[block]["machines"]]
+    shard, source, target = world.choose_move()
+    machines = [machine["name"] for machine in world.shards()[shard]["machines"]]
     world.hooks[moment] = lambda: TROUBLES[trouble](world, machines, source, target)
-    world.tell(world.leader(), "move", {"block": block, "to": target})
+    world.tell(world.leader(), "move", {"block": shard, "to": target})
     world.run(110)
     assert not world.hooks, "the moment never came"
     assert world.checker.broken == [] and world.ownership.faults == []
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -7,16 +7,16 @@
 import msgspec
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from beamspar.cluster.registration import Partition, Session
-from beamspar.jobs.job_controller import Owner
-from beamspar.protocol.wire import Spec
-from beamspar.settings import Timing, Tuning
-from beamspar.state.client import Item
+from beamspar.cluster.registration import JobPartition, Registration
+from beamspar.jobs.job_controller import JobController
+from beamspar.protocol.wire import JobSpec
+from beamspar.settings import OperatorSettings, Timeouts
+from beamspar.state.client import KeyValue
 from beamspar.state.job_records import JobRecord
 from tests.standins.clock import SimClock
 from tests.test_budget import settings
 
-SPEC = Spec("j-1", "front", "red", "sweep", "normal", 60, 1.0, 0.0, 1.0, "img", 1.0)
+SPEC = JobSpec("j-1", "front", "red", "sweep", "normal", 60, 1.0, 0.0, 1.0, "img", 1.0)
 
 
 class Slow:
@@ -24,12 +24,12 @@
 
     def __init__(self) -> None:
         record = JobRecord(msgspec.to_builtins(SPEC), "rig-1.1")
-        self.item = Item("job/j-1", msgspec.to_builtins(record), 7)
+        self.item = KeyValue("job/j-1", msgspec.to_builtins(record), 7)
         self.waiting: list[Deferred[Any]] = []
         # Are lists of jobs held back, too?
         self.slow_scans = False
 
-    async def scan(self, prefix: str, *rest: Any) -> tuple[list[Item], int]:
+    async def scan(self, prefix: str, *rest: Any) -> tuple[list[KeyValue], int]:
         if prefix == "job/":
             found = [self.item]
             if self.slow_scans:
@@ -42,16 +42,16 @@
         await held
         return [], 9
 
-    async def get(self, key: str, *rest: Any) -> Item | None:
+    async def get(self, key: str, *rest: Any) -> KeyValue | None:
         return self.item
 
 
-def make() -> tuple[Owner, Slow]:
+def make() -> tuple[JobController, Slow]:
     clock, slow = SimClock(), Slow()
-    timing = Timing(settings(), Tuning())
-    session = Session(clock, slow, settings(), timing)  # type: ignore[arg-type]
-    owner = Owner(clock, session, slow, settings(), timing)  # type: ignore[arg-type]
-    session.partitions["rig-1.1"] = Partition("rig-0", 3)
+    timeouts = Timeouts(settings(), OperatorSettings())
+    registration = Registration(clock, slow, settings(), timeouts)  # type: ignore[arg-type]
+    owner = JobController(clock, registration, slow, settings(), timeouts)  # type: ignore[arg-type]
+    registration.partitions["rig-1.1"] = JobPartition("rig-0", 3)
     owner.partitions.add("rig-1.1")
     return owner, slow
 
@@ -71,7 +71,7 @@
 def test_a_withdrawal_stored_after_the_read_is_heeded_as_the_job_is_kept() -> None:
     owner, slow = make()
     ensureDeferred(owner.load())
-    owner.session.learn_cancelled({"j-1": 20})
+    owner.registration.observe_cancellations({"j-1": 20})
     slow.waiting[0].callback(None)
     assert owner.jobs["j-1"].status == "withdrawn"
     assert not owner.jobs["j-1"].waiting(0.0, 1)
@@ -82,10 +82,10 @@
     owner, slow = make()
     slow.slow_scans = True
     ensureDeferred(owner.load())
-    owner.session.learn("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
-    newer = Item("job/j-1", {**slow.item.value, "t": {"b": [(0, 1, "host-1")]}}, 8)
+    owner.registration.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
+    newer = KeyValue("job/j-1", {**slow.item.value, "t": {"b": [(0, 1, "host-1")]}}, 8)
     # Lost and regained while the first reading is under way.
-    owner.session.learn("c/folio/rig-1.1", {"owner": "rig-0"}, 10)
+    owner.registration.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 10)
     slow.item = newer
     ensureDeferred(owner.load())
     for _ in range(4):
@@ -103,8 +103,8 @@
     owner, slow = make()
     slow.slow_scans = True
     ensureDeferred(owner.load())
-    owner.session.learn("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
-    owner.session.learn("c/folio/rig-1.1", {"owner": "rig-0"}, 10)
+    owner.registration.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
+    owner.registration.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 10)
     while slow.waiting:
         slow.waiting.pop().callback(None)
     assert owner.loaded == set()
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -15,49 +15,49 @@
     strands,
     turn,
 )
-from beamspar.protocol.wire import Spec
+from beamspar.protocol.wire import JobSpec
 
 ZONES = "xyz"
 
 
-def random_room(dice: random.Random, number: int) -> Room:
+def random_room(rng: random.Random, number: int) -> Room:
     return Room(
         f"m{number}",
-        dice.choice("abc"),
-        dice.choice(ZONES),
-        dice.random() < 0.3,
-        dice.choice([0.0, 2.0, 4.0, 8.0]),
-        dice.choice([0.0, 0.0, 1.0, 4.0]),
-        dice.choice([4.0, 16.0, 64.0]),
-        {image: 1.0 for image in "ij" if dice.random() < 0.4},
-        usable=dice.random() < 0.9,
-        fetching=dice.choice([0, 0, 1, 2]),
+        rng.choice("abc"),
+        rng.choice(ZONES),
+        rng.random() < 0.3,
+        rng.choice([0.0, 2.0, 4.0, 8.0]),
+        rng.choice([0.0, 0.0, 1.0, 4.0]),
+        rng.choice([4.0, 16.0, 64.0]),
+        {image: 1.0 for image in "ij" if rng.random() < 0.4},
+        usable=rng.random() < 0.9,
+        fetching=rng.choice([0, 0, 1, 2]),
     )
 
 
-def random_spec(dice: random.Random) -> Spec:
-    return Spec(
-        f"j-{dice.randrange(100)}",
+def random_spec(rng: random.Random) -> JobSpec:
+    return JobSpec(
+        f"j-{rng.randrange(100)}",
         "front",
         "red",
-        dice.choice(["standing", "ensemble", "sweep"]),
+        rng.choice(["standing", "ensemble", "sweep"]),
         "normal",
-        dice.randrange(1, 6),
-        dice.choice([1.0, 2.0]),
-        dice.choice([0.0, 0.0, 1.0]),
-        dice.choice([1.0, 8.0]),
+        rng.randrange(1, 6),
+        rng.choice([1.0, 2.0]),
+        rng.choice([0.0, 0.0, 1.0]),
+        rng.choice([1.0, 8.0]),
         "i",
         1.0,
-        kinds=dice.choice([None, ["a"], ["a", "b"]]),
-        zone=dice.choice([None, None, "x"]),
-        one_zone=dice.random() < 0.3,
-        spread=dice.random() < 0.4,
-        spot=dice.random() < 0.5,
+        kinds=rng.choice([None, ["a"], ["a", "b"]]),
+        zone=rng.choice([None, None, "x"]),
+        one_zone=rng.random() < 0.3,
+        spread=rng.random() < 0.4,
+        spot=rng.random() < 0.5,
     )
 
 
 def plain_choice(
-    spec: Spec,
+    spec: JobSpec,
     rooms: list[Room],
     zones: dict[str, int],
     machines: dict[str, int],
@@ -101,18 +101,18 @@
 
 
 def test_choose_finds_the_least_of_the_whole_key() -> None:
-    dice = random.Random(5)
+    rng = random.Random(5)
     found = 0
     for _ in range(2000):
-        rooms = [random_room(dice, number) for number in range(dice.randrange(1, 40))]
-        spec = random_spec(dice)
-        zones = {zone: dice.randrange(3) for zone in ZONES if dice.random() < 0.5}
-        machines = {f"m{dice.randrange(40)}": 1 for _ in range(3)}
-        avoid = {room.name for room in rooms if dice.random() < 0.1}
-        near = {room.name for room in rooms if dice.random() < 0.4}
-        slow = frozenset(kind for kind in "abc" if dice.random() < 0.3)
-        preference = Preference((dice.choice([0.0, 1.0]), dice.choice([0.0, 4.0])), slow)
-        warm_only = dice.random() < 0.3
+        rooms = [random_room(rng, number) for number in range(rng.randrange(1, 40))]
+        spec = random_spec(rng)
+        zones = {zone: rng.randrange(3) for zone in ZONES if rng.random() < 0.5}
+        machines = {f"m{rng.randrange(40)}": 1 for _ in range(3)}
+        avoid = {room.name for room in rooms if rng.random() < 0.1}
+        near = {room.name for room in rooms if rng.random() < 0.4}
+        slow = frozenset(kind for kind in "abc" if rng.random() < 0.3)
+        preference = Preference((rng.choice([0.0, 1.0]), rng.choice([0.0, 4.0])), slow)
+        warm_only = rng.random() < 0.3
         wanted = plain_choice(spec, rooms, zones, machines, avoid, near, warm_only, preference)
         chosen = choose(spec, rooms, zones, machines, avoid, near, warm_only, preference)
         assert chosen is wanted
@@ -123,5 +123,5 @@
 def test_what_is_taken_from_a_copy_leaves_the_room_as_it_is() -> None:
     room = random_room(random.Random(1), 1)
     before = (room.cpus, room.tasks)
-    copy(room).take(random_spec(random.Random(2)))
+    copy(room).reserve(random_spec(random.Random(2)))
     assert (room.cpus, room.tasks) == before
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -15,7 +15,7 @@
     return [Load(member, "east", amount) for member, amount in demand.items()]
 
 
-def blocks(holder: str, count: int, zone: str = "east", size: int = 4) -> list[Holding]:
+def shards(holder: str, count: int, zone: str = "east", size: int = 4) -> list[Holding]:
     return [Holding(f"{holder}-{zone}-{n:03}", holder, zone, size) for n in range(count)]
 
 
@@ -30,16 +30,16 @@
         if not moves:
             return total, holdings
         total += len(moves)
-        to = {move.block: move.target for move in moves}
+        to = {move.shard: move.target for move in moves}
         holdings = [
-            msgspec.structs.replace(block, holder=to.get(block.name, block.holder))
-            for block in holdings
+            msgspec.structs.replace(shard, holder=to.get(shard.name, shard.holder))
+            for shard in holdings
         ]
     raise AssertionError("it never comes to rest")
 
 
 def held(holdings: list[Holding], member: str) -> int:
-    return sum(block.machines for block in holdings if block.holder == member)
+    return sum(shard.machines for shard in holdings if shard.holder == member)
 
 
 def test_shares_follow_demand_within_bounds() -> None:
@@ -55,36 +55,36 @@
 
 
 def test_blocks_go_where_work_waits_and_then_rest() -> None:
-    start = blocks("a", 20) + blocks("b", 20) + blocks("c", 20)
+    start = shards("a", 20) + shards("b", 20) + shards("c", 20)
     moved, after = settle(loads(a=10, b=10, c=100), start)
     assert 0 < moved < 20
     assert held(after, "c") > held(after, "a") and held(after, "a") > 30
 
 
 def test_an_even_fleet_is_left_alone() -> None:
-    start = blocks("a", 20) + blocks("b", 21) + blocks("c", 19)
+    start = shards("a", 20) + shards("b", 21) + shards("c", 19)
     assert plan(loads(a=10, b=11, c=9), start, 10) == []
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_it_always_comes_to_rest(seed: int) -> None:
     """Whatever the start: no block goes back and forth under demand that stays."""
-    dice = random.Random(seed)
+    rng = random.Random(seed)
     zones = ["east", "west", "south"]
     members = [
-        Load(f"m{n}", dice.choice(zones), dice.randrange(100), dice.random(), dice.random() < 0.2)
-        for n in range(dice.randint(2, 6))
+        Load(f"m{n}", rng.choice(zones), rng.randrange(100), rng.random(), rng.random() < 0.2)
+        for n in range(rng.randint(2, 6))
     ]
     start = [
-        block
+        shard
         for member, zone in itertools.product([m.member for m in members], zones)
-        for block in blocks(member, dice.randrange(6), zone, dice.randint(1, 30))
+        for shard in shards(member, rng.randrange(6), zone, rng.randint(1, 30))
     ]
     moved, after = settle(members, start)
     assert moved <= len(start) * 2
     leaving = [m.member for m in members if m.leaving]
     if len(leaving) < len(members):
-        assert [block for block in after if block.holder in leaving] == []
+        assert [shard for shard in after if shard.holder in leaving] == []
     homes = {m.zone for m in members if not m.leaving}
     by_name = {m.member: m.zone for m in members}
     away = [b for b in after if b.zone in homes and by_name[b.holder] != b.zone]
@@ -92,8 +92,8 @@
 
 
 def test_what_rests_is_moved_by_a_leave_only_and_what_is_fixed_by_nothing() -> None:
-    resting = [msgspec.structs.replace(b, resting=True) for b in blocks("a", 10)]
-    fixed = [msgspec.structs.replace(b, fixed=True) for b in blocks("a", 10)]
+    resting = [msgspec.structs.replace(b, resting=True) for b in shards("a", 10)]
+    fixed = [msgspec.structs.replace(b, fixed=True) for b in shards("a", 10)]
     assert plan(loads(a=1, b=50), resting, 5) == []
     leaving = [Load("a", "east", 1, leaving=True), Load("b", "east", 1)]
     assert len(plan(leaving, resting, 5)) == 5
@@ -104,7 +104,7 @@
 def test_demand_that_alternates_moves_next_to_nothing() -> None:
     """Planned by the last heartbeat, the same blocks went back and forth with it."""
     average = DemandAverage(68.0)
-    holdings = blocks("a", 20) + blocks("b", 20)
+    holdings = shards("a", 20) + shards("b", 20)
     moved = {"averaged": 0, "last": 0}
     for way in moved:
         now = 0.0
@@ -116,7 +116,7 @@
                     average.take(member, amount, now)
                 averaged = {member: average.value(member) for member in demand}
                 moves = plan(loads(**(averaged if way == "averaged" else demand)), holdings, 3)
-                to = {move.block: move.target for move in moves}
+                to = {move.shard: move.target for move in moves}
                 moved[way] += len(moves) if minute > 10 else 0
                 holdings = [
                     msgspec.structs.replace(b, holder=to.get(b.name, b.holder)) for b in holdings
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -156,7 +156,7 @@
 
 from beamspar import cli
 from beamspar.node import node
-from beamspar.settings import Tuning, load
+from beamspar.settings import OperatorSettings, load
 
 
 class Probe:
@@ -174,7 +174,7 @@
 
 
 node.Node = Probe
-cli.serve(load(sys.argv[1]), Tuning())
+cli.serve(load(sys.argv[1]), OperatorSettings())
 """
 
 
--- a/tests/test_quiet_work.py
+++ b/tests/test_quiet_work.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from beamspar.machines.machine_controller import Holder
+from beamspar.machines.machine_controller import MachineController
 from tests.standins.world import ZONES, World
 
 QUIET_S = 60.0
@@ -72,36 +72,36 @@
     machines: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     world = settled_world(machines)
-    counts = {name: node.holder.changes for name, node in world.nodes.items()}
+    counts = {name: node.machine_controller.changes for name, node in world.nodes.items()}
     reports: list[str] = []
-    report = Holder.report
+    report = MachineController.report
 
-    def counting(holder: Holder, message: Any) -> Any:
+    def counting(holder: MachineController, message: Any) -> Any:
         reports.append(message.machine)
         return report(holder, message)
 
-    monkeypatch.setattr(Holder, "report", counting)
+    monkeypatch.setattr(MachineController, "report", counting)
     world.run(world.clock.seconds() + QUIET_S)
     assert len(reports) >= machines * QUIET_S / 3.0 * 0.8
-    assert {name: node.holder.changes for name, node in world.nodes.items()} == counts
+    assert {name: node.machine_controller.changes for name, node in world.nodes.items()} == counts
 
 
 def test_a_report_that_brings_nothing_new_takes_no_step(monkeypatch: pytest.MonkeyPatch) -> None:
     world = settled_world(30)
     steps: Counter[str] = Counter()
     reports: Counter[str] = Counter()
-    step, report = Holder.step, Holder.report
+    step, report = MachineController.step, MachineController.report
 
-    def counted_step(self: Holder, machine: Any) -> None:
+    def counted_step(self: MachineController, machine: Any) -> None:
         steps[machine.info.name] += 1
         step(self, machine)
 
-    def counted_report(self: Holder, message: Any) -> Any:
+    def counted_report(self: MachineController, message: Any) -> Any:
         reports[message.machine] += 1
         return report(self, message)
 
-    monkeypatch.setattr(Holder, "step", counted_step)
-    monkeypatch.setattr(Holder, "report", counted_report)
+    monkeypatch.setattr(MachineController, "step", counted_step)
+    monkeypatch.setattr(MachineController, "report", counted_report)
     world.run(world.clock.seconds() + QUIET_S)
     assert sum(reports.values()) > 30 * QUIET_S / 4
     assert sum(steps.values()) <= sum(reports.values()) * 0.05
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -14,17 +14,17 @@
 ROUNDS = 14
 
 
-def fault(world: World, dice: random.Random) -> None:
+def fault(world: World, rng: random.Random) -> None:
     """One trouble, alone or on top of those that still last."""
     names = world.names
     machines = [n for n, w in world.cloud.workers.items() if not w.dead]
-    machine = dice.choice(machines) if machines else None
+    machine = rng.choice(machines) if machines else None
     later = world.clock.callLater
-    span = dice.choice([1.0, 5.0, 12.0, 25.0, 45.0])
-    kind = dice.randrange(22)
+    span = rng.choice([1.0, 5.0, 12.0, 25.0, 45.0])
+    kind = rng.randrange(22)
     if kind == 0:
-        for name in dice.sample(names, dice.randint(1, len(names))):
-            world.crash(name, dice.choice([0.1, 1.0, 6.0, 40.0]))
+        for name in rng.sample(names, rng.randint(1, len(names))):
+            world.crash(name, rng.choice([0.1, 1.0, 6.0, 40.0]))
     elif kind == 1:
         world.state.outage(True)
         later(span, world.state.outage, False)
@@ -36,62 +36,62 @@
         later(span, setattr, worker, "hung", False)
     elif kind == 4 and machine:
         for name in names:
-            world.network.cut(name, machine, dice.choice(["drop", "hold"]), both=False)
+            world.network.cut(name, machine, rng.choice(["drop", "hold"]), both=False)
             later(span, world.network.heal, name, machine)
     elif kind == 5:
-        node = dice.choice(names)
+        node = rng.choice(names)
         others = ["state", "cloud", *(n for n in names if n != node)]
-        mode = dice.choice(["drop", "hold"])
-        for other in dice.sample(others, dice.randint(1, len(others))):
+        mode = rng.choice(["drop", "hold"])
+        for other in rng.sample(others, rng.randint(1, len(others))):
             world.network.cut(node, other, mode)
             later(span, world.network.heal, node, other)
     elif kind == 6 and machine:
         for body in world.cloud.workers[machine].copies[-20:]:
-            later(dice.random() * span, world.call, dice.choice(names), "POST", "/v1/report", body)
+            later(rng.random() * span, world.call, rng.choice(names), "POST", "/v1/report", body)
     elif kind == 7:
-        node = dice.choice(names)
-        mode = dice.choice(["drop", "hold"])
+        node = rng.choice(names)
+        mode = rng.choice(["drop", "hold"])
         for other in machines:
-            if dice.random() < 0.5:
+            if rng.random() < 0.5:
                 world.network.cut(node, other, mode)
                 later(span, world.network.heal, node, other)
     elif kind == 8 and machine:
-        world.cloud.workers[machine].sick = dice.random() < 0.7
+        world.cloud.workers[machine].sick = rng.random() < 0.7
     elif kind == 9:
         world.cloud.down = not world.cloud.down
     elif kind == 10:
-        world.state.late_share = dice.choice([0.1, 0.4])
+        world.state.late_share = rng.choice([0.1, 0.4])
         later(span, setattr, world.state, "late_share", 0.0)
     elif kind == 11:
-        world.state.slow_s = dice.choice([0.3, 1.5])
+        world.state.slow_s = rng.choice([0.3, 1.5])
         later(span, setattr, world.state, "slow_s", 0.0)
     elif kind == 12:
-        for name in dice.sample(names, dice.randint(1, len(names))):
+        for name in rng.sample(names, rng.randint(1, len(names))):
             world.network.frozen[name] = world.clock.seconds() + min(span, 25.0)
     elif kind == 14:
-        node = dice.choice([world.leader() or names[0], dice.choice(names)])
+        node = rng.choice([world.leader() or names[0], rng.choice(names)])
         world.state.refused.add(node)
         later(span, world.state.refused.discard, node)
-        if dice.random() < 0.5:
+        if rng.random() < 0.5:
             # Then out for everybody, for longer than a cancellation has.
             later(1.0, world.state.outage, True)
             later(1.0 + 59.0, world.state.outage, False)
     elif kind == 15:
-        world.state.late_share, world.state.at_once = dice.choice([0.1, 0.4]), True
+        world.state.late_share, world.state.at_once = rng.choice([0.1, 0.4]), True
         later(span, setattr, world.state, "late_share", 0.0)
         later(span, setattr, world.state, "at_once", False)
     elif kind == 16:
-        world.copying = (world.clock.seconds() + span, 0.4, dice.random() < 0.5)
+        world.copying = (world.clock.seconds() + span, 0.4, rng.random() < 0.5)
         if world.copying[2]:
-            later(span, world.crash, world.leader() or names[0], dice.choice([0.2, 6.0, 45.0]))
+            later(span, world.crash, world.leader() or names[0], rng.choice([0.2, 6.0, 45.0]))
     elif kind == 17 and machines:
-        for name in dice.sample(machines, min(len(machines), dice.choice([1, 4]))):
+        for name in rng.sample(machines, min(len(machines), rng.choice([1, 4]))):
             world.mute(name)
         later(span, world.network.barred.clear)
     elif kind == 18:
         jobs = [j for j in world.checker.accepted if j not in world.checker.told]
         jobs = [j for j in jobs if world.machines_of(j)]
-        world.cancel_now(dice.sample(jobs, min(len(jobs), 6)), dice.choice([0.0, 9.0, 14.0, 25.0]))
+        world.cancel_now(rng.sample(jobs, min(len(jobs), 6)), rng.choice([0.0, 9.0, 14.0, 25.0]))
     elif kind == 19:
         world.looking = (world.clock.seconds() + span, 0.2)
         world.ending = (world.clock.seconds() + span, 0.5)
@@ -99,36 +99,36 @@
         world.odd(world.clock.seconds() + span)
     elif kind == 21:
         # A controller without state service and siblings, but with its workers and users.
-        node = dice.choice([world.leader() or names[0], dice.choice(names)])
+        node = rng.choice([world.leader() or names[0], rng.choice(names)])
         for other in ("state", *(n for n in names if n != node)):
             world.network.cut(node, other, "hold")
             later(span, world.network.heal, node, other)
     elif kind == 13:
-        for name in dice.sample(machines, len(machines) // 2):
+        for name in rng.sample(machines, len(machines) // 2):
             worker = world.cloud.workers[name]
-            if dice.random() < 0.3:
+            if rng.random() < 0.3:
                 worker.die()
             else:
                 worker.hung = True
                 later(span, setattr, worker, "hung", False)
 
 
-def load(world: World, dice: random.Random, number: int) -> None:
+def load(world: World, rng: random.Random, number: int) -> None:
     job = f"j-{number}"
-    shape = dice.choice(["standing", "sweep", "sweep", "ensemble"])
+    shape = rng.choice(["standing", "sweep", "sweep", "ensemble"])
     world.submit(
         job,
         shape=shape,
-        parcels=dice.choice([1, 2, 3, 8, 40]) if shape == "sweep" else dice.randint(1, 4),
-        urgency=dice.choice(["critical", "normal", "low"]),
-        owner=dice.choice(["red", "blue"]),
-        cpus=float(dice.choice([1, 2])),
-        run_s=dice.choice([1.0, 2.0, 4.0]),
-        size_gb=dice.choice([0.5, 8.0]),
-        crate=f"img-{dice.randrange(3)}",
-        scatter=shape == "standing" and dice.random() < 0.5,
-        together=dice.random() < 0.2,
-        standby=dice.random() < 0.5,
+        parcels=rng.choice([1, 2, 3, 8, 40]) if shape == "sweep" else rng.randint(1, 4),
+        urgency=rng.choice(["critical", "normal", "low"]),
+        owner=rng.choice(["red", "blue"]),
+        cpus=float(rng.choice([1, 2])),
+        run_s=rng.choice([1.0, 2.0, 4.0]),
+        size_gb=rng.choice([0.5, 8.0]),
+        crate=f"img-{rng.randrange(3)}",
+        scatter=shape == "standing" and rng.random() < 0.5,
+        together=rng.random() < 0.2,
+        standby=rng.random() < 0.5,
         stamp_every_s=0.0 if shape == "standing" else 5.0,
         stamp_s=1.0,
     )
@@ -138,7 +138,7 @@
     """Use of teams' limits that no task accounts for: it would be lost to them for ever."""
     found = []
     for name, node in world.nodes.items():
-        owner = node.owner
+        owner = node.job_controller
         if owner is None:
             continue
         known: dict[tuple[str, str], float] = {}
@@ -146,7 +146,7 @@
         for job in (*owner.jobs.values(), *owner.arriving.values(), *doubtful):
             key = (job.partition, job.spec.team)
             known[key] = known.get(key, 0.0) + job.bound * job.spec.cpus
-        for key, (cpus, _) in owner.budget.used.items():
+        for key, (cpus, _) in owner.quota_manager.used.items():
             if abs(cpus - known.get(key, 0.0)) > 1e-6:
                 found.append(f"{name} {key}: {cpus}, known {known.get(key, 0.0)}")
     return found
@@ -180,10 +180,10 @@
     assert history.faults == []
 
 
-def slow_down(world: World, dice: random.Random) -> None:
+def slow_down(world: World, rng: random.Random) -> None:
     """Each controller's processor takes none, some or most of its time for what comes in."""
     for name in world.names:
-        world.network.cost_s[name] = dice.choice([0.0, 0.01, 0.04])
+        world.network.cost_s[name] = rng.choice([0.0, 0.01, 0.04])
 
 
 def upgraded(world: World) -> bool:
@@ -218,7 +218,7 @@
     world.run(world.clock.seconds() + 30)
     for job, spec in world.checker.jobs.items():
         if spec["shape"] == "standing" and job in world.checker.accepted:
-            world.withdraw(job)
+            world.cancel(job)
 
 
 def verify(world: World) -> None:
@@ -242,7 +242,7 @@
 def play(
     seed: int, size: int, upgrade: bool = False, slow: bool = False, standby: bool = False
 ) -> World:
-    dice = random.Random(seed)
+    rng = random.Random(seed)
     slow_dice = random.Random(seed)
     world = World(
         seed,
@@ -260,25 +260,25 @@
     )
     world.run(5)
     jobs = 0
-    waiting = dice.sample(world.names, len(world.names)) if upgrade else []
+    waiting = rng.sample(world.names, len(world.names)) if upgrade else []
     for number in range(ROUNDS):
-        if waiting and number >= 2 and dice.random() < 0.5:
-            world.upgrade(waiting.pop(), dice.choice([0.1, 1.0, 6.0, 25.0]))
+        if waiting and number >= 2 and rng.random() < 0.5:
+            world.upgrade(waiting.pop(), rng.choice([0.1, 1.0, 6.0, 25.0]))
         elif upgrade and number >= ROUNDS - 4 and upgraded(world):
             # At some moment after the upgrade, and without notice.
             world.state.lower(NEXT)
         for _ in range(2 * size):
             jobs += 1
-            load(world, dice, jobs)
-        if dice.random() < 0.6:
-            fault(world, dice)
+            load(world, rng, jobs)
+        if rng.random() < 0.6:
+            fault(world, rng)
         if slow:
             slow_down(world, slow_dice)
-        if dice.random() < 0.5:
-            job = f"j-{dice.randint(1, jobs)}"
+        if rng.random() < 0.5:
+            job = f"j-{rng.randint(1, jobs)}"
             if job in world.checker.accepted:
-                world.withdraw(job)
-        world.run(world.clock.seconds() + dice.choice([2.0, 7.0, 15.0]))
+                world.cancel(job)
+        world.run(world.clock.seconds() + rng.choice([2.0, 7.0, 15.0]))
     for name in waiting:
         world.upgrade(name, 1.0)
     calm_down(world)
--- a/tests/test_random_limits.py
+++ b/tests/test_random_limits.py
@@ -23,35 +23,35 @@
 ]
 
 
-def load(world: World, dice: random.Random, job: str, size: int) -> None:
+def load(world: World, rng: random.Random, job: str, size: int) -> None:
     """A job of a team whose limit its jobs exceed together."""
-    shape = dice.choice(["standing", "sweep", "sweep", "ensemble"])
-    owner = dice.choice(["red", "blue", "green"])
+    shape = rng.choice(["standing", "sweep", "sweep", "ensemble"])
+    owner = rng.choice(["red", "blue", "green"])
     world.submit(
         job,
         shape=shape,
-        parcels=dice.choice([3, 8, 40]) * size if shape == "sweep" else dice.randint(1, 6),
-        urgency=dice.choice(["critical", "normal", "low"]),
+        parcels=rng.choice([3, 8, 40]) * size if shape == "sweep" else rng.randint(1, 6),
+        urgency=rng.choice(["critical", "normal", "low"]),
         owner=owner,
-        cpus=float(dice.choice([1, 2])),
-        accelerators=float(dice.choice([0, 1])) if owner == "green" else 0.0,
-        run_s=dice.choice([1.0, 4.0, 9.0]),
-        together=dice.random() < 0.2,
-        standby=dice.random() < 0.5,
+        cpus=float(rng.choice([1, 2])),
+        accelerators=float(rng.choice([0, 1])) if owner == "green" else 0.0,
+        run_s=rng.choice([1.0, 4.0, 9.0]),
+        together=rng.random() < 0.2,
+        standby=rng.random() < 0.5,
         stamp_every_s=0.0 if shape == "standing" else 5.0,
         stamp_s=1.0,
     )
 
 
-def end_with_holders(world: World, dice: random.Random) -> None:
+def end_with_holders(world: World, rng: random.Random) -> None:
     """Controllers end as machines that were out of reach come back."""
     later = world.clock.callLater
     machines = [n for n, w in world.cloud.workers.items() if not w.dead]
-    lost = dice.sample(machines, max(len(machines) // 4, 1))
-    span = world.workers_facts["lease_s"] + dice.choice([1.0, 4.0, 9.0])
+    lost = rng.sample(machines, max(len(machines) // 4, 1))
+    span = world.workers_facts["lease_s"] + rng.choice([1.0, 4.0, 9.0])
     world.cloud.down = True
     later(span + 20.0, setattr, world.cloud, "down", False)
-    hangs = dice.random() < 0.5
+    hangs = rng.random() < 0.5
     for machine in lost:
         for node in world.names if not hangs else ():
             world.network.cut(node, machine, "drop")
@@ -59,27 +59,27 @@
         if hangs:
             world.cloud.workers[machine].hung = True
             later(span, setattr, world.cloud.workers[machine], "hung", False)
-    world.state.late_share = dice.choice([0.0, 0.3, 0.6])
-    world.state.late_keys = dice.choice(["", "job/"])
+    world.state.late_share = rng.choice([0.0, 0.3, 0.6])
+    world.state.late_keys = rng.choice(["", "job/"])
     later(span, setattr, world.state, "late_share", 0.0)
     later(span, setattr, world.state, "late_keys", "")
-    ends = dice.sample(world.names, dice.choice([2, 3]))
+    ends = rng.sample(world.names, rng.choice([2, 3]))
     for name in ends:
-        later(span - 1.0 + dice.random(), world.crash, name, dice.choice([0.2, 1.0, 25.0]))
+        later(span - 1.0 + rng.random(), world.crash, name, rng.choice([0.2, 1.0, 25.0]))
 
 
-def hear_late(world: World, dice: random.Random) -> None:
+def hear_late(world: World, rng: random.Random) -> None:
     """Some controllers hear of changes late, and one ends meanwhile."""
-    for name in dice.sample(world.names, dice.choice([1, 2])):
-        world.state.late_watches[name] = dice.choice([0.3, 1.5])
+    for name in rng.sample(world.names, rng.choice([1, 2])):
+        world.state.late_watches[name] = rng.choice([0.3, 1.5])
         world.clock.callLater(20.0, world.state.late_watches.pop, name, None)
-    if dice.random() < 0.7:
-        end = dice.choice(world.names)
-        world.clock.callLater(5.0 * dice.random(), world.crash, end, dice.choice([0.3, 30.0]))
+    if rng.random() < 0.7:
+        end = rng.choice(world.names)
+        world.clock.callLater(5.0 * rng.random(), world.crash, end, rng.choice([0.3, 30.0]))
 
 
 def play(seed: int, size: int, rounds: int = ROUNDS) -> World:
-    dice = random.Random(seed)
+    rng = random.Random(seed)
     teams = [
         {name: part * size if name != "name" else part for name, part in team.items()}
         for team in TEAMS
@@ -95,14 +95,14 @@
     for _ in range(rounds):
         for _ in range(4 * size):
             jobs += 1
-            load(world, dice, f"j-{jobs}", min(size, 3))
-        trouble = dice.choice([end_with_holders, end_with_holders, hear_late, fault, None])
+            load(world, rng, f"j-{jobs}", min(size, 3))
+        trouble = rng.choice([end_with_holders, end_with_holders, hear_late, fault, None])
         if trouble is not None:
-            trouble(world, dice)
-        for job in [f"j-{dice.randint(1, jobs)}" for _ in range(size)]:
-            if dice.random() < 0.4 and job in world.checker.accepted:
-                world.withdraw(job)
-        world.run(world.clock.seconds() + dice.choice([4.0, 12.0, 30.0]))
+            trouble(world, rng)
+        for job in [f"j-{rng.randint(1, jobs)}" for _ in range(size)]:
+            if rng.random() < 0.4 and job in world.checker.accepted:
+                world.cancel(job)
+        world.run(world.clock.seconds() + rng.choice([4.0, 12.0, 30.0]))
     calm_down(world)
     return world
 
@@ -125,12 +125,12 @@
     """Once all jobs are over nothing is in use, and each team can fill its limit again."""
     for job in world.checker.accepted:
         if job not in world.checker.told:
-            world.withdraw(job)
+            world.cancel(job)
     world.run(world.clock.seconds() + 60)
     used = {
         key: amounts
         for node in world.nodes.values()
-        for key, amounts in node.budget.used.items()
+        for key, amounts in node.quota_manager.used.items()
         if max(amounts) > 1e-6
     }
     assert used == {}
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -7,15 +7,21 @@
 import pytest
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from beamspar.cluster.registration import BLOCK, Machine, Session, block_record
+from beamspar.cluster.registration import BLOCK, Machine, Registration, shard_record
 from beamspar.jobs.assignments import Assignments
 from beamspar.jobs.job import Job, Task
 from beamspar.leader.cloud_client import CloudUnavailableError, MachinePage
-from beamspar.leader.instance_manager import PAGE_RETRIES, Fleet
-from beamspar.machines.machine_controller import Holder
-from beamspar.protocol.peer_messages import PEER_LIMIT, VIEWS_AT_ONCE, Sync, Want, encode
-from beamspar.protocol.wire import MachineType, Rental
-from beamspar.settings import Timing, Tuning
+from beamspar.leader.instance_manager import PAGE_RETRIES, InstanceManager
+from beamspar.machines.machine_controller import MachineController
+from beamspar.protocol.peer_messages import (
+    PEER_LIMIT,
+    VIEWS_AT_ONCE,
+    DesiredAttempt,
+    DesiredStateUpdate,
+    encode,
+)
+from beamspar.protocol.wire import Instance, MachineType
+from beamspar.settings import OperatorSettings, Timeouts
 from tests.standins.clock import SimClock
 from tests.test_budget import settings
 
@@ -24,22 +30,24 @@
 BIG = MachineType("big", 32.0, 8.0, 256.0, zones=["east"], cache_gb=200.0)
 
 
-def held_fleet(count: int) -> tuple[SimClock, Session, Holder]:
+def held_fleet(count: int) -> tuple[SimClock, Registration, MachineController]:
     """A controller that holds the whole fleet alone, each machine full of small tasks."""
-    clock, unused = SimClock(), Timing(settings(), Tuning())
+    clock, unused = SimClock(), Timeouts(settings(), OperatorSettings())
     store: Any = None
-    session = Session(clock, store, settings(), unused)
-    session.inc, session.fence_version = 1, 1
-    session.values[session.fence_key] = ({"inc": 1}, 1)
-    holder = Holder(clock, session, store, unused, lambda: {"big": BIG}, store)
+    registration = Registration(clock, store, settings(), unused)
+    registration.incarnation, registration.fence_version = 1, 1
+    registration.values[registration.fence_key] = ({"inc": 1}, 1)
+    holder = MachineController(clock, registration, store, unused, lambda: {"big": BIG}, store)
     machines = [Machine(f"host-{n:06d}", f"10.0.0.1:{n}", "big", "east") for n in range(count)]
-    session.learn(BLOCK + "host-000000", block_record(session.me, machines), 5)
+    registration.observe(BLOCK + "host-000000", shard_record(registration.me, machines), 5)
     for number, machine in enumerate(holder.machines.values()):
         for index in range(TASKS_EACH):
             key = (f"j-{number}/{index}", 1)
-            machine.wants[key] = Want(machine.info.name, 5, key[0], 1, "run", 1.0, 0.5, 3.25)
+            machine.desired_attempts[key] = DesiredAttempt(
+                machine.info.name, 5, key[0], 1, "run", 1.0, 0.5, 3.25
+            )
             machine.images[f"image-of-a-long-name-{number}-{index}"] = 16.125
-    return clock, session, holder
+    return clock, registration, holder
 
 
 def test_a_full_heartbeat_goes_in_parts_that_a_sibling_takes() -> None:
@@ -74,7 +82,7 @@
 class Book:
     """An owner's partition with the same tasks on every machine."""
 
-    def __init__(self, session: Session) -> None:
+    def __init__(self, registration: Registration) -> None:
         self.jobs: dict[str, Job] = {}
         self.partitions = {"rig-0.1"}
         self.loaded = {"rig-0.1"}
@@ -87,52 +95,58 @@
         return True
 
 
-def spoken_for(count: int) -> tuple[Session, Assignments]:
-    clock, session, _ = held_fleet(count)
-    assignments = Assignments(clock, session, Timing(settings(), Tuning()), Book(session))
-    for name in session.block_of:
+def spoken_for(count: int) -> tuple[Registration, Assignments]:
+    clock, registration, _ = held_fleet(count)
+    assignments = Assignments(
+        clock, registration, Timeouts(settings(), OperatorSettings()), Book(registration)
+    )
+    for name in registration.shard_of:
         there: dict[tuple[str, int], Any] = {}
         for index in range(TASKS_EACH):
             there[(f"j-{name}", index)] = (None, Task())
         assignments.on[name] = there
-    return session, assignments
+    return registration, assignments
 
 
 def test_all_wants_of_a_large_fleet_are_cut_by_machines() -> None:
-    session, assignments = spoken_for(LARGEST_FLEET)
-    parts = assignments._parts(session.me, None)
+    registration, assignments = spoken_for(LARGEST_FLEET)
+    parts = assignments._parts(registration.me, None)
     assert len(parts) > 1 and None not in parts
     names = [name for part in parts for name in part or ()]
-    assert sorted(names) == sorted(session.block_of)
+    assert sorted(names) == sorted(registration.shard_of)
     for part in parts:
-        wants = [
-            Want(name, 5, f"j-of-a-long-name-{name}/{index}", 1, "run", image="image-" * 12)
+        desired_attempts = [
+            DesiredAttempt(
+                name, 5, f"j-of-a-long-name-{name}/{index}", 1, "run", image="image-" * 12
+            )
             for name in sorted(part or ())
             for index in range(TASKS_EACH)
         ]
-        message = [Sync("rig-0", "rig-0.1", 1, 1, 1, wants, sorted(part or ()))]
+        message = [
+            DesiredStateUpdate("rig-0", "rig-0.1", 1, 1, 1, desired_attempts, sorted(part or ()))
+        ]
         assert len(encode(message)) < PEER_LIMIT
 
 
 def test_a_machine_without_wants_is_named_in_a_part() -> None:
     """What was wanted there before would stay wanted at its holder."""
-    session, assignments = spoken_for(20)
+    registration, assignments = spoken_for(20)
     del assignments.on["host-000007"]
-    parts = assignments._parts(session.me, None, most=40)
+    parts = assignments._parts(registration.me, None, most=40)
     assert len(parts) == 4
     assert "host-000007" in set().union(*(part or set() for part in parts))
 
 
 def test_what_fits_is_told_at_once() -> None:
-    session, assignments = spoken_for(20)
-    assert assignments._parts(session.me, None) == [None]
-    assert assignments._parts(session.me, {"host-000001"}) == [{"host-000001"}]
+    registration, assignments = spoken_for(20)
+    assert assignments._parts(registration.me, None) == [None]
+    assert assignments._parts(registration.me, {"host-000001"}) == [{"host-000001"}]
 
 
 @pytest.mark.parametrize("lost", [0, 1, 2])
 def test_parts_after_a_lost_one_are_not_sent_and_all_is_due_again(lost: int) -> None:
-    session, assignments = spoken_for(30)
-    session.partitions.clear()
+    registration, assignments = spoken_for(30)
+    registration.partitions.clear()
     sent: list[set[str] | None] = []
 
     async def tell(holder: str, machines: set[str] | None) -> bool:
@@ -142,12 +156,12 @@
     assignments._tell = tell  # type: ignore[method-assign]
     whole = assignments._parts
     assignments._parts = lambda holder, names: whole(holder, names, 40)  # type: ignore
-    due = set(session.block_of)
-    assignments.due[session.me] = set(due)
-    assignments.syncing.add(session.me)
-    ensureDeferred(assignments._sync(session.me, full=False))
+    due = set(registration.shard_of)
+    assignments.due[registration.me] = set(due)
+    assignments.syncing.add(registration.me)
+    ensureDeferred(assignments._sync(registration.me, full=False))
     assert len(sent) == lost + 1
-    assert assignments.due[session.me] == due
+    assert assignments.due[registration.me] == due
 
 
 class PagedCloud:
@@ -165,17 +179,19 @@
             raise CloudUnavailableError("429")
         names = [name for name in self.names if name > after]
         rows = [
-            Rental(name, "10.0.0.1:9000", "big", "east", "running", False, 60.0)
+            Instance(name, "10.0.0.1:9000", "big", "east", "running", False, 60.0)
             for name in names[:500]
         ]
         return MachinePage(rows, len(names) > 500)
 
 
-def listed(refused: set[int]) -> tuple[Fleet, PagedCloud, Deferred[None]]:
+def listed(refused: set[int]) -> tuple[InstanceManager, PagedCloud, Deferred[None]]:
     clock, unused = SimClock(), None
     cloud: Any = PagedCloud(clock, 4000, refused)
     nobody: Any = unused
-    fleet = Fleet(clock, cloud, nobody, settings(), Timing(settings(), Tuning()), {})
+    fleet = InstanceManager(
+        clock, cloud, nobody, settings(), Timeouts(settings(), OperatorSettings()), {}
+    )
     done = ensureDeferred(fleet.refresh())
     clock.advance_to(100.0)
     return fleet, cloud, done
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -53,12 +53,12 @@
             job = f"{step['job']}-{n}"
             again = functools.partial(world.submit, job, node, **extra)
             world.clock.callLater(n * step["every"], again)
-            if world.dice.random() < cancel:
-                world.clock.callLater(n * step["every"] + after, world.withdraw, job)
+            if world.rng.random() < cancel:
+                world.clock.callLater(n * step["every"] + after, world.cancel, job)
     elif do == "submit":
         world.submit(step["job"], step.get("node"), **extra)
     elif do == "withdraw":
-        world.withdraw(step["job"], step.get("node"))
+        world.cancel(step["job"], step.get("node"))
     elif do == "crash":
         for name in nodes_of(world, step["nodes"]):
             world.crash(name, step.get("back_s"))
@@ -205,7 +205,9 @@
         over = [
             state
             for node in world.nodes.values()
-            for machine in (node.holder.machines.values() if node.holder else ())
+            for machine in (
+                node.machine_controller.machines.values() if node.machine_controller else ()
+            )
             for state in machine.over.values()
         ]
         assert over.count("refused") <= step["refused"], (where, step, over.count("refused"))
@@ -224,7 +226,9 @@
             world.network.peer_bytes / 1024,
         )
     if "recounts" in step:
-        counts = sum(n.holder.changes for n in world.nodes.values() if n.holder)
+        counts = sum(
+            n.machine_controller.changes for n in world.nodes.values() if n.machine_controller
+        )
         assert counts <= step["recounts"], (where, counts)
     if "all_running" in step:
         # Every accepted job of that name's beginning runs whole.
@@ -246,10 +250,12 @@
         assert world.network.turned_away <= step["turned_away"], (where, world.network.turned_away)
     if "sessions" in step:
         # Machines whose lease ran out: nobody answered them in time.
-        late = sorted(w.name for w in world.cloud.workers.values() if w.session > 1 and not w.dead)
+        late = sorted(
+            w.name for w in world.cloud.workers.values() if w.agent_epoch > 1 and not w.dead
+        )
         assert len(late) <= step["sessions"], (where, len(late), late[:5])
     if "holds" in step:
-        holder = world.nodes[step["node"]].holder
+        holder = world.nodes[step["node"]].machine_controller
         assert holder is not None and len(holder.machines) >= step["holds"], (where, step)
     if "withdrawn" in step:
         # So many of that name's beginning were told to be, and none of them is anywhere.
@@ -271,7 +277,9 @@
         twice = sorted({n for n in names if names.count(n) > 1})
         assert len(twice) <= step["in_two_blocks"], (where, twice)
     if "doubtful" in step:
-        doubtful = [j for n in world.nodes.values() if n.owner for j in n.owner.doubtful]
+        doubtful = [
+            j for n in world.nodes.values() if n.job_controller for j in n.job_controller.doubtful
+        ]
         assert len(doubtful) <= step["doubtful"], (where, doubtful)
     if "led" in step:
         leaders = [n for n in world.nodes.values() if n.leader and n.leader.ready]
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -6,11 +6,11 @@
 
 from twisted.internet.defer import ensureDeferred
 
-from beamspar.cluster.registration import Machine, Session, block_record
-from beamspar.machines.machine_controller import Holder
+from beamspar.cluster.registration import Machine, Registration, shard_record
+from beamspar.machines.machine_controller import MachineController
 from beamspar.machines.worker_client import WorkerClient
-from beamspar.settings import Timing, Tuning
-from beamspar.state.client import Item
+from beamspar.settings import OperatorSettings, Timeouts
+from beamspar.state.client import KeyValue
 from tests.standins.clock import SimClock
 from tests.test_budget import settings
 
@@ -21,19 +21,19 @@
     """A block is leased to us after our fence was written and before the keys are read again."""
 
     def __init__(self) -> None:
-        self.items: list[Item] = []
+        self.items: list[KeyValue] = []
 
-    async def grant(self, life_s: float) -> int:
+    async def grant_lease(self, life_s: float) -> int:
         return 1
 
-    async def scan(self, prefix: str, *rest: Any) -> tuple[list[Item], int]:
+    async def scan(self, prefix: str, *rest: Any) -> tuple[list[KeyValue], int]:
         return self.items, 12
 
-    async def multi(self, conditions: Any, changes: Any, *rest: Any) -> int:
+    async def transact(self, conditions: Any, changes: Any, *rest: Any) -> int:
         machine = Machine("m-1", "m-1:9", "small", "east")
         self.items = [
-            Item("c/block/m-1", block_record("rig-0", [machine]), 12),
-            Item(FENCE, {"inc": 1, "v": 2}, 10),
+            KeyValue("c/block/m-1", shard_record("rig-0", [machine]), 12),
+            KeyValue(FENCE, {"inc": 1, "v": 2}, 10),
         ]
         return 10
 
@@ -47,18 +47,18 @@
 
 def test_a_block_that_is_leased_while_its_holder_registers_is_held() -> None:
     clock, store = SimClock(), Store()
-    timing = Timing(settings(), Tuning())
-    session = Session(clock, store, settings(), timing)  # type: ignore[arg-type]
-    holder = Holder(
+    timeouts = Timeouts(settings(), OperatorSettings())
+    registration = Registration(clock, store, settings(), timeouts)  # type: ignore[arg-type]
+    holder = MachineController(
         clock,
-        session,
-        WorkerClient(Net(), timing.order),  # type: ignore[arg-type]
-        timing,
+        registration,
+        WorkerClient(Net(), timeouts.command),  # type: ignore[arg-type]
+        timeouts,
         lambda: {},
         lambda task, attempt, machine: None,
     )
     done: list[bool] = []
-    ensureDeferred(session._register()).addCallback(done.append)
+    ensureDeferred(registration._register()).addCallback(done.append)
     assert done == [True]
-    assert session.holder_of("m-1") == ("rig-0", 12)
+    assert registration.holder_of("m-1") == ("rig-0", 12)
     assert set(holder.machines) == {"m-1"}, "else nobody ever answers its worker"
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -8,7 +8,7 @@
 import pytest
 from twisted.logger import LogLevel, formatEvent, globalLogPublisher
 
-from beamspar.quota.allocations import Share, read_share
+from beamspar.quota.allocations import Allocation, read_share
 from beamspar.state.client import ConflictError
 from tests.standins.world import World
 from tests.test_budget import KEY, job, make
@@ -33,92 +33,92 @@
     [[-3.0, 0.0], ["x", 0.0], [float("nan"), 0.0], [float("inf"), 0.0], [], None, 4.0, [True, 0]],
 )
 def test_with_another_partitions_odd_entry_nothing_starts(entry: Any, errors: list[str]) -> None:
-    budget, session, script = make(ConflictError([KEY]))
-    session.learn("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
-    session.learn(KEY, {"rig-0.1": [8.0, 0.0], "rig-1.1": entry}, 5)
-    assert not budget.take(job(1.0), [0])
+    quota_manager, registration, script = make(ConflictError([KEY]))
+    registration.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
+    registration.observe(KEY, {"rig-0.1": [8.0, 0.0], "rig-1.1": entry}, 5)
+    assert not quota_manager.reserve(job(1.0), [0])
     for _ in range(3):
-        budget.tick()
+        quota_manager.tick()
     assert script.written == [], "what the others have is not known"
     assert len(errors) == 1 and "red" in errors[0] and "rig-1.1" in errors[0]
-    session.learn(KEY, {"rig-0.1": [8.0, 0.0], "rig-1.1": [2.0, 0.0]}, 6)
-    assert budget.take(job(1.0), [0])
+    registration.observe(KEY, {"rig-0.1": [8.0, 0.0], "rig-1.1": [2.0, 0.0]}, 6)
+    assert quota_manager.reserve(job(1.0), [0])
 
 
 def test_our_own_odd_entry_is_mended() -> None:
-    budget, session, script = make(6)
-    session.learn(KEY, {"rig-0.1": "all", "rig-1.1": [2.0, 0.0]}, 5)
-    budget.tick()
+    quota_manager, registration, script = make(6)
+    registration.observe(KEY, {"rig-0.1": "all", "rig-1.1": [2.0, 0.0]}, 5)
+    quota_manager.tick()
     assert script.written == [(5, {"rig-1.1": [2.0, 0.0]})]
 
 
 def test_a_record_that_is_no_map_stops_its_team(errors: list[str]) -> None:
-    budget, session, script = make()
-    session.learn(KEY, "none", 5)
-    assert not budget.take(job(1.0), [0])
-    budget.tick()
+    quota_manager, registration, script = make()
+    registration.observe(KEY, "none", 5)
+    assert not quota_manager.reserve(job(1.0), [0])
+    quota_manager.tick()
     assert script.written == [] and len(errors) == 1
 
 
 def test_shares_above_the_limit_stop_their_team(errors: list[str]) -> None:
-    budget, session, script = make(ConflictError([KEY]), ConflictError([KEY]))
-    session.learn("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
-    session.learn(KEY, {"rig-0.1": [8.0, 0.0], "rig-1.1": [6.0, 0.0]}, 5)
-    assert not budget.take(job(1.0), [0])
-    assert not budget.may_start("rig-0.1", "red")
-    budget.tick()
-    budget.tick()
+    quota_manager, registration, script = make(ConflictError([KEY]), ConflictError([KEY]))
+    registration.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
+    registration.observe(KEY, {"rig-0.1": [8.0, 0.0], "rig-1.1": [6.0, 0.0]}, 5)
+    assert not quota_manager.reserve(job(1.0), [0])
+    assert not quota_manager.may_start("rig-0.1", "red")
+    quota_manager.tick()
+    quota_manager.tick()
     assert len(errors) == 1 and "10.0" in errors[0]
     assert script.written[0][1] == {"rig-0.1": [4.0, 0.0], "rig-1.1": [6.0, 0.0]}, "we give back"
 
 
 def test_an_unknown_partitions_share_counts(errors: list[str]) -> None:
-    budget, session, _ = make(ConflictError([KEY]), ConflictError([KEY]))
-    session.learn(KEY, {"rig-0.1": [4.0, 0.0], "rig-9.9": [6.0, 0.0]}, 5)
-    assert budget.take(job(4.0), [0])
+    quota_manager, registration, _ = make(ConflictError([KEY]), ConflictError([KEY]))
+    registration.observe(KEY, {"rig-0.1": [4.0, 0.0], "rig-9.9": [6.0, 0.0]}, 5)
+    assert quota_manager.reserve(job(4.0), [0])
     held = job(1.0, tasks=4)
     for _ in range(4):
-        held.limit_use.bind(0)
-    budget.recount(held)
-    assert not budget.take(job(1.0), [0])
-    budget.tick()
+        held.quota_usage.bind(0)
+    quota_manager.recount(held)
+    assert not quota_manager.reserve(job(1.0), [0])
+    quota_manager.tick()
     assert len(errors) == 1 and "rig-9.9" in errors[0]
 
 
 def test_use_above_a_share_is_never_written_above_what_is_left(errors: list[str]) -> None:
-    budget, session, script = make(6)
-    session.learn("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
-    session.learn(KEY, {"rig-0.1": [3.0, 0.0], "rig-1.1": [5.0, 0.0]}, 5)
+    quota_manager, registration, script = make(6)
+    registration.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
+    registration.observe(KEY, {"rig-0.1": [3.0, 0.0], "rig-1.1": [5.0, 0.0]}, 5)
     held = job(1.0, tasks=8)
     for _ in range(8):
-        held.limit_use.bind(0)
-    budget.recount(held)
-    assert budget.excess("rig-0.1", "red") == (5.0, 0.0)
-    assert not budget.may_start("rig-0.1", "red")
-    budget.tick()
+        held.quota_usage.bind(0)
+    quota_manager.recount(held)
+    assert quota_manager.excess("rig-0.1", "red") == (5.0, 0.0)
+    assert not quota_manager.may_start("rig-0.1", "red")
+    quota_manager.tick()
     assert script.written == [(5, {"rig-0.1": [5.0, 0.0], "rig-1.1": [5.0, 0.0]})]
-    assert budget.excess("rig-0.1", "red") == (3.0, 0.0)
-    assert budget.may_start("rig-0.1", "blue"), "other teams go on"
+    assert quota_manager.excess("rig-0.1", "red") == (3.0, 0.0)
+    assert quota_manager.may_start("rig-0.1", "blue"), "other teams go on"
     assert len(errors) == 2 and all("rig-0.1" in line for line in errors)
 
 
 def test_a_share_counts_from_a_mirror_as_new_as_the_takeover() -> None:
     """Else a share is read that the former owner has given back since."""
-    budget, session, _ = make()
-    budget.loaded = lambda: {"rig-0.1", "rig-1.1"}
-    session.learn("c/folio/rig-1.1", {"owner": "rig-1"}, 3)
-    session.learn(KEY, {"rig-1.1": [10.0, 0.0]}, 5)
-    session._caught_up(5)
-    taken_over = job(4.0)
-    taken_over.partition = "rig-1.1"
+    quota_manager, registration, _ = make()
+    quota_manager.loaded = lambda: {"rig-0.1", "rig-1.1"}
+    registration.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 3)
+    registration.observe(KEY, {"rig-1.1": [10.0, 0.0]}, 5)
+    registration._caught_up(5)
+    moved = job(4.0)
+    moved.partition = "rig-1.1"
     # Our own write is known before the watch has told what came between.
-    session.learn("c/folio/rig-1.1", {"owner": "rig-0"}, 9)
-    assert not budget.take(taken_over, [0])
-    session.learn(KEY, {"rig-1.1": [2.0, 0.0], "rig-2.1": [8.0, 0.0]}, 7)
-    session._caught_up(9)
-    assert not budget.take(taken_over, [0])
-    session.learn(KEY, {"rig-1.1": [4.0, 0.0]}, 10)
-    assert budget.take(taken_over, [0])
+    registration.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 9)
+    assert not quota_manager.reserve(moved, [0])
+    registration.observe(KEY, {"rig-1.1": [2.0, 0.0], "rig-2.1": [8.0, 0.0]}, 7)
+    registration._caught_up(9)
+    assert not quota_manager.reserve(moved, [0])
+    registration.observe(KEY, {"rig-1.1": [4.0, 0.0]}, 10)
+    assert quota_manager.reserve(moved, [0])
 
 
 @pytest.mark.parametrize(
@@ -130,7 +130,7 @@
 
 
 def test_an_entry_says_what_it_means() -> None:
-    assert read_share([1.0, 2.0, 3, 4.0, 5.0, 6]) == Share(1.0, 2.0, 3, 4.0, 5.0, 6)
+    assert read_share([1.0, 2.0, 3, 4.0, 5.0, 6]) == Allocation(1.0, 2.0, 3, 4.0, 5.0, 6)
 
 
 def test_a_team_with_a_broken_record_waits_while_others_go_on() -> None:
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -39,17 +39,17 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_reshuffles_under_random_faults(seed: int) -> None:
     """No rule broken, whatever meets the moves, and everything is whole afterwards."""
-    dice = random.Random(4000 + seed)
+    rng = random.Random(4000 + seed)
     standby = seed % 2 == 1
     world = running(4000 + seed, tuning={"standby": standby})
-    world.reshuffle(dice, until=150)
+    world.reshuffle(rng, until=150)
     for number in range(12):
-        fault(world, dice)
-        if dice.random() < 0.3:
-            member = dice.choice(world.names)
+        fault(world, rng)
+        if rng.random() < 0.3:
+            member = rng.choice(world.names)
             world.tell(member, "leave", {})
             undo = [member, "leave", {"undo": True}]
-            world.clock.callLater(dice.choice([0.2, 2.0, 30.0]), world.tell, *undo)
+            world.clock.callLater(rng.choice([0.2, 2.0, 30.0]), world.tell, *undo)
         world.run(30 + number * 10)
     for member in world.names:
         world.tell(member, "leave", {"undo": True})
@@ -68,20 +68,20 @@
 def test_a_machine_that_dies_as_it_moves_is_soon_known_to_be_lost(passes_on: bool) -> None:
     """What the old holder answered last counts, and not the longest lease it might have had."""
     world = running()
-    block, source, target = world.choose_move()
-    machine = world.blocks()[block]["machines"][0]["name"]
+    shard, source, target = world.choose_move()
+    machine = world.shards()[shard]["machines"][0]["name"]
     if not passes_on:
         world.network.cut(source, target, "drop")
         world.clock.callLater(30.0, world.network.heal, source, target)
     # Else it is returned as silent, which proves its loss in another way.
     world.cloud.down = True
     world.hooks["commit"] = world.cloud.workers[machine].die
-    world.tell(world.leader(), "move", {"block": block, "to": target})
+    world.tell(world.leader(), "move", {"block": shard, "to": target})
     since = world.clock.seconds()
     lost_s = 0.0
     while not lost_s and world.clock.seconds() < since + 80:
         world.run(world.clock.seconds() + 0.5)
-        held = world.nodes[target].holder.machines.get(machine)
+        held = world.nodes[target].machine_controller.machines.get(machine)
         if held is not None and held.lost:
             lost_s = world.clock.seconds() - since
     assert world.checker.broken == []
@@ -92,8 +92,8 @@
 def drains(world: SharingWorld) -> tuple[str, str]:
     """A machine that was told to take nothing more, and its block."""
     leader = world.nodes[world.leader()].leader
-    for name in sorted(leader.retiring):
-        return name, world.nodes[world.leader()].session.block_of[name]
+    for name in sorted(leader.draining):
+        return name, world.nodes[world.leader()].registration.shard_of[name]
     return "", ""
 
 
@@ -104,15 +104,15 @@
     # Much idle room once these are over.
     world.run(12)
     world.submit("j-a0", shape="sweep", parcels=30, run_s=3.0, urgency="low")
-    machine = block = ""
+    machine = shard = ""
     while not machine and world.clock.seconds() < 120:
         world.run(world.clock.seconds() + 0.1)
-        machine, block = drains(world)
+        machine, shard = drains(world)
     assert machine, "nothing drains"
-    holder = world.blocks()[block]["holder"]
+    holder = world.shards()[shard]["holder"]
     if way == "asked for":
         others = [name for name in world.names if name != holder]
-        world.tell(world.leader(), "move", {"block": block, "to": others[0]})
+        world.tell(world.leader(), "move", {"block": shard, "to": others[0]})
     elif way == "leave":
         world.tell(holder, "leave", {})
     elif way == "holder ends":
@@ -173,14 +173,16 @@
     world = running()
     leader = world.leader()
     member = leader if whom == "leader" else next(n for n in world.names if n != leader)
-    block = next(n for n, r in sorted(world.blocks().items()) if r["holder"] == member)
-    machine = world.blocks()[block]["machines"][0]["name"]
-    held = world.nodes[member].holder.machines[machine]
+    shard = next(n for n, r in sorted(world.shards().items()) if r["holder"] == member)
+    machine = world.shards()[shard]["machines"][0]["name"]
+    held = world.nodes[member].machine_controller.machines[machine]
     # As if that machine had moved here: a claim of a former holder that never was one.
-    state = MachineState(machine, held.number, 1, True, 99.0, 9, 9, 9, 9, 9, 0, 0, 99, True, True)
+    state = MachineState(
+        machine, held.fencing_token, 1, True, 99.0, 9, 9, 9, 9, 9, 0, 0, 99, True, True
+    )
     filled = {
-        "?number": held.number,
-        "?": block,
+        "?number": held.fencing_token,
+        "?": shard,
         "?leader": leader,
         "?state": msgspec.to_builtins(state),
     }
@@ -192,11 +194,23 @@
             return [fill(entry) for entry in value]
         return filled.get(value, value) if isinstance(value, str) else value
 
-    before = (world.blocks(), held.bad, held.session, held.min_session, held.paused_until)
+    before = (
+        world.shards(),
+        held.is_degraded,
+        held.agent_epoch,
+        held.min_agent_epoch,
+        held.paused_until,
+    )
     status, answer = world.say(member, path, fill(message))
     assert status == (400 if says is None else 200), (status, answer)
     assert says is None or says in str(answer), answer
-    after = (world.blocks(), held.bad, held.session, held.min_session, held.paused_until)
+    after = (
+        world.shards(),
+        held.is_degraded,
+        held.agent_epoch,
+        held.min_agent_epoch,
+        held.paused_until,
+    )
     assert before == after
     for raw in (b"", b"[", b"\xff", b"null"):
         assert world.tell(member, path, None, raw) == [] and world.ownership.faults == []
@@ -205,7 +219,7 @@
 def test_a_repeated_or_late_release_is_taken_once() -> None:
     """A copy that comes after the machine moved on, or came back, belongs to another number."""
     world = running()
-    block, source, target = world.choose_move()
+    shard, source, target = world.choose_move()
     sent: list[bytes] = []
     request = world._carry
 
@@ -216,15 +230,15 @@
 
     world._carry = keep
     for to in (target, source, target):
-        world.say(world.leader(), "move", {"block": block, "to": to})
+        world.say(world.leader(), "move", {"block": shard, "to": to})
         world.run(world.clock.seconds() + 3)
-    taken = [world.nodes[name].sharing.transfer.taken_over for name in (source, target)]
+    taken = [world.nodes[name].sharing.transfer.is_taken_over for name in (source, target)]
     assert len(sent) >= 3 and taken[0] >= 2 and taken[1] >= 4
     for body in list(sent):
         for member in (source, target):
             world.tell(member, "release", None, body)
     world.run(world.clock.seconds() + 2)
-    assert [world.nodes[n].sharing.transfer.taken_over for n in (source, target)] == taken
+    assert [world.nodes[n].sharing.transfer.is_taken_over for n in (source, target)] == taken
     world.run(95)
     check_whole(world)
 
@@ -232,37 +246,39 @@
 def test_a_release_counts_from_the_former_holder_of_that_number_only() -> None:
     """Everything else is refused; one that is ahead of our mirror is to be said again."""
     world = running()
-    block, source, target = world.choose_move()
+    shard, source, target = world.choose_move()
     world.network.cut(source, target, "drop", both=False)
-    world.tell(world.leader(), "move", {"block": block, "to": target})
+    world.tell(world.leader(), "move", {"block": shard, "to": target})
     world.run(world.clock.seconds() + 1.0)
     node = world.nodes[target]
-    machine = world.blocks()[block]["machines"][0]["name"]
-    held = node.holder.machines[machine]
-    incarnation = world.nodes[source].session.inc
-    right = MachineState(machine, held.number, 1, True, 0.5, 1, 0, 1, 0, 0, 0.5, 1, 0, False, False)
+    machine = world.shards()[shard]["machines"][0]["name"]
+    held = node.machine_controller.machines[machine]
+    incarnation = world.nodes[source].registration.incarnation
+    right = MachineState(
+        machine, held.fencing_token, 1, True, 0.5, 1, 0, 1, 0, 0, 0.5, 1, 0, False, False
+    )
     replace = msgspec.structs.replace
     wrong = [
-        (source, incarnation, replace(right, number=held.number - 1)),
-        (source, incarnation, replace(right, former_number=held.number)),
+        (source, incarnation, replace(right, fencing_token=held.fencing_token - 1)),
+        (source, incarnation, replace(right, former_fencing_token=held.fencing_token)),
         (source, incarnation, replace(right, machine="host-999999")),
         (source, incarnation + 1, right),
         (next(n for n in world.names if n not in (source, target)), 1, right),
     ]
-    for member, inc, state in wrong:
-        reply = node.sharing.transfer.accept(ReleaseRequest(member, inc, [state]))
-        assert reply == ReleaseReply([]) and not held.taken_over, (member, inc, state)
-    ahead = replace(right, number=node.session.revision + 5)
+    for member, incarnation, state in wrong:
+        reply = node.sharing.transfer.accept(ReleaseRequest(member, incarnation, [state]))
+        assert reply == ReleaseReply([]) and not held.is_taken_over, (member, incarnation, state)
+    ahead = replace(right, fencing_token=node.registration.revision + 5)
     request = ReleaseRequest(source, incarnation, [ahead])
     assert node.sharing.transfer.accept(request) == ReleaseReply([], [machine])
     # Without `sole` one before the sender may still answer: the longest lease counts.
     before = held.last_answer = world.clock.seconds() + 20.0
     held.answered_at = -1e9
     node.sharing.transfer._take_over(held, replace(right, sole=False))
-    assert held.last_answer == before and not held.taken_over
+    assert held.last_answer == before and not held.is_taken_over
     request = ReleaseRequest(source, incarnation, [right])
     assert node.sharing.transfer.accept(request) == ReleaseReply([machine])
-    assert held.taken_over and held.last_answer < world.clock.seconds()
+    assert held.is_taken_over and held.last_answer < world.clock.seconds()
 
 
 @pytest.mark.parametrize("way", ["asked for", "leave"])
@@ -270,39 +286,39 @@
     world = SharingWorld(5)
     world.run(12)
     leader = world.leader()
-    block, holder, target = world.choose_move()
-    machine = world.blocks()[block]["machines"][0]["name"]
+    shard, holder, target = world.choose_move()
+    machine = world.shards()[shard]["machines"][0]["name"]
     # The cloud takes the request, and its answer is long in coming.
     world.network.cut(leader, "cloud", "hold")
-    fleet = world.nodes[leader].leader.fleet
+    fleet = world.nodes[leader].leader.instance_manager
     fleet.give_back([machine])
     world.run(world.clock.seconds() + 0.2)
     assert machine in fleet.going
     if way == "leave":
         world.tell(holder, "leave", {})
     else:
-        world.tell(leader, "move", {"block": block, "to": target})
+        world.tell(leader, "move", {"block": shard, "to": target})
     world.run(world.clock.seconds() + 1.0)
-    assert world.blocks()[block]["holder"] == holder
+    assert world.shards()[shard]["holder"] == holder
     world.network.heal(leader, "cloud")
     world.run(world.clock.seconds() + 60)
-    assert machine not in {m["name"] for r in world.blocks().values() for m in r["machines"]}
+    assert machine not in {m["name"] for r in world.shards().values() for m in r["machines"]}
     assert world.checker.broken == [] and world.ownership.faults == []
 
 
 def test_a_block_rests_while_one_of_its_machines_drains() -> None:
     """Neither planner nor operator moves it; it moves on once the machine is of use again."""
     world = running()
-    block, source, target = world.choose_move()
+    shard, source, target = world.choose_move()
     sharing = world.nodes[world.leader()].sharing
-    machine = world.blocks()[block]["machines"][0]["name"]
-    assert sharing.request_move(MoveRequest(block, target)).done
-    sharing.leader.retiring[machine] = source
+    machine = world.shards()[shard]["machines"][0]["name"]
+    assert sharing.request_move(MoveRequest(shard, target)).done
+    sharing.leader.draining[machine] = source
     assert sharing._due_requests() == []
-    assert {h.name: h.resting for h in sharing._holdings()}[block]
-    del sharing.leader.retiring[machine]
+    assert {h.name: h.resting for h in sharing._holdings()}[shard]
+    del sharing.leader.draining[machine]
     world.run(world.clock.seconds() + 2.0)
-    assert world.blocks()[block]["holder"] == target
+    assert world.shards()[shard]["holder"] == target
 
 
 def test_what_waits_for_a_move_that_is_not_made_goes_on() -> None:
@@ -311,8 +327,8 @@
     world.run(12)
     until = world.clock.seconds() + 2.0
     for node in world.nodes.values():
-        for machine in node.holder.machines.values():
-            node.holder.pause(machine, until)
+        for machine in node.machine_controller.machines.values():
+            node.machine_controller.pause(machine, until)
     world.submit("j-1", parcels=6)
     world.run(until - 0.1)
     assert world.running("j-1") == 0
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -9,8 +9,8 @@
 import pytest
 from twisted.internet.defer import ensureDeferred
 
-from beamspar.protocol.peer_messages import Ask
-from beamspar.protocol.wire import Spec
+from beamspar.protocol.peer_messages import CapacityRequest
+from beamspar.protocol.wire import JobSpec
 from beamspar.standby.decisions import MachinesUp
 from beamspar.standby.messages import (
     HandOverReply,
@@ -217,11 +217,11 @@
     assert node.standby._may_take_over()
     node.standby.takeovers = [now - 1.0] * 2
     assert not node.standby._may_take_over()
-    node.standby.takeovers = [now - node.timing.lead * 1.5] * 2
+    node.standby.takeovers = [now - node.timeouts.leader_lease * 1.5] * 2
     assert node.standby._may_take_over()
-    node.standby.takeovers = [now - node.timing.lead * 1.5] * 3
+    node.standby.takeovers = [now - node.timeouts.leader_lease * 1.5] * 3
     assert not node.standby._may_take_over()
-    node.standby.takeovers = [now - node.timing.worker_lease * 9] * 9
+    node.standby.takeovers = [now - node.timeouts.worker_lease * 9] * 9
     assert node.standby._may_take_over()
 
 
@@ -246,24 +246,22 @@
         machines=[{"kind": "small", "zone": z, "count": 4} for z in ZONES]
         + [{"kind": "big", "zone": z, "count": 1} for z in ZONES],
     )
-    dice = random.Random(50)
+    rng = random.Random(50)
     takeovers: list[float] = []
     for kill in range(50):
         for n in range(3):
             job = f"j-{kill}-{n}"
-            shape = dice.choice(["standing", "sweep"])
-            world.submit(
-                job, shape=shape, parcels=dice.randint(1, 3), run_s=dice.choice([1.0, 4.0])
-            )
-            if shape == "standing" or dice.random() < 0.3:
-                world.clock.callLater(dice.uniform(1.0, 25.0), world.withdraw, job)
-        world.run(world.clock.seconds() + dice.uniform(0.0, 1.0))
+            shape = rng.choice(["standing", "sweep"])
+            world.submit(job, shape=shape, parcels=rng.randint(1, 3), run_s=rng.choice([1.0, 4.0]))
+            if shape == "standing" or rng.random() < 0.3:
+                world.clock.callLater(rng.uniform(1.0, 25.0), world.cancel, job)
+        world.run(world.clock.seconds() + rng.uniform(0.0, 1.0))
         while decides(world) is None:
             world.run(world.clock.seconds() + 0.05)
         old = world.leader()
-        world.crash(old, dice.choice([0.5, 3.0, 6.0]))
+        world.crash(old, rng.choice([0.5, 3.0, 6.0]))
         takeovers.append(takeover_s(world, ""))
-        world.run(world.clock.seconds() + dice.uniform(14.0, 30.0))
+        world.run(world.clock.seconds() + rng.uniform(14.0, 30.0))
     world.run(world.clock.seconds() + 60.0)
     assert max(takeovers) < TAKEOVER_S, sorted(takeovers)[-5:]
     return world
@@ -392,7 +390,7 @@
     new = world.nodes[followers[0]]
     assert world.leader() == followers[0]
     assert followers[1] in new.leader.confirmed()
-    assert world.nodes[followers[1]].session.leader == old
+    assert world.nodes[followers[1]].registration.leader == old
 
 
 def test_room_is_lent_in_a_zone_that_is_confirmed_before_the_others() -> None:
@@ -416,13 +414,15 @@
     assert not leader.ready and leader.confirmed() == {first}
     unconfirmed = {
         machine.zone
-        for block in world.nodes[first].session.blocks.values()
-        if block.holder == third
-        for machine in block.machines
+        for shard in world.nodes[first].registration.shards.values()
+        if shard.holder == third
+        for machine in shard.machines
     }
     assert leader.confirmed_zones() and not leader.confirmed_zones() & unconfirmed
-    spec = Spec("j-x", "front", "red", "sweep", "normal", 9, 1.0, 0.0, 1.0, "img", 0.5)
-    offers = leader.asks(first, [Ask(msgspec.to_builtins(spec), 9, {}, {}, [])]).offers
+    spec = JobSpec("j-x", "front", "red", "sweep", "normal", 9, 1.0, 0.0, 1.0, "img", 0.5)
+    offers = leader.offer_capacity(
+        first, [CapacityRequest(msgspec.to_builtins(spec), 9, {}, {}, [])]
+    ).offers
     zones = {world.checker.where[offer.machine][1] for offer in offers}
     assert offers and zones <= leader.confirmed_zones()
     # With the time to speak over, or the third back, everything is lent again.
