--- a/tests/test_leave.py
+++ b/tests/test_leave.py
@@ -177,5 +177,5 @@
     assert world.clock.seconds() - since < 17.0
     assert len(world.state.history) - writes < 100
     world.run(since + 18)
-    assert max(worker.registration for worker in world.cloud.workers.values()) == 1
+    assert max(worker.agent_epoch for worker in world.cloud.workers.values()) == 1
     assert world.ownership.faults == [] and len(world.ownership.gaps) >= machines
