--- a/src/beamspar/jobs/assignments.py
+++ b/src/beamspar/jobs/assignments.py
@@ -11,17 +11,14 @@
 from beamspar.jobs.gang import Phase
 from beamspar.jobs.job import Job, Task
 from beamspar.protocol.peer_messages import (
-    CLEAR,
-    HOLD,
-    RUN,
-    STOP,
     WANTS_AT_ONCE,
     AttemptStatus,
+    DesiredAction,
     DesiredAttempt,
     DesiredStateUpdate,
 )
 from beamspar.settings import Timeouts
-from beamspar.state.job_records import LIVE
+from beamspar.state.job_records import JobStatus
 from beamspar.transport.http import Clock, sleep, spawn
 
 # From so many wants in one telling on, the next one waits in proportion to them.
@@ -50,6 +47,7 @@
     ) -> None:
         self.clock = clock
         self.registration = registration
+        self.mirror = registration.mirror
         self.timeouts = timeouts
         self.job_store = job_store
         # What is bound to each machine, and what of it was over and waits for its clear.
@@ -89,7 +87,7 @@
 
     def touch(self, machine: str) -> None:
         """Its holder should hear what is wanted there now, this turn's changes together."""
-        held = self.registration.holder_of(machine)
+        held = self.mirror.holder_of(machine)
         if held is not None:
             self.due.setdefault(held[0], set()).add(machine)
             if not self.sync_called:
@@ -102,7 +100,7 @@
         if not self.registration.lease_is_valid() or self.send is None or not self.job_store.loaded:
             return
         now = self.clock.seconds()
-        for holder in {shard.holder for shard in self.registration.shards.values()}:
+        for holder in {shard.holder for shard in self.mirror.shards.values()}:
             full = now - self.told_all.get(holder, -1e9) >= self.timeouts.resync
             if holder not in self.syncing and (full or self.due.get(holder)):
                 self.syncing.add(holder)
@@ -157,7 +155,7 @@
             return [machines]
         if machines is None:
             # Also machines on which nothing is wanted any more.
-            shards = self.registration.shards.values()
+            shards = self.mirror.shards.values()
             names = names | {m.name for b in shards if b.holder == holder for m in b.machines}
         parts: list[set[str] | None] = []
         part: set[str] = set()
@@ -180,7 +178,7 @@
         }
         names = set(machines) if machines is not None else {*self.on, *self.clears}
         for name in names:
-            held = self.registration.holder_of(name)
+            held = self.mirror.holder_of(name)
             if held is None:
                 self.clears.pop(name, None)
             elif held[0] == holder:
@@ -188,7 +186,7 @@
         self.seq += 1
         messages = []
         for partition, listed in desired_attempts.items():
-            record = self.registration.partitions.get(partition)
+            record = self.mirror.partitions.get(partition)
             if record:
                 self.wants_told += len(listed)
                 part = None if machines is None else sorted(machines)
@@ -217,18 +215,18 @@
             if not task.stored:
                 # The room is spoken for at once: while the record was on its way, others
                 # used to take it, and the start was refused.
-                action = HOLD
+                action = DesiredAction.HOLD
             elif (
-                job.status != LIVE
+                job.status != JobStatus.LIVE
                 or task.preempted_for_quota
                 or (spec.is_gang and job.phase(self.clock.seconds()) is Phase.STOPPING)
             ):
-                action = STOP
+                action = DesiredAction.STOP
             elif not self.job_store.may_start(job):
                 # What runs goes on, what does not is not started.
-                action = HOLD
+                action = DesiredAction.HOLD
             else:
-                action = RUN
+                action = DesiredAction.RUN
             desired_attempts[job.partition].append(
                 DesiredAttempt(
                     machine,
@@ -255,7 +253,7 @@
                 del clears[(name, attempt)]
             elif partition in desired_attempts and self._clearable(name):
                 desired_attempts[partition].append(
-                    DesiredAttempt(machine, number, name, attempt, CLEAR)
+                    DesiredAttempt(machine, number, name, attempt, DesiredAction.CLEAR)
                 )
 
     def _clearable(self, name: str) -> bool:
@@ -292,4 +290,4 @@
 
     def without_holder(self) -> list[str]:
         """Machines with tasks of ours whose block is gone."""
-        return [machine for machine in self.on if self.registration.holder_of(machine) is None]
+        return [machine for machine in self.on if self.mirror.holder_of(machine) is None]
--- a/src/beamspar/jobs/job.py
+++ b/src/beamspar/jobs/job.py
@@ -13,7 +13,7 @@
 from beamspar.protocol.wire import JobSpec
 from beamspar.quota.quota_usage import QuotaUsage
 from beamspar.state import job_records as records
-from beamspar.state.job_records import LIVE, Chunk, JobRecord, Layout
+from beamspar.state.job_records import Chunk, JobRecord, JobStatus, Layout
 
 # A task's state, as a worker reports it, that counts as running.
 RUNNING = "running"
@@ -60,7 +60,7 @@
         self.moving = False
         self.version = 0
         self.chunk_versions: dict[int, int] = {}
-        self.status = LIVE
+        self.status = JobStatus.LIVE
         self.tasks: dict[int, Task] = {}
         # How many tasks are on a machine or on their way there, how many of them were seen to
         # run, and on which machines. Counted as they change: an array may have thousands bound,
@@ -121,7 +121,7 @@
 
     def waiting(self, now: float, most: int) -> list[int]:
         """Indexes that may be placed now, those that ran before first."""
-        if self.status != LIVE or self.moving or self.quota_usage.rewriting:
+        if self.status != JobStatus.LIVE or self.moving or self.quota_usage.rewriting:
             return []
         if self.spec.is_gang:
             phase = self.phase(now)
--- a/src/beamspar/jobs/job_acceptor.py
+++ b/src/beamspar/jobs/job_acceptor.py
@@ -7,17 +7,18 @@
 
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import PARTITION, Registration
+from beamspar.cluster.registration import Registration
 from beamspar.jobs.job import Job
 from beamspar.jobs.job_writer import JobWriter
 from beamspar.protocol.wire import JobSpec
 from beamspar.settings import Timeouts
 from beamspar.state import job_records as records
+from beamspar.state import keys
 from beamspar.state.client import (
-    PLACE,
     ConflictError,
     LeaseExpiredError,
     OutcomeUnknownError,
+    RequestPriority,
     StateClient,
     StateUnavailableError,
     put,
@@ -81,6 +82,7 @@
     ) -> None:
         self.clock = clock
         self.registration = registration
+        self.mirror = registration.mirror
         self.state = state
         self.timeouts = timeouts
         self.job_store = job_store
@@ -93,7 +95,7 @@
         layout = self.job_store.writer.layout_now()
         job = Job(spec, self.registration.partition, layout, self.clock.seconds())
         job.gang_wait_s = self.timeouts.gang_wait
-        job.served = self.registration.revision
+        job.served = self.mirror.revision
         self.arriving[spec.id] = job
         try:
             return await self._accept(job)
@@ -106,14 +108,14 @@
         binding = job.quota_usage.writing(0)
         job.stamp = self.job_store.writer.stamp()
         conditions = {
-            **self.registration.fence(),
-            **self.registration.partition_fence(job.partition),
-            records.job_key(spec.id): 0,
-            records.end_key(spec.id): 0,
+            **self.registration.fence_condition(),
+            **self.mirror.partition_condition(job.partition),
+            keys.job(spec.id): 0,
+            keys.finished_job(spec.id): 0,
         }
         try:
             version = await self.state.transact(
-                conditions, [put(records.job_key(spec.id), job.record())], 1
+                conditions, [put(keys.job(spec.id), job.record())], RequestPriority.ACCEPT
             )
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
             for index, task in job.tasks.items():
@@ -144,7 +146,7 @@
             n=spec.tasks,
             placed=job.bound,
         )
-        if self.registration.is_cancelled(job.id):
+        if self.mirror.is_cancelled(job.id):
             # Another controller read what we wrote, and its answer was the faster one.
             self.job_store.apply_cancellation(job.id)
         self.job_store.writer.flush(job)
@@ -174,9 +176,12 @@
 
     async def _fate(self, job_id: str) -> Fate:
         """What the stored records say of the job."""
-        item = await self.state.get(records.job_key(job_id), PLACE)
+        item = await self.state.get(keys.job(job_id), RequestPriority.PLACEMENT)
         if item is None:
-            ended = await self.state.get(records.end_key(job_id), PLACE) is not None
+            ended = (
+                await self.state.get(keys.finished_job(job_id), RequestPriority.PLACEMENT)
+                is not None
+            )
             return Fate.KNOWN if ended else Fate.NOT_STORED
         if records.read_job(item).partition not in self.job_store.partitions:
             return Fate.KNOWN
@@ -184,14 +189,16 @@
         return Fate.KNOWN if job_id in self.job_store.jobs else Fate.NOT_IN_MEMORY
 
     async def _renew_partition(self) -> None:
-        key = PARTITION + self.registration.partition
+        key = keys.partition(self.registration.partition)
         value = {"owner": self.registration.me}
         conditions = {
-            **self.registration.fence(),
-            **self.registration.partition_fence(self.registration.partition),
+            **self.registration.fence_condition(),
+            **self.mirror.partition_condition(self.registration.partition),
         }
-        revision = await self.state.transact(conditions, [put(key, value)], PLACE)
-        self.registration.observe(key, value, revision)
+        revision = await self.state.transact(
+            conditions, [put(key, value)], RequestPriority.PLACEMENT
+        )
+        self.mirror.observe(key, value, revision)
 
     def settled(self, job_id: str) -> None:
         """The job's record is known now; an accept in doubt counts no longer."""
--- a/src/beamspar/jobs/job_controller.py
+++ b/src/beamspar/jobs/job_controller.py
@@ -11,7 +11,7 @@
 
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import PARTITION, Registration
+from beamspar.cluster.registration import Registration
 from beamspar.jobs.assignments import Assignments
 from beamspar.jobs.gang import Phase
 from beamspar.jobs.job import Job, Task
@@ -20,25 +20,23 @@
 from beamspar.jobs.job_writer import JobWriter
 from beamspar.jobs.placer import Placer
 from beamspar.protocol.peer_messages import (
-    ENDED,
-    GONE,
-    KEPT,
-    REFUSED,
+    AttemptState,
     AttemptStatus,
 )
 from beamspar.protocol.wire import PRIORITIES, JobSpec
 from beamspar.quota import quota_preemption as limit_yield
 from beamspar.quota.quota_preemption import PreemptionUnit
 from beamspar.settings import Settings, Timeouts
+from beamspar.state import keys
 from beamspar.state.client import (
-    CHORE,
     ConflictError,
     LeaseExpiredError,
+    RequestPriority,
     StateClient,
     StateUnavailableError,
     drop,
 )
-from beamspar.state.job_records import CANCELLED, LIVE
+from beamspar.state.job_records import JobStatus
 from beamspar.transport.http import Clock, sleep, spawn
 
 log = Logger(namespace="owner")
@@ -60,6 +58,7 @@
     ) -> None:
         self.clock = clock
         self.registration = registration
+        self.mirror = registration.mirror
         self.state = state
         self.settings = settings
         self.timeouts = timeouts
@@ -82,14 +81,14 @@
         self.acceptor = Acceptor(clock, registration, state, timeouts, self)
         self.placer = Placer(clock, registration, timeouts, self)
         self.loader = JobLoader(clock, registration, state, self.facts, timeouts, self)
-        registration.listeners.append(self._changed)
+        registration.mirror.listeners.append(self._changed)
 
     # -- jobs come and go
 
     def _changed(self, key: str) -> None:
-        kind, _, name = key.removeprefix("c/").partition("/")
+        kind, _, name = key.removeprefix(keys.CONTROL_PREFIX).partition("/")
         if kind == "folio":
-            record = self.registration.partitions.get(name)
+            record = self.mirror.partitions.get(name)
             if record and record.owner == self.registration.me:
                 if name not in self.partitions:
                     self.partitions.add(name)
@@ -104,7 +103,7 @@
                 if self.quota_manager:
                     self.quota_manager.forget(name)
         elif kind == "block":
-            shard = self.registration.shards.get(name)
+            shard = self.mirror.shards.get(name)
             for machine in shard.machines if shard else ():
                 self.zones[machine.name] = machine.zone
                 if machine.spot:
@@ -125,7 +124,7 @@
                 self.assignments.place_on(task.machine, job, index, task)
         self.use_changed(job)
         self.acceptor.settled(job.id)
-        if self.registration.is_cancelled(job.id):
+        if self.mirror.is_cancelled(job.id):
             # Stored after what we read of it.
             self.apply_cancellation(job.id)
 
@@ -196,7 +195,7 @@
     def apply_cancellation(self, job_id: str) -> None:
         """A withdrawal that somebody has stored: final, so it needs no read to be heeded."""
         job = self.jobs.get(job_id)
-        if job is not None and job.status == LIVE:
+        if job is not None and job.status == JobStatus.LIVE:
             self.cancel(job)
             # Its write moved our record; the job's end is to be written on top of it.
             spawn(self._catch_up(job), "withdrawal")
@@ -208,7 +207,7 @@
     def cancel(self, job: Job) -> None:
         """The job's user has cancelled it: whatever of it runs is to stop."""
         log.info("{job} is withdrawn", job=job.id)
-        job.status = CANCELLED
+        job.status = JobStatus.CANCELLED
         self._drop_unstored(job)
         job.again.clear()
         self._touch_all(job)
@@ -267,7 +266,11 @@
             self.schedule()
 
     def _status(self, status: AttemptStatus) -> Job | None:
-        if status.state in (GONE, KEPT, REFUSED) and self.assignments.cleared(status):
+        if status.state in (
+            AttemptState.GONE,
+            AttemptState.KEPT,
+            AttemptState.REFUSED,
+        ) and self.assignments.cleared(status):
             return None
         job_id, _, index_text = status.task.partition("/")
         job = self.jobs.get(job_id)
@@ -278,7 +281,7 @@
         if task.machine != status.machine or status.fencing_token < task.fencing_token:
             return None
         index = int(index_text)
-        if status.state in (GONE, REFUSED, ENDED):
+        if status.state in (AttemptState.GONE, AttemptState.REFUSED, AttemptState.ENDED):
             return self._over_attempt(job, index, task, status)
         if task.state != status.state:
             job.saw(task, status.state)
@@ -308,18 +311,22 @@
             why=status.exit_reason or "",
         )
         self._unbind(job, index, task)
-        if status.state == ENDED:
+        if status.state == AttemptState.ENDED:
             self.assignments.clear(job, status.machine, status.task, status.attempt)
-        if status.state == ENDED and status.exit_reason == "done" and not job.spec.is_service:
+        if (
+            status.state == AttemptState.ENDED
+            and status.exit_reason == "done"
+            and not job.spec.is_service
+        ):
             job.complete(index)
             job.backoff.succeed()
             if job.spec.is_gang:
                 self._gang_done(job)
             return job
-        if job.status == LIVE and self.registration.is_cancelled(job.id):
+        if job.status == JobStatus.LIVE and self.mirror.is_cancelled(job.id):
             # The holder knew of the withdrawal before we did: not to be bound once more.
             self.apply_cancellation(job.id)
-        elif job.status == LIVE:
+        elif job.status == JobStatus.LIVE:
             if job.spec.is_gang:
                 self._gang_lost(job, task, status, now)
             elif status.exit_reason in ("error", "no_room", "unknown", "in_use"):
@@ -328,7 +335,7 @@
                     self._failed(job, task, status.machine, now)
                 wait = min(2 ** min(task.failures, 6), 30) * self.timeouts.retry
                 task.not_before = now + (wait if task.failures > 2 else self.timeouts.retry)
-            elif status.state == REFUSED:
+            elif status.state == AttemptState.REFUSED:
                 task.not_before = now + self.timeouts.heartbeat / 2
             job.again.append(index)
         return job
@@ -363,7 +370,7 @@
         gang.lose(status.machine, now, may_replace=not over)
         if status.exit_reason == "error":
             self._failed(job, task, status.machine, now)
-        if status.state == REFUSED:
+        if status.state == AttemptState.REFUSED:
             task.not_before = now + self.timeouts.heartbeat / 2
         else:
             task.not_before = now + gang.pause(job.id, self.timeouts.retry)
@@ -384,7 +391,7 @@
         """See to what is due: writes, placing, repeated messages."""
         self.writer.tick()
         for name in (
-            self.registration.cancelled | self.registration.announced_cancellations.keys()
+            self.mirror.cancelled | self.mirror.announced_cancellations.keys()
         ) & self.jobs.keys():
             self.apply_cancellation(name)
         self._drop_empty_partition()
@@ -402,7 +409,7 @@
         """Gangs that found no replacement in time give back what they hold."""
         for job in self.jobs.values():
             gang = job.gang
-            if gang.missing_since is None or gang.stopping or job.status != LIVE:
+            if gang.missing_since is None or gang.stopping or job.status != JobStatus.LIVE:
                 continue
             if job.bound and job.phase(now) is Phase.STOPPING:
                 log.info("{job}: not complete in time, let go", job=job.id)
@@ -472,7 +479,9 @@
         doubtful = [job for jobs in self.doubtful.values() for job in jobs]
         full = {job.partition for job in (*self.jobs.values(), *doubtful)}
         for partition in sorted(self.loaded - full - {registration.partition}):
-            if partition in registration.partitions and self.quota_manager.holds_none(partition):
+            if partition in registration.mirror.partitions and self.quota_manager.holds_none(
+                partition
+            ):
                 self.dropping = True
                 spawn(self._drop_partition(partition), "dropping a partition")
                 return
@@ -480,10 +489,12 @@
     async def _drop_partition(self, partition: str) -> None:
         try:
             conditions = {
-                **self.registration.fence(),
-                **self.registration.partition_fence(partition),
+                **self.registration.fence_condition(),
+                **self.mirror.partition_condition(partition),
             }
-            await self.state.transact(conditions, [drop(PARTITION + partition)], CHORE)
+            await self.state.transact(
+                conditions, [drop(keys.partition(partition))], RequestPriority.BACKGROUND
+            )
             log.info("partition {partition} is empty: dropped", partition=partition)
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
             log.info(
@@ -499,7 +510,9 @@
             for (_, index), (job, task) in list(self.assignments.on[machine].items()):
                 if task.stored:
                     name = f"{job.id}/{index}"
-                    status = AttemptStatus(machine, task.fencing_token, name, task.attempt, GONE)
+                    status = AttemptStatus(
+                        machine, task.fencing_token, name, task.attempt, AttemptState.GONE
+                    )
                     self._over_attempt(job, index, task, status)
                     changed[job.id] = job
         for job in changed.values():
--- a/src/beamspar/jobs/job_loader.py
+++ b/src/beamspar/jobs/job_loader.py
@@ -18,7 +18,8 @@
 from beamspar.jobs.job import Job, Task
 from beamspar.settings import StateServiceLimits, Timeouts
 from beamspar.state import job_records as records
-from beamspar.state.client import ACCEPT, PLACE, KeyValue, StateClient, StateUnavailableError
+from beamspar.state import keys
+from beamspar.state.client import KeyValue, RequestPriority, StateClient, StateUnavailableError
 from beamspar.state.job_records import Chunk, JobRecord
 from beamspar.transport.http import Clock, sleep
 
@@ -57,6 +58,7 @@
     ) -> None:
         self.clock = clock
         self.registration = registration
+        self.mirror = registration.mirror
         self.state = state
         self.facts = facts
         self.timeouts = timeouts
@@ -91,7 +93,7 @@
             # last writes of its former owner; another reading follows for that one.
             tenures = self._tenures()
             try:
-                items, _ = await self.state.scan("job/", ACCEPT)
+                items, _ = await self.state.scan(keys.JOB_PREFIX, RequestPriority.ACCEPT)
                 for item in items:
                     await self._load_job(item, tenures)
             except StateUnavailableError as error:
@@ -109,8 +111,10 @@
 
     def _tenures(self) -> dict[str, int]:
         """Our partitions, and the revision by which each is ours."""
-        known = self.registration.partitions
-        return {name: known[name].since for name in self.job_store.partitions if name in known}
+        known = self.mirror.partitions
+        return {
+            name: known[name].owned_since for name in self.job_store.partitions if name in known
+        }
 
     def _still_ours(self, partition: str, tenures: dict[str, int]) -> bool:
         """Has the partition been ours all the time since then?"""
@@ -118,7 +122,7 @@
 
     async def _load_job(self, item: KeyValue, tenures: dict[str, int]) -> None:
         record = records.read_job(item)
-        job_id = item.key.removeprefix("job/")
+        job_id = item.key.removeprefix(keys.JOB_PREFIX)
         if job_id in self.job_store.jobs or not self._still_ours(record.partition, tenures):
             return
         job = await self._restore(record, item.version)
@@ -134,7 +138,7 @@
         job.served = version
         chunks = {0: record.chunk}
         if job.spec.tasks > layout.per:
-            items, _ = await self.state.scan(layout.prefix(job.id), ACCEPT)
+            items, _ = await self.state.scan(layout.prefix(job.id), RequestPriority.ACCEPT)
             for item in items:
                 number = layout.number(job.id, item.key)
                 if number is not None:
@@ -174,7 +178,7 @@
 
     async def _adopt(self, job_id: str) -> Job | None:
         tenures = self._tenures()
-        item = await self.state.get(records.job_key(job_id), PLACE)
+        item = await self.state.get(keys.job(job_id), RequestPriority.PLACEMENT)
         if item is None or job_id in self.job_store.jobs or job_id in self.job_store.arriving:
             return None
         record = records.read_job(item)
--- a/src/beamspar/jobs/job_writer.py
+++ b/src/beamspar/jobs/job_writer.py
@@ -12,24 +12,24 @@
 import msgspec
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import RELEASE, Registration
+from beamspar.cluster.registration import Registration
 from beamspar.jobs.job import Job
 from beamspar.settings import StateServiceLimits, Timeouts
 from beamspar.state import job_records as records
+from beamspar.state import keys
 from beamspar.state.client import (
-    CHORE,
-    PLACE,
     ConflictError,
     LeaseExpiredError,
     OutcomeUnknownError,
+    RequestPriority,
     StateClient,
     StateUnavailableError,
     TooLargeError,
     drop,
     put,
 )
-from beamspar.state.client import DONE as DONE_PRIORITY
-from beamspar.state.job_records import CANCELLED, DONE, LIVE, EndRecord, Layout
+from beamspar.state.control_records import RELEASE
+from beamspar.state.job_records import EndRecord, JobStatus, Layout
 from beamspar.transport.http import Clock, sleep, spawn
 
 log = Logger(namespace="owner")
@@ -68,6 +68,7 @@
     ) -> None:
         self.clock = clock
         self.registration = registration
+        self.mirror = registration.mirror
         self.state = state
         self.facts = facts
         self.timeouts = timeouts
@@ -85,7 +86,7 @@
         return self.small if self._may_store_layout() else self.first
 
     def _may_store_layout(self) -> bool:
-        self.all_members_run = self.all_members_run or self.registration.all_members_run(RELEASE)
+        self.all_members_run = self.all_members_run or self.mirror.all_members_run(RELEASE)
         return self.all_members_run
 
     def _too_large(self, job: Job) -> bool:
@@ -97,7 +98,7 @@
         if not self._may_store_layout():
             return
         for job in list(self.job_store.jobs.values()):
-            if job.status == LIVE and self._too_large(job):
+            if job.status == JobStatus.LIVE and self._too_large(job):
                 self.flush(job)
 
     # -- writing
@@ -116,7 +117,7 @@
         return f"{self.registration.me}.{self.registration.incarnation}.{self.stamps}"
 
     def _over(self, job: Job) -> bool:
-        if job.status == CANCELLED:
+        if job.status == JobStatus.CANCELLED:
             return not job.bound
         return job.done_count >= job.spec.tasks
 
@@ -139,9 +140,9 @@
     def _conditions(self, job: Job) -> dict[str, int]:
         """Ours by fence and partition, and nobody has written the record since."""
         return {
-            **self.registration.fence(),
-            **self.registration.partition_fence(job.partition),
-            records.job_key(job.id): job.version,
+            **self.registration.fence_condition(),
+            **self.mirror.partition_condition(job.partition),
+            keys.job(job.id): job.version,
         }
 
     async def _relayout(self, job: Job) -> None:
@@ -180,7 +181,9 @@
             for number in numbers
         ]
         try:
-            version = await self.state.transact(self._conditions(job), changes, PLACE, job.weight)
+            version = await self.state.transact(
+                self._conditions(job), changes, RequestPriority.PLACEMENT, job.weight
+            )
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
             log.info("{job}: new layout waits: {error}", job=job.id, error=error)
             await sleep(self.clock, self.timeouts.retry)
@@ -217,7 +220,7 @@
         job.stamp = self.stamp()
         binding = self._begin(job, {0, *numbers})
         marks: list[tuple[int, int, str | None]] = []
-        key = records.job_key(job.id)
+        key = keys.job(job.id)
         changes = [put(key, job.record())]
         conditions = self._conditions(job)
         written = range(-(-job.untouched // job.per)) if job.moving else {0, *numbers}
@@ -234,7 +237,9 @@
                 changes.append(put(name, msgspec.to_builtins(job.chunk(number))))
         finished = [index for n in numbers for index in job.done.get(n, ())]
         try:
-            version = await self.state.transact(conditions, changes, PLACE, job.weight)
+            version = await self.state.transact(
+                conditions, changes, RequestPriority.PLACEMENT, job.weight
+            )
         except ConflictError as error:
             job.dirty.update({0, *numbers} if job.moving else numbers)
             log.info("{job}: write lost to {failed}", job=job.id, failed=error.failed)
@@ -273,7 +278,7 @@
     async def reread(self, job: Job) -> None:
         """The stored record moved under us: learn what it says now."""
         try:
-            item = await self.state.get(records.job_key(job.id), PLACE)
+            item = await self.state.get(keys.job(job.id), RequestPriority.PLACEMENT)
         except StateUnavailableError:
             return
         if self.job_store.jobs.get(job.id) is not job:
@@ -292,7 +297,7 @@
             if layout != job.layout and not job.moving:
                 # A change of layout without an answer was carried out after all.
                 job.relayout(layout)
-        if record.status == CANCELLED and job.status == LIVE:
+        if record.status == JobStatus.CANCELLED and job.status == JobStatus.LIVE:
             self.job_store.cancel(job)
             self.flush(job)
 
@@ -301,7 +306,7 @@
         if job.spec.tasks > job.per and job.id in self.job_store.jobs:
             layout = job.layout
             try:
-                items, _ = await self.state.scan(layout.prefix(job.id), PLACE)
+                items, _ = await self.state.scan(layout.prefix(job.id), RequestPriority.PLACEMENT)
             except StateUnavailableError:
                 return
             if job.layout != layout:
@@ -313,16 +318,18 @@
 
     async def _finish(self, job: Job) -> bool:
         """Move the job to its final record; True when it is over for us."""
-        status = CANCELLED if job.status == CANCELLED else DONE
-        end = records.end_key(job.id)
+        status = JobStatus.CANCELLED if job.status == JobStatus.CANCELLED else JobStatus.DONE
+        end = keys.finished_job(job.id)
         changes = [
-            drop(records.job_key(job.id)),
+            drop(keys.job(job.id)),
             put(end, msgspec.to_builtins(EndRecord(status, job.done_count))),
         ]
-        if status == CANCELLED:
-            changes.append(drop(records.mark_key(job.id)))
+        if status == JobStatus.CANCELLED:
+            changes.append(drop(keys.cancellation(job.id)))
         try:
-            await self.state.transact({**self._conditions(job), end: 0}, changes, DONE_PRIORITY)
+            await self.state.transact(
+                {**self._conditions(job), end: 0}, changes, RequestPriority.COMPLETION
+            )
         except ConflictError:
             await self.reread(job)
             return job.id not in self.job_store.jobs
@@ -351,7 +358,9 @@
         while left:
             part, left = left[:most], left[most:]
             try:
-                await self.state.transact({}, [drop(layout.key(job, n)) for n in part], CHORE)
+                await self.state.transact(
+                    {}, [drop(layout.key(job, n)) for n in part], RequestPriority.BACKGROUND
+                )
             except StateUnavailableError:
                 left = part + left
                 await sleep(self.clock, self.timeouts.retry)
--- a/src/beamspar/leader/leader.py
+++ b/src/beamspar/leader/leader.py
@@ -12,7 +12,7 @@
 import msgspec
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import LEADER, Machine, Registration
+from beamspar.cluster.registration import Registration
 from beamspar.leader.cloud_client import CloudUnavailableError, NoCapacityError
 from beamspar.leader.gang_reservations import Reservations
 from beamspar.leader.instance_manager import InstanceManager
@@ -42,15 +42,17 @@
 from beamspar.protocol.wire import LOWEST_RANK, JobSpec
 from beamspar.settings import OperatorSettings, Settings, Timeouts
 from beamspar.standby.decisions import CacheChanged
+from beamspar.state import keys
 from beamspar.state.client import (
-    URGENT,
     ConflictError,
     LeaseExpiredError,
+    RequestPriority,
     StateClient,
     StateUnavailableError,
     drop,
     put,
 )
+from beamspar.state.control_records import Machine
 from beamspar.transport.http import Clock, sleep, spawn
 
 log = Logger(namespace="leader")
@@ -75,6 +77,7 @@
     ) -> None:
         self.clock = clock
         self.registration = registration
+        self.mirror = registration.mirror
         self.state = state
         self.instance_manager = instance_manager
         self.settings = settings
@@ -82,11 +85,11 @@
         self.operator_settings = operator_settings
         self.rng = rng
         self.members: dict[str, MemberView] = {}
-        self.shards = ShardWriter(registration, state, settings.platform.state.smallest)
+        self.shard_writer = ShardWriter(registration, state, settings.platform.state.smallest)
         self.shard_leasing = ShardLeasing(
             clock,
             registration,
-            self.shards,
+            self.shard_writer,
             instance_manager,
             settings,
             timeouts,
@@ -132,7 +135,7 @@
     @property
     def leading(self) -> bool:
         """Does this controller lead, as far as its mirror tells?"""
-        return self.leading_since is not None and self.registration.leader == self.registration.me
+        return self.leading_since is not None and self.mirror.leader == self.registration.me
 
     @property
     def in_charge(self) -> bool:
@@ -143,7 +146,7 @@
             return False
         # What a former leader wrote last must be in the mirror: a machine that it has leased
         # would look new, and get into a second block.
-        return self.registration.revision >= self.elected_at
+        return self.mirror.revision >= self.elected_at
 
     @property
     def ready(self) -> bool:
@@ -153,8 +156,8 @@
         if self.clock.seconds() - self.leading_since > self.timeouts.report:
             return True
         # A fence is kept by all that ever registered; those without a grant are dead.
-        known = sum(1 for key in self.registration.values if key.startswith("c/fence/"))
-        awaited = {m for m in self.registration.members if not self.shard_leasing.out_of_reach(m)}
+        known = sum(1 for key in self.mirror.values if key.startswith(keys.FENCE_PREFIX))
+        awaited = {m for m in self.mirror.members if not self.shard_leasing.out_of_reach(m)}
         awaited.discard(self.replaced)
         return known >= self.settings.platform.nodes and awaited <= self.confirmed()
 
@@ -174,7 +177,7 @@
         known = self.confirmed()
         zones: set[str] = set()
         unconfirmed: set[str] = set()
-        for shard in self.registration.shards.values():
+        for shard in self.mirror.shards.values():
             for machine in shard.machines:
                 if shard.holder in known:
                     zones.add(machine.zone)
@@ -189,22 +192,24 @@
         one replaced: all its writes check that record. One that hands over is heard before the
         first decision, one that has failed is not waited for.
         """
-        held = self.registration.values.get(LEADER, (None, 0))[1] if replaces else 0
+        held = self.mirror.values.get(keys.LEADER, (None, 0))[1] if replaces else 0
         self.electing = True
         try:
             value = {"name": self.registration.me, "inc": self.registration.incarnation}
             lease_id = await self.state.grant_lease(self.timeouts.leader_lease)
             revision = await self.state.transact(
-                {LEADER: held, **self.registration.fence()}, [put(LEADER, value, lease_id)], URGENT
+                {keys.LEADER: held, **self.registration.fence_condition()},
+                [put(keys.LEADER, value, lease_id)],
+                RequestPriority.URGENT,
             )
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
             log.info("not elected: {error}", error=error)
         else:
-            self.shards.lease_id, self.elected_at = lease_id, revision
+            self.shard_writer.lease_id, self.elected_at = lease_id, revision
             self.replaced = replaces if failed else ""
             self.decisions.begin(revision)
             self.instance_manager.take_over()
-            self.registration.observe(LEADER, value, revision)
+            self.mirror.observe(keys.LEADER, value, revision)
             self.leading_since, self.told_ready = self.clock.seconds(), False
             log.info("{me} leads", me=self.registration.me)
             spawn(self._keep_leading(lease_id), "keeping the lead")
@@ -212,7 +217,7 @@
             self.electing = False
 
     async def _keep_leading(self, lease_id: int) -> None:
-        while not self.registration.lost and self.registration.leader == self.registration.me:
+        while not self.registration.lost and self.mirror.leader == self.registration.me:
             try:
                 await self.state.renew_lease(lease_id)
             except LeaseExpiredError:
@@ -228,9 +233,11 @@
             return
         # Nothing is decided that the next leader would not know.
         self.paused_until = self.clock.seconds() + self.timeouts.request * 2
-        _, version = self.registration.values.get(LEADER, (None, 0))
+        _, version = self.mirror.values.get(keys.LEADER, (None, 0))
         await self.state.transact(
-            {LEADER: version, **self.registration.fence()}, [drop(LEADER)], URGENT
+            {keys.LEADER: version, **self.registration.fence_condition()},
+            [drop(keys.LEADER)],
+            RequestPriority.URGENT,
         )
         log.info("{me} gives up the lead", me=self.registration.me)
 
@@ -239,7 +246,7 @@
         if not self.registration.lease_is_valid():
             return
         now = self.clock.seconds()
-        value, _ = self.registration.values.get(LEADER, (None, 0))
+        value, _ = self.mirror.values.get(keys.LEADER, (None, 0))
         if value is None:
             self.leading_since = None
             if not self.electing and self.stands():
@@ -286,7 +293,7 @@
         taken = member.take(heartbeat, now)
         if taken:
             for name, images in heartbeat.caches.items():
-                if name in self.registration.shard_of:
+                if name in self.mirror.shard_of:
                     self._cached(name, images)
             for view in heartbeat.machines:
                 self._cached(view.room.name, view.room.images, view.room.kind)
@@ -302,7 +309,7 @@
         drain = [
             name
             for name in self.draining
-            if (self.registration.holder_of(name) or ("", 0))[0] == heartbeat.member
+            if (self.mirror.holder_of(name) or ("", 0))[0] == heartbeat.member
         ]
         caches = {
             name: images
@@ -332,7 +339,7 @@
     def views(self) -> list[MachineStatus]:
         """Machines as their present holders tell, and only those heard of late."""
         now = self.clock.seconds()
-        shards, shard_of = self.registration.shards, self.registration.shard_of
+        shards, shard_of = self.mirror.shards, self.mirror.shard_of
         found = []
         for member_name, member in self.members.items():
             if now - member.heard_at > self.timeouts.report:
@@ -389,7 +396,7 @@
             rooms = [room for room in rooms if room.zone in zones_open]
         near = {
             machine.name
-            for shard in self.registration.shards.values()
+            for shard in self.mirror.shards.values()
             if shard.holder == member
             for machine in shard.machines
         }
@@ -519,7 +526,7 @@
         for view in self.views():
             name = view.room.name
             total[view.room.zone] = total.get(view.room.zone, 0) + 1
-            holder = (self.registration.holder_of(name) or ("", 0))[0]
+            holder = (self.mirror.holder_of(name) or ("", 0))[0]
             if view.silent_s > self.timeouts.silent and holder not in deaf:
                 silent.setdefault(view.room.zone, []).append(view)
         for zone, lost in silent.items():
@@ -541,13 +548,13 @@
         """
         idle: list[tuple[float, MachineStatus]] = []
         rooms: list[Room] = []
-        if not self.registration.members <= self.shard_leasing.heard():
+        if not self.mirror.members <= self.shard_leasing.heard():
             # Somebody's room and needs are not known: nothing is surplus now.
             self.draining.clear()
             return
-        for member in self.registration.members:
+        for member in self.mirror.members:
             for name, (view, at) in self.members[member].machines.items():
-                if self.registration.holder_of(name) != (member, view.fencing_token):
+                if self.mirror.holder_of(name) != (member, view.fencing_token):
                     continue
                 empty = view.fresh and not view.room.tasks
                 told = name in self.draining and view.draining
@@ -571,9 +578,9 @@
             self.instance_manager.take(kept, count * 2, rooms + spare)
         unused = {room.name for room in spare if room.cpus == whole[room.name]}
         self.draining = {}
-        most = max(int(len(self.registration.shard_of) * RETIRE_AT_ONCE), 1)
+        most = max(int(len(self.mirror.shard_of) * RETIRE_AT_ONCE), 1)
         for idle_s, view in idle:
-            held = self.registration.holder_of(view.room.name)
+            held = self.mirror.holder_of(view.room.name)
             if held and view.room.name in unused and idle_s > self.timeouts.idle:
                 self.draining[view.room.name] = held[0]
                 if len(self.draining) >= most:
--- a/src/beamspar/leader/shard_leasing.py
+++ b/src/beamspar/leader/shard_leasing.py
@@ -7,20 +7,15 @@
 
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import (
-    BLOCK,
-    PARTITION,
-    Machine,
-    MachineShard,
-    Registration,
-    shard_record,
-)
+from beamspar.cluster.registration import Registration
 from beamspar.leader.instance_manager import InstanceManager
 from beamspar.leader.member_view import MemberView
 from beamspar.leader.shard_writer import ShardWriter
 from beamspar.protocol.peer_messages import MachineStatus
 from beamspar.settings import OperatorSettings, Settings, Timeouts
+from beamspar.state import keys
 from beamspar.state.client import ConflictError, LeaseExpiredError, StateUnavailableError, put
+from beamspar.state.control_records import Machine, MachineShard, shard_record
 from beamspar.transport.http import Clock
 
 log = Logger(namespace="leader")
@@ -36,7 +31,7 @@
         self,
         clock: Clock,
         registration: Registration,
-        shards: ShardWriter,
+        shard_writer: ShardWriter,
         instance_manager: InstanceManager,
         settings: Settings,
         timeouts: Timeouts,
@@ -46,7 +41,8 @@
     ) -> None:
         self.clock = clock
         self.registration = registration
-        self.shards = shards
+        self.mirror = registration.mirror
+        self.shard_writer = shard_writer
         self.instance_manager = instance_manager
         self.settings = settings
         self.timeouts = timeouts
@@ -89,52 +85,52 @@
 
     def counts(self) -> dict[str, int]:
         """How many machines each live member holds, of those that may get more."""
-        counts = dict.fromkeys(self.registration.members - self.excluded(), 0)
-        for shard in self.registration.shards.values():
+        counts = dict.fromkeys(self.mirror.members - self.excluded(), 0)
+        for shard in self.mirror.shards.values():
             if shard.holder in counts:
                 counts[shard.holder] += len(shard.machines)
         return counts
 
     async def _fail_over_dead(self) -> None:
         """A member whose grant ended is fenced out first; then its work goes on elsewhere."""
-        owners = {f.owner for f in self.registration.partitions.values()}
-        holders = {b.holder for b in self.registration.shards.values()}
-        for dead in sorted((owners | holders) - self.registration.members):
-            fence_key = f"c/fence/{dead}"
-            old, version = self.registration.values.get(fence_key, ({}, 0))
-            terms = {f"c/member/{dead}": 0}
+        owners = {f.owner for f in self.mirror.partitions.values()}
+        holders = {b.holder for b in self.mirror.shards.values()}
+        for dead in sorted((owners | holders) - self.mirror.members):
+            fence_key = keys.fence(dead)
+            old, version = self.mirror.values.get(fence_key, ({}, 0))
+            terms = {keys.member(dead): 0}
             if not old.get("dead"):
                 # What else its fence says stays: its release is known beyond its death.
                 value = {**old, "inc": int(old.get("inc", 0)) + 1, "dead": True}
-                revision = await self.shards.commit(
+                revision = await self.shard_writer.commit(
                     {**terms, fence_key: version}, [put(fence_key, value)]
                 )
-                self.registration.observe(fence_key, value, revision)
+                self.mirror.observe(fence_key, value, revision)
                 log.warn("{dead} is dead: its jobs and blocks move", dead=dead)
             changes: list[tuple[str, Any]] = []
             counts = self.counts()
             if not counts:
                 return
             successors = sorted(counts)
-            for index, (name, partition) in enumerate(sorted(self.registration.partitions.items())):
+            for index, (name, partition) in enumerate(sorted(self.mirror.partitions.items())):
                 if partition.owner == dead:
                     successor = successors[index % len(successors)]
-                    changes.append((PARTITION + name, {"owner": successor}))
-            for name, shard in self.registration.shards.items():
+                    changes.append((keys.partition(name), {"owner": successor}))
+            for name, shard in self.mirror.shards.items():
                 if shard.holder == dead:
                     zone = shard.machines[0].zone if shard.machines else ""
                     successor = self.pick_holder(zone, counts)
                     counts[successor] += len(shard.machines)
                     value = shard_record(successor, shard.machines, self._still_live(dead, shard))
-                    changes.append((BLOCK + name, value))
-            await self.shards.write(changes, terms)
+                    changes.append((keys.shard(name), value))
+            await self.shard_writer.write(changes, terms)
 
     def _still_live(self, holder: str, shard: MachineShard) -> bool:
         """May one from before this holder still act there? Not once its workers know better."""
         member = self.members.get(holder)
-        for machine in shard.machines if shard.live else ():
+        for machine in shard.machines if shard.previous_holder_may_act else ():
             view, _ = member.machines.get(machine.name, (None, 0.0)) if member else (None, 0.0)
-            if view is None or not view.fresh or view.fencing_token < shard.base:
+            if view is None or not view.fresh or view.fencing_token < shard.record_fencing_token:
                 return True
         return False
 
@@ -145,9 +141,9 @@
 
     def _block_size(self, new: int) -> int:
         """So many machines that one transaction moves about all of a controller's blocks."""
-        facts, limits = self.settings.platform, self.shards.limits
+        facts, limits = self.settings.platform, self.shard_writer.limits
         # The cloud's list may be late or out of reach: what reports is there as well.
-        instance_manager = max(self.instance_manager.counted, len(self.registration.shard_of) + new)
+        instance_manager = max(self.instance_manager.counted, len(self.mirror.shard_of) + new)
         fitting = int(limits.value_kb * 1024 / 2 / MACHINE_BYTES)
         size = -(-instance_manager // (max(facts.nodes, 1) * limits.txn_ops))
         return max(min(self.operator_settings.block_size or size, fitting), 1)
@@ -159,8 +155,7 @@
         new = [
             m
             for m, _ in self.seen.values()
-            if m.name not in self.registration.shard_of
-            and m.name not in self.instance_manager.returned
+            if m.name not in self.mirror.shard_of and m.name not in self.instance_manager.returned
         ]
         self.seen.clear()
         if not new:
@@ -178,7 +173,7 @@
                 holder = self.pick_holder(zone, counts)
                 counts[holder] += len(part)
                 value = shard_record(holder, part)
-                changes.append((BLOCK + self.shards.free_name(part[0].name), value))
+                changes.append((keys.shard(self.shard_writer.free_name(part[0].name)), value))
                 log.info(
                     "leasing {names} ({kind}, {zone}) to {holder}",
                     names=[m.name for m in part],
@@ -186,22 +181,24 @@
                     zone=zone,
                     holder=holder,
                 )
-        await self.shards.write(changes)
+        await self.shard_writer.write(changes)
 
     async def _drop_returned(self) -> None:
         """The cloud has confirmed these are gone: without a block their tasks are too."""
         changes: list[tuple[str, Any]] = []
-        for name, shard in self.registration.shards.items():
+        for name, shard in self.mirror.shards.items():
             left = [m for m in shard.machines if m.name not in self.instance_manager.returned]
             if len(left) == len(shard.machines):
                 continue
             if left:
-                value = shard_record(shard.holder, left, shard.live, shard.fencing_token)
-                changes.append((BLOCK + name, value))
+                value = shard_record(
+                    shard.holder, left, shard.previous_holder_may_act, shard.fencing_token
+                )
+                changes.append((keys.shard(name), value))
             else:
-                changes.append((BLOCK + name, None))
+                changes.append((keys.shard(name), None))
         if changes:
-            await self.shards.write(changes)
+            await self.shard_writer.write(changes)
 
     def out_of_reach(self, member: str) -> bool:
         """Have our calls to the member failed for longer than it is waited for?"""
@@ -213,7 +210,7 @@
         now = self.clock.seconds()
         return {
             m
-            for m in self.registration.members
+            for m in self.mirror.members
             if m in self.members and now - self.members[m].heard_at < self.timeouts.report
         }
 
@@ -230,7 +227,7 @@
             return
         fair = sum(counts.values()) / len(counts)
         changes: list[tuple[str, Any]] = []
-        for name, shard in self.registration.shards.items():
+        for name, shard in self.mirror.shards.items():
             if shard.holder not in counts or not shard.machines:
                 continue
             zone, size = shard.machines[0].zone, len(shard.machines)
@@ -247,11 +244,16 @@
             counts[shard.holder] -= size
             counts[successor] += size
             log.info("moving {name} from {a} to {b}", name=name, a=shard.holder, b=successor)
-            changes.append((BLOCK + name, shard_record(successor, shard.machines, live=True)))
-            if len(changes) >= max(self.shards.limits.txn_ops // 4, 1):
+            changes.append(
+                (
+                    keys.shard(name),
+                    shard_record(successor, shard.machines, previous_holder_may_act=True),
+                )
+            )
+            if len(changes) >= max(self.shard_writer.limits.txn_ops // 4, 1):
                 break
         if changes:
-            await self.shards.write(changes)
+            await self.shard_writer.write(changes)
 
     async def _move_unserved(self) -> None:
         """Machines whose holder we don't hear, or that it does not hear, go to whom they come to.
@@ -266,32 +268,37 @@
         deaf = self.cut_off_members()
         for member in sorted(self.heard() - self.excluded()):
             for name in self.members[member].unserved:
-                shard = self.registration.shards.get(self.registration.shard_of.get(name, ""))
+                shard = self.mirror.shards.get(self.mirror.shard_of.get(name, ""))
                 if shard is None or shard.holder == member:
                     continue
                 holder = self.members.get(shard.holder)
                 view, _ = holder.machines.get(name, (None, 0.0)) if holder else (None, 0.0)
                 if self.out_of_reach(shard.holder):
-                    found.setdefault(self.registration.shard_of[name], member)
+                    found.setdefault(self.mirror.shard_of[name], member)
                 elif shard.holder in deaf and view and view.silent_s > self.timeouts.out_of_reach:
                     # Not for one machine alone: that one may hear nobody's answers, and
                     # would go round for ever.
                     self.blind[shard.holder] = now + self.timeouts.worker_lease * 2
-                    found.setdefault(self.registration.shard_of[name], member)
+                    found.setdefault(self.mirror.shard_of[name], member)
         changes: list[tuple[str, Any]] = []
         for name, member in found.items():
-            shard = self.registration.shards[name]
+            shard = self.mirror.shards[name]
             log.info("moving {name}, a stray of {a}, to {b}", name=name, a=shard.holder, b=member)
-            changes.append((BLOCK + name, shard_record(member, shard.machines, live=True)))
+            changes.append(
+                (
+                    keys.shard(name),
+                    shard_record(member, shard.machines, previous_holder_may_act=True),
+                )
+            )
         if changes:
-            await self.shards.write(changes)
+            await self.shard_writer.write(changes)
 
     def cut_off_members(self) -> set[str]:
         """Members that hear few of their machines: they have lost them, not they their power."""
         held: dict[str, int] = {}
         quiet: dict[str, int] = {}
         for view in self.views():
-            member = (self.registration.holder_of(view.room.name) or ("", 0))[0]
+            member = (self.mirror.holder_of(view.room.name) or ("", 0))[0]
             held[member] = held.get(member, 0) + 1
             quiet[member] = quiet.get(member, 0) + (view.silent_s > self.timeouts.silent / 2)
         now = self.clock.seconds()
--- a/src/beamspar/leader/shard_writer.py
+++ b/src/beamspar/leader/shard_writer.py
@@ -6,10 +6,11 @@
 
 import orjson
 
-from beamspar.cluster.registration import BLOCK, LEADER, Registration
+from beamspar.cluster.registration import Registration
 from beamspar.settings import StateServiceLimits
 from beamspar.state import job_records as records
-from beamspar.state.client import URGENT, LeaseExpiredError, StateClient, drop, put
+from beamspar.state import keys
+from beamspar.state.client import LeaseExpiredError, RequestPriority, StateClient, drop, put
 
 
 def _halves(record: dict[str, Any]) -> list[tuple[str, dict[str, Any]]]:
@@ -28,6 +29,7 @@
         self, registration: Registration, state: StateClient, limits: StateServiceLimits
     ) -> None:
         self.registration = registration
+        self.mirror = registration.mirror
         self.state = state
         self.limits = limits
         # The grant behind the lead.
@@ -40,15 +42,15 @@
         that got no answer can't be applied after a newer one. Two leases of the same new
         machine, grouped differently, would each have found their own key free.
         """
-        value, version = self.registration.values.get(LEADER, (None, 0))
+        value, version = self.mirror.values.get(keys.LEADER, (None, 0))
         if value is None or value.get("name") != self.registration.me:
             raise LeaseExpiredError("the lead has passed on")
         revision = await self.state.transact(
-            {**self.registration.fence(), **conditions, LEADER: version},
-            [*changes, put(LEADER, value, self.lease_id)],
-            URGENT,
+            {**self.registration.fence_condition(), **conditions, keys.LEADER: version},
+            [*changes, put(keys.LEADER, value, self.lease_id)],
+            RequestPriority.URGENT,
         )
-        self.registration.observe(LEADER, value, revision)
+        self.mirror.observe(keys.LEADER, value, revision)
         return revision
 
     async def write(
@@ -67,18 +69,18 @@
                 part += groups.pop(0)
             conditions = dict(terms or {})
             for key, _ in part:
-                conditions[key] = self.registration.values.get(key, (None, 0))[1]
+                conditions[key] = self.mirror.values.get(key, (None, 0))[1]
             puts = [drop(k) if v is None else put(k, v) for k, v in part]
             revision = await self.commit(conditions, puts)
             for key, value in part:
                 if value is not None:
-                    self.registration.observe(key, value, revision)
+                    self.mirror.observe(key, value, revision)
 
     def _within_limit(self, key: str, value: Any) -> list[tuple[str, Any]]:
         """The change itself, or several blocks in its place where it is larger than a value
         may be. They are written together: a machine that is in no block counts as returned."""
         parts = [(key, value)]
-        if not key.startswith(BLOCK) or value is None:
+        if not key.startswith(keys.SHARD_PREFIX) or value is None:
             return parts
         most = self.limits.value_kb * 1024 * records.MARGIN
         while len(orjson.dumps(parts[0][1])) > most and len(parts[0][1]["machines"]) > 1:
@@ -88,7 +90,7 @@
         named = [(key, parts[0][1])]
         for _, part in parts[1:]:
             name = self.free_name(part["machines"][0]["name"])
-            named.append((BLOCK + name, part))
+            named.append((keys.shard(name), part))
         return named
 
     def free_name(self, machine: str) -> str:
@@ -98,6 +100,6 @@
         machine's report once got it leased again, in place of the block and all in it.
         """
         name = machine
-        while name in self.registration.shards:
+        while name in self.mirror.shards:
             name += "+"
         return name
--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -19,16 +19,10 @@
 from beamspar.machines.worker_client import WorkerClient
 from beamspar.placement import Room, copy, evict_least_recently_used
 from beamspar.protocol.peer_messages import (
-    CLEAR,
-    ENDED,
-    GONE,
-    HOLD,
-    KEPT,
-    REFUSED,
-    RUN,
-    STOP,
     VIEWS_AT_ONCE,
+    AttemptState,
     AttemptStatus,
+    DesiredAction,
     DesiredAttempt,
     DesiredStateUpdate,
     MachineStatus,
@@ -42,6 +36,7 @@
     order_stop,
 )
 from beamspar.settings import Timeouts
+from beamspar.state import keys
 from beamspar.transport.http import CallFailedError, Clock, spawn
 
 log = Logger(namespace="holder")
@@ -66,6 +61,7 @@
     ) -> None:
         self.clock = clock
         self.registration = registration
+        self.mirror = registration.mirror
         self.workers = workers
         self.timeouts = timeouts
         self.types = types
@@ -88,15 +84,15 @@
         # The cache map as the leader passes it on: reports don't list what is cached, so
         # a new holder would think its machines cold.
         self.caches: dict[str, dict[str, float]] = {}
-        registration.listeners.append(self._changed)
+        registration.mirror.listeners.append(self._changed)
 
     # -- blocks
 
     def _changed(self, key: str) -> None:
-        if key.startswith("c/block/"):
-            self._adopt(key.removeprefix("c/block/"))
-        elif key.startswith("c/w/"):
-            job = key.removeprefix("c/w/")
+        if key.startswith(keys.SHARD_PREFIX):
+            self._adopt(key.removeprefix(keys.SHARD_PREFIX))
+        elif key.startswith(keys.CANCELLATION_PREFIX):
+            job = key.removeprefix(keys.CANCELLATION_PREFIX)
             for machine in self.machines.values():
                 attempts = [key for key in machine.tasks if key[0].startswith(job + "/")]
                 if attempts:
@@ -104,7 +100,7 @@
                     self.step(machine)
 
     def _adopt(self, block_name: str) -> None:
-        shard = self.registration.shards.get(block_name)
+        shard = self.mirror.shards.get(block_name)
         now = self.clock.seconds()
         names = set()
         if shard and shard.holder == self.registration.me and self.registration.registered:
@@ -112,9 +108,9 @@
                 names.add(info.name)
                 known = self.machines.get(info.name)
                 if known is None or known.fencing_token != shard.fencing_token:
-                    since = self.registration.silent_since(info.name, shard.live)
+                    since = self.mirror.silent_since(info.name, shard.previous_holder_may_act)
                     machine = ManagedMachine(info, shard.fencing_token, now, since)
-                    machine.sole = not shard.live
+                    machine.sole = not shard.previous_holder_may_act
                     if known is not None:
                         machine.images = known.images
                     self._recall(machine)
@@ -129,7 +125,7 @@
                     self._take_wants(machine)
                     self.step(machine)
         for name in [n for n in self.machines if n not in names]:
-            held = self.registration.holder_of(name)
+            held = self.mirror.holder_of(name)
             if held is None or held != (self.registration.me, self.machines[name].fencing_token):
                 log.info("no longer holding {machine}", machine=name)
                 machine = self.machines.pop(name)
@@ -150,7 +146,7 @@
             return None
         return (
             machine
-            if self.registration.holder_of(name) == (self.registration.me, machine.fencing_token)
+            if self.mirror.holder_of(name) == (self.registration.me, machine.fencing_token)
             else None
         )
 
@@ -204,7 +200,7 @@
                 if start.agent_epoch < report.agent_epoch:
                     # The session's end killed it, and orders of that session are void.
                     del machine.starts[key]
-                    machine.over[key] = GONE
+                    machine.over[key] = AttemptState.GONE
             machine.touch_all()
             if machine.agent_epoch:
                 log.info("{machine}: session {s}", machine=report.machine, s=report.agent_epoch)
@@ -331,7 +327,10 @@
         the same names: until its record is refused, what it holds must not replace what the
         stored record wants. Tasks that ran were taken for refused, and started elsewhere.
         """
-        if desired.action == HOLD and machine.partition_of.get(key, partition) != partition:
+        if (
+            desired.action == DesiredAction.HOLD
+            and machine.partition_of.get(key, partition) != partition
+        ):
             return False
         machine.desired_attempts[key] = desired
         machine.partition_of[key] = partition
@@ -384,9 +383,9 @@
             return None
         if task.status != "ended":
             return task.status, None
-        if desired.action == CLEAR and machine.in_doubt(key):
-            return KEPT, None
-        return ENDED, task.exit_reason
+        if desired.action == DesiredAction.CLEAR and machine.in_doubt(key):
+            return AttemptState.KEPT, None
+        return AttemptState.ENDED, task.exit_reason
 
     def _status(
         self, machine: ManagedMachine, key: Key, desired: DesiredAttempt
@@ -395,7 +394,7 @@
         if mark is None:
             return None
         state, why = mark
-        saved = state == ENDED and bool(machine.tasks[key].saved)
+        saved = state == AttemptState.ENDED and bool(machine.tasks[key].saved)
         return AttemptStatus(
             machine.info.name, machine.fencing_token, key[0], key[1], state, why, saved
         )
@@ -479,19 +478,17 @@
     def _commands(self, machine: ManagedMachine) -> list[dict[str, Any]]:
         """Orders that the difference between wants and reports calls for."""
         commands = []
-        cancellations = bool(
-            self.registration.cancelled or self.registration.announced_cancellations
-        )
+        cancellations = bool(self.mirror.cancelled or self.mirror.announced_cancellations)
         open_tasks = [(key, machine.tasks[key]) for key in machine.open if key in machine.tasks]
         for key, task in open_tasks:
             if task.status == "ended":
                 continue
             desired = machine.desired_attempts.get(key)
-            if cancellations and self.registration.is_cancelled(key[0].partition("/")[0]):
+            if cancellations and self.mirror.is_cancelled(key[0].partition("/")[0]):
                 grace: float | None = 0.0
             elif key in machine.unwanted:
                 grace = 0.0
-            elif desired is not None and desired.action == STOP:
+            elif desired is not None and desired.action == DesiredAction.STOP:
                 grace = self._grace(desired)
             elif key in machine.preempted:
                 grace = machine.preempted[key]
@@ -507,7 +504,9 @@
             # After a clear the worker has forgotten the attempt, so a start
             # still under way would run it once more: never clear in doubt.
             clearable = task.status == "ended" and not machine.in_doubt(key)
-            if clearable and ((desired and desired.action == CLEAR) or key in machine.unwanted):
+            if clearable and (
+                (desired and desired.action == DesiredAction.CLEAR) or key in machine.unwanted
+            ):
                 commands.append(order_clear(key[0], key[1]))
         return commands
 
@@ -525,32 +524,36 @@
         paused = machine.paused_until > self.clock.seconds()
         for key, desired in sorted(missing, key=lambda item: item[1].rank):
             start = machine.starts.get(key)
-            cancelled = self.registration.is_cancelled(key[0].partition("/")[0])
-            if start is None and paused and desired.action in (RUN, HOLD):
+            cancelled = self.mirror.is_cancelled(key[0].partition("/")[0])
+            if (
+                start is None
+                and paused
+                and desired.action in (DesiredAction.RUN, DesiredAction.HOLD)
+            ):
                 continue
             if start is not None and start.answered and not start.doubt:
                 # It was there, and a newer report does not list it.
-                self._mark_over(machine, key, GONE)
-            elif desired.action == HOLD:
+                self._mark_over(machine, key, AttemptState.GONE)
+            elif desired.action == DesiredAction.HOLD:
                 if not self.summaries.usable(machine) or not (
                     desired.preempt or self._fits(machine, key, desired)
                 ):
-                    self._mark_over(machine, key, REFUSED)
-            elif desired.action == RUN and not cancelled:
+                    self._mark_over(machine, key, AttemptState.REFUSED)
+            elif desired.action == DesiredAction.RUN and not cancelled:
                 if start is not None:
                     commands.append(order_start(*key))
                 elif not self.summaries.usable(machine):
-                    self._mark_over(machine, key, REFUSED)
+                    self._mark_over(machine, key, AttemptState.REFUSED)
                 elif self._fits(machine, key, desired):
                     commands.append(order_start(*key))
                 elif not (desired.preempt and self._preempt(machine, key, desired)):
-                    self._mark_over(machine, key, REFUSED)
+                    self._mark_over(machine, key, AttemptState.REFUSED)
             elif start is None:
                 # A fresh report does not list it, older numbers are fenced out and
                 # this one never sent it.
-                self._mark_over(machine, key, GONE)
+                self._mark_over(machine, key, AttemptState.GONE)
             elif machine.void(start):
-                self._mark_over(machine, key, GONE)
+                self._mark_over(machine, key, AttemptState.GONE)
             elif not machine.ordering:
                 self._raise_token(machine)
                 return commands
@@ -572,8 +575,8 @@
         newer than that, and so is its number: up to the mirror's revision the token is ours to
         raise. Repeating the start to stop it at once would start what its user has cancelled.
         """
-        if self.registration.revision > machine.command_token:
-            machine.command_token = self.registration.revision
+        if self.mirror.revision > machine.command_token:
+            machine.command_token = self.mirror.revision
             machine.fresh = False
             machine.touch_all()
             log.info(
@@ -601,9 +604,7 @@
         now = self.clock.seconds()
         starts = self._starts(machine)
         due = self._commands(machine) + starts
-        commands = (
-            due if self.registration.mirror_is_current() else [c for c in due if c not in starts]
-        )
+        commands = due if self.mirror.is_current() else [c for c in due if c not in starts]
         self._tell(machine)
         machine.open = {key: None for key in machine.open if not self._settled(machine, key)}
         machine.calm = (
@@ -634,11 +635,11 @@
             return True
         return (
             task.status != "ended"
-            and desired.action in (RUN, HOLD)
+            and desired.action in (DesiredAction.RUN, DesiredAction.HOLD)
             and machine.termination_notice_s is None
             and key not in machine.preempted
             and key not in machine.unwanted
-            and not self.registration.is_cancelled(key[0].partition("/")[0])
+            and not self.mirror.is_cancelled(key[0].partition("/")[0])
         )
 
     async def _send(self, machine: ManagedMachine, commands: list[dict[str, Any]]) -> None:
@@ -709,7 +710,7 @@
             return
         # Another may hold a machine since the mirror was last known to be whole, and answer
         # its worker: a controller that was frozen took machines for silent that had moved.
-        known = min(now, self.registration.watched_at)
+        known = min(now, self.mirror.watched_at)
         for machine in list(self.machines.values()):
             if not machine.lost and known > machine.last_answer + self.timeouts.worker_gone:
                 self._expire(machine)
@@ -727,7 +728,7 @@
         machine.min_agent_epoch = machine.agent_epoch + 1 if machine.agent_epoch else 0
         for key in set(machine.desired_attempts) | set(machine.starts) | set(machine.tasks):
             if key not in machine.over:
-                self._mark_over(machine, key, GONE)
+                self._mark_over(machine, key, AttemptState.GONE)
         machine.tasks.clear()
         machine.touch_all()
         self._tell(machine)
--- a/src/beamspar/machines/managed_machine.py
+++ b/src/beamspar/machines/managed_machine.py
@@ -4,10 +4,13 @@
 
 from typing import Any
 
-from beamspar.cluster.registration import Machine
 from beamspar.placement import Room
-from beamspar.protocol.peer_messages import CLEAR, DesiredAttempt
+from beamspar.protocol.peer_messages import (
+    DesiredAction,
+    DesiredAttempt,
+)
 from beamspar.protocol.wire import TaskStatus
+from beamspar.state.control_records import Machine
 
 # A task and the number of its attempt.
 Key = tuple[str, int]
@@ -137,4 +140,4 @@
         if report is not None:
             return report.status != "ended"
         desired = self.desired_attempts.get(key)
-        return desired is not None and desired.action != CLEAR
+        return desired is not None and desired.action != DesiredAction.CLEAR
--- a/src/beamspar/node/node.py
+++ b/src/beamspar/node/node.py
@@ -10,7 +10,7 @@
 from twisted.internet.defer import Deferred, ensureDeferred
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import LEADER, Machine, Registration
+from beamspar.cluster.registration import Registration
 from beamspar.jobs.job_controller import JobController
 from beamspar.leader.cloud_client import CloudClient, CloudUnavailableError, NoCapacityError
 from beamspar.leader.instance_manager import InstanceManager
@@ -44,6 +44,7 @@
 from beamspar.settings import OperatorSettings, Settings, Timeouts
 from beamspar.standby.standby import Standby
 from beamspar.state import job_records as records
+from beamspar.state import keys
 from beamspar.state.client import (
     ConflictError,
     LeaseExpiredError,
@@ -51,6 +52,7 @@
     StateUnavailableError,
     put,
 )
+from beamspar.state.control_records import Machine
 from beamspar.transport.http import (
     Answer,
     Call,
@@ -68,8 +70,6 @@
 
 log = Logger(namespace="node")
 
-TYPES = "c/types"
-
 
 class Node:
     """A controller. Its parts are made anew when its standing is lost."""
@@ -182,7 +182,7 @@
         )
         self.leader, self.quota_manager = leader, quota_manager
         self.heartbeat_known = 0
-        registration.listeners.append(self._learn_types)
+        registration.mirror.listeners.append(self._learn_types)
         self.standby = None
         if self.operator_settings.standby:
             self.standby = Standby(
@@ -194,7 +194,7 @@
                 self._deliver,
                 self._summary,
             )
-            registration.listeners.append(self._greet_leader)
+            registration.mirror.listeners.append(self._greet_leader)
         self.sharing = None
         if self.operator_settings.sharing:
             # Loaded only where it is on: each module costs time at the start.
@@ -219,9 +219,9 @@
     def _greet_leader(self, key: str) -> None:
         """A new leader decides nothing before it has heard us: tell it all at once."""
         if (
-            key == LEADER
+            key == keys.LEADER
             and self.registration is not None
-            and self.registration.leader != self.heartbeat_to
+            and self.registration.mirror.leader != self.heartbeat_to
         ):
             self.clock.callLater(0, self._heartbeat_now)
 
@@ -292,16 +292,16 @@
     async def _store_types(self) -> None:
         while self.registration is None or not self.registration.started:
             await sleep(self.clock, self.timeouts.report)
-        if TYPES not in self.registration.values:
+        if keys.MACHINE_TYPES not in self.registration.mirror.values:
             value = [msgspec.to_builtins(t) for t in self.types.values()]
             try:
-                await self.state.transact({TYPES: 0}, [put(TYPES, value)])
+                await self.state.transact({keys.MACHINE_TYPES: 0}, [put(keys.MACHINE_TYPES, value)])
             except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
                 log.info("machine types not stored: {error}", error=error)
 
     def _learn_types(self, key: str) -> None:
-        if key == TYPES and self.registration and not self.types:
-            value = self.registration.values.get(TYPES, ([], 0))[0]
+        if key == keys.MACHINE_TYPES and self.registration and not self.types:
+            value = self.registration.mirror.values.get(keys.MACHINE_TYPES, ([], 0))[0]
             types: list[MachineType] = convert(value, list[MachineType])
             self.types.update({t.name: t for t in types})
 
@@ -463,7 +463,7 @@
         own the job or hold its machines, and go on with both until their leases end.
         """
         if self.registration is not None and not self.registration.lost:
-            self.registration.observe_cancellations({job: revision})
+            self.registration.mirror.observe_cancellations({job: revision})
         for pending in self.unacknowledged.values():
             pending[job] = revision
         self._spread()
@@ -473,8 +473,8 @@
         registration = self.registration
         for member, pending in self.unacknowledged.items():
             if registration is not None and registration.started:
-                for job in [j for j, at in pending.items() if at <= registration.revision]:
-                    if job not in registration.cancelled:
+                for job in [j for j, at in pending.items() if at <= registration.mirror.revision]:
+                    if job not in registration.mirror.cancelled:
                         del pending[job]
             if pending and member not in self.spreading:
                 self.spreading.add(member)
@@ -546,7 +546,7 @@
     async def _asks(self, capacity_requests: list[CapacityRequest]) -> list[PlacementOffer] | None:
         """The leader's offers; None when it can't be asked, and soon, for users wait."""
         registration = self.registration
-        name = registration.leader if registration else None
+        name = registration.mirror.leader if registration else None
         if name is None:
             return None
         if name == self.settings.member:
@@ -573,7 +573,7 @@
     def _heartbeat(self) -> None:
         registration = self.registration
         assert registration and self.machine_controller and self.job_controller and self.leader
-        leader = registration.leader
+        leader = registration.mirror.leader
         if leader is None or not registration.lease_is_valid() or self.sending_heartbeat:
             return
         if leader != registration.me and not self.reachable(leader):
@@ -598,7 +598,7 @@
         assert self.job_controller
         classes: dict[str, JobClass] = {}
         for job in self.job_controller.jobs.values():
-            if job.status == records.LIVE:
+            if job.status == records.JobStatus.LIVE:
                 job_class = classes.get(job.spec.job_class)
                 if job_class is None:
                     job_class = classes[job.spec.job_class] = JobClass(
@@ -613,7 +613,9 @@
     def _demand(self) -> int:
         """Tasks of our jobs that are bound or waiting."""
         assert self.job_controller
-        live = [job for job in self.job_controller.jobs.values() if job.status == records.LIVE]
+        live = [
+            job for job in self.job_controller.jobs.values() if job.status == records.JobStatus.LIVE
+        ]
         return sum(job.spec.tasks - job.done_count for job in live)
 
     def _summary(self, known: int = 0) -> MemberHeartbeat:
@@ -650,7 +652,7 @@
         self.reserved = frozenset(response.reserved)
         self.caches_known = response.caches_known
         self.caches.update(response.caches)
-        held = self.registration.shard_of if self.registration else {}
+        held = self.registration.mirror.shard_of if self.registration else {}
         for name in [n for n in self.caches if n not in held] if response.caches else ():
             del self.caches[name]
         if self.machine_controller:
@@ -722,6 +724,6 @@
             return encode(response)
         if name == "withdrawn":
             cancellations: CancellationNotice = decode(body, CancellationNotice)
-            self.registration.observe_cancellations(cancellations.jobs)
+            self.registration.mirror.observe_cancellations(cancellations.jobs)
             return b"{}"
         raise KeyError(name)
--- a/src/beamspar/node/public_api.py
+++ b/src/beamspar/node/public_api.py
@@ -11,7 +11,6 @@
 from twisted.internet.defer import Deferred
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import Machine
 from beamspar.placement import fits_type
 from beamspar.protocol.wire import (
     JOB_ID,
@@ -26,16 +25,17 @@
     unpack,
 )
 from beamspar.state import job_records as records
+from beamspar.state import keys
 from beamspar.state.client import (
-    ACCEPT,
     QUESTION_WEIGHT,
-    URGENT,
     ConflictError,
     LeaseExpiredError,
+    RequestPriority,
     StateUnavailableError,
     put,
 )
-from beamspar.state.job_records import CANCELLED, LIVE, EndRecord, JobRecord
+from beamspar.state.control_records import Machine
+from beamspar.state.job_records import EndRecord, JobRecord, JobStatus
 from beamspar.transport.http import Answer, Call, spawn
 
 if TYPE_CHECKING:
@@ -133,7 +133,7 @@
         try:
             await owner.accept(spec)
         except ConflictError as error:
-            if records.job_key(job) in error.failed or records.end_key(job) in error.failed:
+            if keys.job(job) in error.failed or keys.finished_job(job) in error.failed:
                 return await self._poll(job)
             return busy()
         except (StateUnavailableError, LeaseExpiredError) as error:
@@ -176,7 +176,9 @@
             log.debug("poll of {job}: {error}", job=job, error=error)
             return busy()
         late = self.node.clock.seconds() - asked > self.node.timeouts.heartbeat * 2
-        if late and (found is None or found["status"] not in (CANCELLED, records.DONE)):
+        if late and (
+            found is None or found["status"] not in (JobStatus.CANCELLED, records.JobStatus.DONE)
+        ):
             # The state service's word was held up on its way: others may have told
             # the user of the job's end meanwhile, or accepted it: this would be older.
             return busy()
@@ -206,14 +208,14 @@
             return self._final(job, end)
         owner = self.node.job_controller
         mine = owner.jobs.get(job) if owner else None
-        if mine is not None and mine.version and mine.status == LIVE:
+        if mine is not None and mine.version and mine.status == JobStatus.LIVE:
             if await self._check(job, mine.version):
                 return job_answer(
                     job, "running" if mine.running else "pending", mine.done_count, mine.running
                 )
         else:
             known = self.known.get(job)
-            if known and known[1].status == LIVE and await self._check(job, known[0]):
+            if known and known[1].status == JobStatus.LIVE and await self._check(job, known[0]):
                 return self._current(job, known[1])
         return await self._read(job)
 
@@ -221,8 +223,8 @@
         return job_answer(job, end.status, end.done)
 
     def _current(self, job: str, record: JobRecord) -> dict[str, Any]:
-        if record.status == CANCELLED:
-            return job_answer(job, CANCELLED, record.done)
+        if record.status == JobStatus.CANCELLED:
+            return job_answer(job, JobStatus.CANCELLED, record.done)
         status = "running" if record.running else "pending"
         return job_answer(job, status, record.done, record.running)
 
@@ -254,7 +256,7 @@
 
     async def _read_record(self, job: str, leaves: Callable[[], None]) -> dict[str, Any] | None:
         state = self.node.state
-        item = await state.get(records.job_key(job), ACCEPT, QUESTION_WEIGHT, leaves)
+        item = await state.get(keys.job(job), RequestPriority.ACCEPT, QUESTION_WEIGHT, leaves)
         if item is not None:
             record = self._decode(item.value, JobRecord)
             self._remember(self.known, job, (item.version, record))
@@ -264,7 +266,7 @@
             return self._current(job, record)
         self.known.pop(job, None)
         # A job moves from `job/` to `end/` in one transaction, so this order finds it.
-        item = await state.get(records.end_key(job))
+        item = await state.get(keys.finished_job(job))
         if item is None:
             return None
         end = self._decode(item.value, EndRecord)
@@ -286,7 +288,7 @@
     def _check(self, job: str, version: int) -> Deferred[bool]:
         """Is this still the stored version? Many are asked in one comparison."""
         done: Deferred[bool] = Deferred()
-        self.checks.setdefault(f"{records.job_key(job)}\n{version}", []).append(done)
+        self.checks.setdefault(f"{keys.job(job)}\n{version}", []).append(done)
         if not self.checking:
             self.checking = True
             self.node.clock.callLater(self.node.timeouts.poll_batching, self._run_checks)
@@ -306,7 +308,7 @@
                 key, _, version = name.partition("\n")
                 conditions[key] = int(version)
             try:
-                await self.node.state.transact(conditions, [], 1)
+                await self.node.state.transact(conditions, [], RequestPriority.ACCEPT)
                 failed: set[str] | None = set()
             except ConflictError as error:
                 failed = set(error.failed)
@@ -331,36 +333,36 @@
                 end = self.ends.get(job)
                 if end is not None:
                     return reply(200, {"id": job, "status": end.status})
-                item = await state.get(records.job_key(job), URGENT)
+                item = await state.get(keys.job(job), RequestPriority.URGENT)
                 if item is None:
                     if await self._read(job) is None:
                         return reply(404, {"error": "no such job"})
                     continue
                 record = self._decode(item.value, JobRecord)
-                if record.status == CANCELLED:
+                if record.status == JobStatus.CANCELLED:
                     self.node.confirm(job, item.version)
-                    return reply(200, {"id": job, "status": CANCELLED})
+                    return reply(200, {"id": job, "status": JobStatus.CANCELLED})
                 if await self._store_cancellation(job, item.version, record):
-                    return reply(200, {"id": job, "status": CANCELLED})
+                    return reply(200, {"id": job, "status": JobStatus.CANCELLED})
         except (StateUnavailableError, LeaseExpiredError) as error:
             log.info("withdrawal of {job}: {error}", job=job, error=error)
         return busy()
 
     async def _store_cancellation(self, job: str, version: int, record: JobRecord) -> bool:
-        record.status = CANCELLED
+        record.status = JobStatus.CANCELLED
         value = msgspec.to_builtins(record)
         try:
             revision = await self.node.state.transact(
-                {records.job_key(job): version},
-                [put(records.job_key(job), value), put(records.mark_key(job), {"t": 1})],
-                URGENT,
+                {keys.job(job): version},
+                [put(keys.job(job), value), put(keys.cancellation(job), {"t": 1})],
+                RequestPriority.URGENT,
             )
         except ConflictError:
             return False
         log.info("{job} withdrawn by its user", job=job)
         registration = self.node.registration
         if registration:
-            registration.observe(records.mark_key(job), {"t": 1}, revision)
+            registration.mirror.observe(keys.cancellation(job), {"t": 1}, revision)
         self.node.confirm(job, revision)
         return True
 
@@ -376,7 +378,7 @@
         registration, holder = node.registration, node.machine_controller
         if registration is None or holder is None or not registration.lease_is_valid():
             return reply(503)
-        held = registration.holder_of(report.machine)
+        held = registration.mirror.holder_of(report.machine)
         if held is None:
             machine = Machine(
                 report.machine, report.address, report.kind, report.zone, bool(report.spot)
--- a/src/beamspar/protocol/peer_messages.py
+++ b/src/beamspar/protocol/peer_messages.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import Any
 
 import msgspec
@@ -9,12 +10,29 @@
 
 from beamspar.placement import Room
 
-# What is wanted of an attempt. `hold` keeps its room while its record is being written;
-# nothing is started before that.
-RUN, STOP, CLEAR, HOLD = "run", "stop", "clear", "hold"
-# States of an attempt as a holder tells them. `gone` and `refused` are final:
-# the holder will never start that attempt under that number.
-GONE, REFUSED, ENDED, KEPT = "gone", "refused", "ended", "kept"
+
+class DesiredAction(StrEnum):
+    """What the job controller wants of an attempt."""
+
+    RUN = "run"
+    STOP = "stop"
+    CLEAR = "clear"
+    # Reserve its room while its record is being written: nothing is started before that.
+    HOLD = "hold"
+
+
+class AttemptState(StrEnum):
+    """States of an attempt beside those that a worker reports.
+
+    `GONE` and `REFUSED` are final: the machine controller will never start that attempt under
+    that fencing token.
+    """
+
+    GONE = "gone"
+    REFUSED = "refused"
+    ENDED = "ended"
+    # A clear has to wait, for a start may still be under way.
+    KEPT = "kept"
 
 
 class DesiredAttempt(msgspec.Struct, array_like=True):
@@ -24,7 +42,7 @@
     fencing_token: int
     task: str
     attempt: int
-    action: str
+    action: DesiredAction
     cpus: float = 0.0
     gpus: float = 0.0
     memory_gb: float = 0.0
--- a/src/beamspar/quota/quota_manager.py
+++ b/src/beamspar/quota/quota_manager.py
@@ -18,11 +18,12 @@
 from beamspar.quota.allocations import EPS, NOTHING, Allocation, Amounts, TeamQuota
 from beamspar.quota.fair_share import AllocationRequest, desired_share, waits_before
 from beamspar.settings import Settings
+from beamspar.state import keys
 from beamspar.state.client import (
-    PLACE,
     ConflictError,
     LeaseExpiredError,
     OutcomeUnknownError,
+    RequestPriority,
     StateClient,
     StateUnavailableError,
     put,
@@ -30,7 +31,6 @@
 from beamspar.transport.http import spawn
 
 log = Logger(namespace="budget")
-TEAM = "c/budget/"
 # Heartbeats that a request lasts unless it is repeated.
 REQUEST_HEARTBEATS = 3
 # Below every rank of work.
@@ -51,6 +51,7 @@
 
     def __init__(self, registration: Registration, state: StateClient, settings: Settings) -> None:
         self.registration = registration
+        self.mirror = registration.mirror
         self.state = state
         self.nodes = max(settings.platform.nodes, 1)
         # Conditions of one transaction, less those on our fence and on the record.
@@ -74,13 +75,13 @@
         self.stopped: set[str] = set()
         self.loaded: Callable[[], set[str]] = set
         self.on_share: Callable[[], None] = lambda: None
-        registration.listeners.append(self._changed)
+        registration.mirror.listeners.append(self._changed)
 
     # -- what is stored
 
     def shares(self, team: str) -> TeamQuota:
         """The team's record as the mirror has it."""
-        value, version = self.registration.values.get(TEAM + team, ({}, 0))
+        value, version = self.mirror.values.get(keys.team_quota(team), ({}, 0))
         known = self.shares_read.get(team)
         if known is None or known.version != version:
             known = self.shares_read[team] = TeamQuota(value, version)
@@ -115,7 +116,7 @@
     def _inspect(self, name: str) -> None:
         """Say what is wrong with the team's record."""
         shares, team = self.shares(name), self.teams[name]
-        unknown = sorted(shares.entries.keys() - self.registration.partitions.keys())
+        unknown = sorted(shares.entries.keys() - self.mirror.partitions.keys())
         what = ""
         if unknown or self._wrong(shares, name):
             # An unknown partition's share counts: its tasks can't be proven gone.
@@ -251,7 +252,7 @@
         now = self.registration.clock.seconds()
         if now - job.served_at >= self.registration.timeouts.report:
             # Not for each task: every step is told in the team's record.
-            job.served, job.served_at = self.registration.revision, now
+            job.served, job.served_at = self.mirror.revision, now
         requests = self.requests.get((job.partition, job.spec.team), {})
         if job.id in requests:
             request = requests.pop(job.id)
@@ -310,7 +311,7 @@
 
     def _changed(self, key: str) -> None:
         """Another took or gave back: what we lack may be there, or we may be asked for it."""
-        name = key.removeprefix(TEAM)
+        name = key.removeprefix(keys.TEAM_QUOTA_PREFIX)
         if key != name and name in self.teams:
             version = self.shares(name).version
             for held, doubts in list(self.doubts.items()):
@@ -376,10 +377,10 @@
         under tasks that still run. And an older mirror may show a share that the former owner
         has given back since: what we wrote ourselves is known before the watch tells the rest.
         """
-        record = self.registration.partitions.get(partition)
+        record = self.mirror.partitions.get(partition)
         if record is None or record.owner != self.registration.me:
             return False
-        return record.since <= self.registration.revision and partition in self.loaded()
+        return record.owned_since <= self.mirror.revision and partition in self.loaded()
 
     def _writable(self, shares: TeamQuota) -> bool:
         """Is it known what all others have? Each owner mends its own entries."""
@@ -410,12 +411,12 @@
         # Each is a condition: those that change go first, the others wait for the next write.
         partitions.sort(key=lambda p: (not self._differs(name, p, before), p))
         del partitions[self.most_conditions :]
-        conditions = {**self.registration.fence(), TEAM + name: before.version}
+        conditions = {**self.registration.fence_condition(), keys.team_quota(name): before.version}
         moved = self._in_doubt(name)
         made: list[tuple[Key, IndeterminateWrite]] = []
         for partition in sorted(partitions):
             share = self._desired(name, partition, shares)
-            conditions.update(self.registration.partition_fence(partition))
+            conditions.update(self.mirror.partition_condition(partition))
             shares = shares.with_share(partition, share)
             # Until the write is known, the lower of both shares holds, and of all before
             # that are not known yet.
@@ -439,8 +440,10 @@
             self.on_share()
 
     async def _store(self, name: str, conditions: dict[str, int], record: dict[str, Any]) -> None:
-        revision = await self.state.transact(conditions, [put(TEAM + name, record)], PLACE)
-        self.registration.observe(TEAM + name, record, revision)
+        revision = await self.state.transact(
+            conditions, [put(keys.team_quota(name), record)], RequestPriority.PLACEMENT
+        )
+        self.mirror.observe(keys.team_quota(name), record, revision)
         log.info("team {team}: shares {value}", team=name, value=record)
 
     def _resolve(self, made: list[tuple[Key, IndeterminateWrite]]) -> None:
--- a/src/beamspar/quota/quota_preemption.py
+++ b/src/beamspar/quota/quota_preemption.py
@@ -11,7 +11,7 @@
 
 from beamspar.jobs.job import Job, Task
 from beamspar.placement import EPS
-from beamspar.state.job_records import LIVE
+from beamspar.state.job_records import JobStatus
 
 
 class PreemptionUnit(NamedTuple):
@@ -37,7 +37,10 @@
     its place, what saves, and the newest.
     """
     units = [
-        unit for job in jobs if job.status == LIVE and job.spec.rank for unit in units_of(job, spot)
+        unit
+        for job in jobs
+        if job.status == JobStatus.LIVE and job.spec.rank
+        for unit in units_of(job, spot)
     ]
     wanted = {rank: lacking(rank) for rank in {unit.rank for unit in units}}
     chosen: list[PreemptionUnit] = []
@@ -58,7 +61,7 @@
     units = [
         unit
         for job in jobs
-        if job.status == LIVE
+        if job.status == JobStatus.LIVE
         for unit in units_of(job, spot)
         if not any(task.state for _, task in unit.tasks)
     ]
--- a/src/beamspar/sharing/handover.py
+++ b/src/beamspar/sharing/handover.py
@@ -12,12 +12,14 @@
 
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import BLOCK, MachineShard, Registration, shard_record
+from beamspar.cluster.registration import Registration
 from beamspar.leader.shard_leasing import ShardLeasing
 from beamspar.protocol.peer_messages import decode
 from beamspar.settings import Timeouts
 from beamspar.sharing.messages import MoveShown, PrepareReply, PrepareRequest
 from beamspar.sharing.planner import Move
+from beamspar.state import keys
+from beamspar.state.control_records import MachineShard, shard_record
 from beamspar.transport.http import CallFailedError, Clock, spawn
 
 log = Logger(namespace="sharing")
@@ -44,6 +46,7 @@
     ) -> None:
         self.clock = clock
         self.registration = registration
+        self.mirror = registration.mirror
         self.shard_leasing = shard_leasing
         self.timeouts = timeouts
         self.prepare = prepare
@@ -61,7 +64,7 @@
 
     def forget_dropped(self) -> None:
         """Blocks that are gone need no rest."""
-        for name in [name for name in self.moved_at if name not in self.registration.shards]:
+        for name in [name for name in self.moved_at if name not in self.mirror.shards]:
             del self.moved_at[name]
 
     async def carry_out(self, moves: list[Move]) -> None:
@@ -69,7 +72,7 @@
 
         Raises what `BlockWriter.write` raises: a move whose write failed is planned anew.
         """
-        before = {move.shard: self.registration.shards.get(move.shard) for move in moves}
+        before = {move.shard: self.mirror.shards.get(move.shard) for move in moves}
         moves = [move for move in moves if self._still_due(move, before[move.shard])]
         self.under_way = {move.shard: _shown(move, "preparing") for move in moves}
         try:
@@ -79,7 +82,7 @@
                 for move in moves
                 if (move.forced or move.shard in ready)
                 and self._still_due(move, before[move.shard])
-                and _number(self.registration.shards.get(move.shard)) == _number(before[move.shard])
+                and _number(self.mirror.shards.get(move.shard)) == _number(before[move.shard])
             ]
             await self._commit(chosen)
         finally:
@@ -87,7 +90,7 @@
 
     def _still_due(self, move: Move, shard: MachineShard | None) -> bool:
         """Is the block still its source's, and the target there to take it?"""
-        now = self.registration.shards.get(move.shard)
+        now = self.mirror.shards.get(move.shard)
         return (
             shard is not None
             and now is not None
@@ -128,16 +131,16 @@
         changes: list[tuple[str, Any]] = []
         terms: dict[str, int] = {}
         for move in moves:
-            shard = self.registration.shards[move.shard]
-            record = shard_record(move.target, shard.machines, live=True)
-            changes.append((BLOCK + move.shard, record))
+            shard = self.mirror.shards[move.shard]
+            record = shard_record(move.target, shard.machines, previous_holder_may_act=True)
+            changes.append((keys.shard(move.shard), record))
             # A target that ended meanwhile would leave the block without anybody for its grant.
-            key = f"c/member/{move.target}"
-            terms[key] = self.registration.values.get(key, (None, 0))[1]
+            key = keys.member(move.target)
+            terms[key] = self.mirror.values.get(key, (None, 0))[1]
             self.under_way[move.shard] = _shown(move, "committing")
         if not changes:
             return
-        await self.shard_leasing.shards.write(changes, terms)
+        await self.shard_leasing.shard_writer.write(changes, terms)
         for move in moves:
             log.info(
                 "moved {shard} from {source} to {target} ({reason})",
--- a/src/beamspar/sharing/leave.py
+++ b/src/beamspar/sharing/leave.py
@@ -16,11 +16,12 @@
 from beamspar.leader.leader import Leader
 from beamspar.settings import Timeouts
 from beamspar.sharing.messages import CommandReply
+from beamspar.state import keys
 from beamspar.state.client import (
-    URGENT,
     ConflictError,
     LeaseExpiredError,
     OutcomeUnknownError,
+    RequestPriority,
     StateClient,
     StateUnavailableError,
     put,
@@ -29,7 +30,6 @@
 
 log = Logger(namespace="sharing")
 
-LEAVING = "c/leaving"
 # How often a change of the record is tried again after another one's.
 TRIES = 3
 # How long a leaving controller says that it is not healthy before it ends its registration, in
@@ -41,16 +41,16 @@
 
 def leaving_members(registration: Registration) -> set[str]:
     """Controllers that are leaving, by the mirror; nobody if then no one would serve."""
-    leaving = set(_entries(registration)) & registration.members
-    return leaving if registration.members - leaving else set()
+    leaving = set(_entries(registration)) & registration.mirror.members
+    return leaving if registration.mirror.members - leaving else set()
 
 
 def _entries(registration: Registration) -> dict[str, int]:
     """The entries of the record that speak of a present incarnation."""
-    value, _ = registration.values.get(LEAVING, ({}, 0))
+    value, _ = registration.mirror.values.get(keys.LEAVING_MEMBERS, ({}, 0))
     found = {}
     for member, incarnation in (_read(value) or {}).items():
-        fence, _ = registration.values.get(f"c/fence/{member}", ({}, 0))
+        fence, _ = registration.mirror.values.get(keys.fence(member), ({}, 0))
         if fence.get("inc") == incarnation:
             found[member] = incarnation
     return found
@@ -78,17 +78,18 @@
     ) -> None:
         self.clock = clock
         self.registration = registration
+        self.mirror = registration.mirror
         self.state = state
         self.leader = leader
         self.timeouts = timeouts
         self.resign = resign
         self.since: float | None = None
-        registration.listeners.append(self._changed)
+        registration.mirror.listeners.append(self._changed)
 
     def _changed(self, key: str) -> None:
-        value, _ = self.registration.values.get(LEAVING, ({}, 0))
-        if key == LEAVING and _read(value) is None:
-            log.error("odd record {key}: {value}", key=LEAVING, value=value)
+        value, _ = self.mirror.values.get(keys.LEAVING_MEMBERS, ({}, 0))
+        if key == keys.LEAVING_MEMBERS and _read(value) is None:
+            log.error("odd record {key}: {value}", key=keys.LEAVING_MEMBERS, value=value)
 
     def is_leaving(self) -> bool:
         """Does this controller hand everything over?"""
@@ -102,7 +103,7 @@
             entries = _entries(self.registration)
             if (self.registration.me in entries) != undo:
                 return CommandReply(True)
-            others = self.registration.members - set(entries) - {self.registration.me}
+            others = self.mirror.members - set(entries) - {self.registration.me}
             if not undo and not others:
                 return CommandReply(False, "no other controller would serve")
             try:
@@ -120,23 +121,25 @@
         return CommandReply(False, "the record keeps changing: try again")
 
     async def _store(self, entries: dict[str, int], undo: bool, others: set[str]) -> None:
-        _, version = self.registration.values.get(LEAVING, (None, 0))
-        conditions = {LEAVING: version, **self.registration.fence()}
+        _, version = self.mirror.values.get(keys.LEAVING_MEMBERS, (None, 0))
+        conditions = {keys.LEAVING_MEMBERS: version, **self.registration.fence_condition()}
         if undo:
             del entries[self.registration.me]
         else:
             entries[self.registration.me] = self.registration.incarnation
             # Somebody who serves is registered at the moment of the write.
-            key = f"c/member/{min(others)}"
-            conditions[key] = self.registration.values.get(key, (None, 0))[1]
-        revision = await self.state.transact(conditions, [put(LEAVING, entries)], URGENT)
-        self.registration.observe(LEAVING, entries, revision)
+            key = keys.member(min(others))
+            conditions[key] = self.mirror.values.get(key, (None, 0))[1]
+        revision = await self.state.transact(
+            conditions, [put(keys.LEAVING_MEMBERS, entries)], RequestPriority.URGENT
+        )
+        self.mirror.observe(keys.LEAVING_MEMBERS, entries, revision)
 
     async def _catch_up(self) -> None:
         """Read the record that another one changed; the mirror may be late."""
-        item = await self.state.get(LEAVING, URGENT)
+        item = await self.state.get(keys.LEAVING_MEMBERS, RequestPriority.URGENT)
         if item is not None:
-            self.registration.observe(LEAVING, item.value, item.version)
+            self.mirror.observe(keys.LEAVING_MEMBERS, item.value, item.version)
 
     async def step(self) -> None:
         """Do what is next: give up the lead, wait for the blocks to go, end the registration."""
@@ -151,7 +154,7 @@
             except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
                 log.info("the lead is not given up yet: {error}", error=error)
             return
-        if any(shard.holder == self.registration.me for shard in self.registration.shards.values()):
+        if any(shard.holder == self.registration.me for shard in self.mirror.shards.values()):
             return
         if (
             now - self.since < self.timeouts.report * LEAST_REPORTS
@@ -159,6 +162,6 @@
         ):
             return
         # Registered is not enough: others that ended a moment ago are so until their grants end.
-        serving = self.registration.members - leaving_members(self.registration)
+        serving = self.mirror.members - leaving_members(self.registration)
         if any(self.leader.shard_leasing.unreached(member) is None for member in serving):
             await self.resign()
--- a/src/beamspar/sharing/service.py
+++ b/src/beamspar/sharing/service.py
@@ -53,6 +53,7 @@
     ) -> None:
         self.clock = clock
         self.registration = registration
+        self.mirror = registration.mirror
         self.leader = leader
         self.shard_leasing = leader.shard_leasing
         self.timeouts = timeouts
@@ -90,7 +91,7 @@
     async def balance(self) -> None:
         """Move what operators asked for, and what the planner finds."""
         self.handover.forget_dropped()
-        most = max(self.shard_leasing.shards.limits.txn_ops // 4, 1)
+        most = max(self.shard_leasing.shard_writer.limits.txn_ops // 4, 1)
         holdings = self._holdings()
         moves = self._due_requests()[:most]
         asked = {move.shard for move in moves}
@@ -131,7 +132,7 @@
 
     def _holdings(self) -> list[Holding]:
         holdings = []
-        for name, shard in self.registration.shards.items():
+        for name, shard in self.mirror.shards.items():
             zone = shard.machines[0].zone if shard.machines else ""
             resting = self.handover.rests(name) or self._drains(name)
             fixed = self._is_fixed(name)
@@ -150,7 +151,7 @@
         )
 
     def _has_one_of(self, name: str, machines: Collection[str]) -> bool:
-        shard = self.registration.shards.get(name)
+        shard = self.mirror.shards.get(name)
         return bool(machines and shard and any(m.name in machines for m in shard.machines))
 
     async def _prepare(self, source: str, request: PrepareRequest) -> PrepareReply:
@@ -160,7 +161,7 @@
 
     def request_move(self, request: MoveRequest) -> CommandReply:
         """An operator's move, if it can be made; it is made with the next pass."""
-        shard = self.registration.shards.get(request.shard)
+        shard = self.mirror.shards.get(request.shard)
         if not self.leader.ready:
             return CommandReply(False, "this controller does not lead")
         if shard is None:
@@ -181,16 +182,14 @@
     def shares(self) -> SharesReply:
         """What operators are shown; the leader's answer has the shares and moves."""
         standing = LEAVES if self.leave.is_leaving() else SERVING
-        reply = SharesReply(
-            self.registration.me, self.registration.leader, self.leader.ready, standing
-        )
+        reply = SharesReply(self.registration.me, self.mirror.leader, self.leader.ready, standing)
         if not self.leader.ready:
             return reply
         loads = self._loads()
-        targets = target_shares(loads, len(self.registration.shard_of))
-        shards = Counter(shard.holder for shard in self.registration.shards.values())
+        targets = target_shares(loads, len(self.mirror.shard_of))
+        shards = Counter(shard.holder for shard in self.mirror.shards.values())
         machines: Counter[str] = Counter()
-        for shard in self.registration.shards.values():
+        for shard in self.mirror.shards.values():
             machines[shard.holder] += len(shard.machines)
         shares = [
             MemberShare(
--- a/src/beamspar/sharing/transfer.py
+++ b/src/beamspar/sharing/transfer.py
@@ -24,6 +24,7 @@
     ReleaseReply,
     ReleaseRequest,
 )
+from beamspar.state import keys
 from beamspar.transport.http import CallFailedError, Clock, sleep, spawn
 
 log = Logger(namespace="sharing")
@@ -45,6 +46,7 @@
     ) -> None:
         self.clock = clock
         self.registration = registration
+        self.mirror = registration.mirror
         self.machine_controller = holder
         self.timeouts = timeouts
         self.send = send
@@ -62,14 +64,14 @@
 
         Work goes on and reports are answered: should the leader end now, no lease runs out.
         """
-        if request.member != self.registration.leader or not self.registration.lease_is_valid():
+        if request.member != self.mirror.leader or not self.registration.lease_is_valid():
             log.info("{member} does not lead: nothing is prepared", member=request.member)
             return PrepareReply([])
         now = self.clock.seconds()
         for_s = min(max(request.for_s, 0.0), self.timeouts.report)
         waiting = {}
         for name, number in request.shards.items():
-            shard = self.registration.shards.get(name)
+            shard = self.mirror.shards.get(name)
             if shard is None or (shard.holder, shard.fencing_token) != (
                 self.registration.me,
                 number,
@@ -96,7 +98,7 @@
 
     def _released(self, machine: ManagedMachine, successor: str, number: int) -> None:
         """The mirror says that the machine is another's: tell that one what we know."""
-        if successor not in self.registration.members:
+        if successor not in self.mirror.members:
             return
         waiting = self.released.setdefault(successor, {})
         if not waiting:
@@ -153,13 +155,13 @@
         """Take in what a former holder knew, of machines that we hold from it under that number."""
         accepted: list[str] = []
         unknown_yet: list[str] = []
-        fence, _ = self.registration.values.get(f"c/fence/{request.member}", ({}, 0))
+        fence, _ = self.mirror.values.get(keys.fence(request.member), ({}, 0))
         if fence.get("inc") != request.incarnation:
             log.info("release of a former {member} is refused", member=request.member)
             return ReleaseReply([])
         for state in request.machines:
             machine = self.machine_controller.machines.get(state.machine)
-            if state.fencing_token > self.registration.revision:
+            if state.fencing_token > self.mirror.revision:
                 # The sender's mirror is ahead of ours.
                 unknown_yet.append(state.machine)
             elif machine is None or not self._is_from(request.member, state, machine):
@@ -177,7 +179,7 @@
         return (
             machine.fencing_token == state.fencing_token
             and state.former_fencing_token < state.fencing_token
-            and self.registration.former.get(state.machine) == member
+            and self.mirror.previous_holders.get(state.machine) == member
         )
 
     def _take_over(self, machine: ManagedMachine, state: MachineState) -> None:
--- a/src/beamspar/standby/standby.py
+++ b/src/beamspar/standby/standby.py
@@ -8,7 +8,7 @@
 import msgspec
 from twisted.logger import Logger
 
-from beamspar.cluster.registration import LEADER, Registration
+from beamspar.cluster.registration import Registration
 from beamspar.leader.leader import Leader
 from beamspar.protocol.peer_messages import HealthProbeResponse, MemberHeartbeat, decode, encode
 from beamspar.settings import Timeouts
@@ -25,6 +25,7 @@
     TakeLeadReply,
     TakeLeadRequest,
 )
+from beamspar.state import keys
 from beamspar.transport.http import CallFailedError, CallRefusedError, Clock, sleep, spawn
 
 log = Logger(namespace="standby")
@@ -68,6 +69,7 @@
     ) -> None:
         self.clock = clock
         self.registration = registration
+        self.mirror = registration.mirror
         self.leader = leader
         self.timeouts = timeouts
         self.zones = zones
@@ -81,7 +83,7 @@
         # When the lead was last taken from one that held it, as far as we saw.
         self.takeovers: list[float] = []
         self.led_by: str | None = None
-        registration.listeners.append(self._changed)
+        registration.mirror.listeners.append(self._changed)
         leader.on_ready = self._ready
         leader.lends_by_zone = True
 
@@ -102,14 +104,13 @@
         now = self.clock.seconds()
         home = self.zones.get(self.registration.me)
         held = dict.fromkeys(self.log.followers, 0)
-        for shard in self.registration.shards.values():
+        for shard in self.mirror.shards.values():
             if shard.holder in held:
                 held[shard.holder] += len(shard.machines)
         ranked = [
             (self.log.index - follower.index, self.zones.get(member) == home, held[member], member)
             for member, follower in self.log.followers.items()
-            if now - follower.heard_at < self.timeouts.report
-            and member in self.registration.members
+            if now - follower.heard_at < self.timeouts.report and member in self.mirror.members
         ]
         return [member for *_, member in sorted(ranked)]
 
@@ -119,9 +120,7 @@
         Nothing is decided meanwhile. If no follower takes it, this controller goes on.
         """
         if not self.leader.ready:
-            return HandOverReply(
-                False, self.registration.leader or "", "this controller does not lead"
-            )
+            return HandOverReply(False, self.mirror.leader or "", "this controller does not lead")
         now = self.clock.seconds()
         # Long enough for the followers to catch up, and for one of them to be elected.
         self.leader.paused_until = now + self.timeouts.request * 3
@@ -161,11 +160,11 @@
     async def take_lead(self, request: TakeLeadRequest) -> TakeLeadReply:
         """The leader hands over to us: take the lead, if we have all that it decided."""
         complete = self.replica.term == request.term and self.replica.index >= request.index
-        if not complete or self.registration.leader != request.member or self.leader.electing:
+        if not complete or self.mirror.leader != request.member or self.leader.electing:
             return TakeLeadReply(False)
         await self.leader.elect(replaces=request.member, failed=False)
         self._confirm_all()
-        return TakeLeadReply(self.registration.leader == self.registration.me)
+        return TakeLeadReply(self.mirror.leader == self.registration.me)
 
     def _ready(self) -> None:
         """The first decision may be made: say what it will be based on."""
@@ -184,7 +183,7 @@
 
     async def _following(self) -> None:
         while not self.registration.lost:
-            leader = self.registration.leader
+            leader = self.mirror.leader
             if (
                 leader is None
                 or leader == self.registration.me
@@ -202,7 +201,7 @@
                 pause_s = self.timeouts.heartbeat * 2
             except (CallFailedError, ValueError) as error:
                 log.debug("following {leader}: {error}", leader=leader, error=error)
-                if leader == self.registration.leader and not self.registration.lost:
+                if leader == self.mirror.leader and not self.registration.lost:
                     await self._suspect(leader)
             await sleep(self.clock, pause_s)
 
@@ -214,7 +213,7 @@
         if not reply.term:
             # It does not lead yet, or not any more.
             return False
-        if self.registration.leader == self.registration.me:
+        if self.mirror.leader == self.registration.me:
             # We took the lead meanwhile: a former leader's word counts no more.
             return False
         try:
@@ -229,7 +228,7 @@
     async def _suspect(self, leader: str) -> None:
         """The leader does not answer: confirm that it has failed, in turn take the lead."""
         log.info("{leader} is suspected", leader=leader)
-        record = self.registration.values.get(LEADER, (None, 0))
+        record = self.mirror.values.get(keys.LEADER, (None, 0))
         me = self.registration.me
         rank = self.succession.index(me) if me in self.succession else len(self.succession)
         if rank:
@@ -237,12 +236,12 @@
             await sleep(self.clock, self.timeouts.heartbeat * 2 * rank)
         if not self.leader.stands() or not self._may_take_over():
             return
-        others = sorted(self.registration.members - {me, leader})
+        others = sorted(self.mirror.members - {me, leader})
         if not await self.detector.has_failed(leader, others):
             return
         if self.registration.lost or not self.registration.lease_is_valid() or self.leader.electing:
             return
-        if self.registration.values.get(LEADER, (None, 0))[0] != record[0]:
+        if self.mirror.values.get(keys.LEADER, (None, 0))[0] != record[0]:
             log.info("the lead has passed on meanwhile")
             return
         log.warn(
@@ -262,7 +261,7 @@
         is not waited for in vain.
         """
         if self.leader.leading:
-            for member in sorted(self.registration.members - {self.registration.me, but}):
+            for member in sorted(self.mirror.members - {self.registration.me, but}):
                 spawn(self._confirm(member), f"confirming {member}")
 
     async def _confirm(self, member: str) -> None:
@@ -286,9 +285,9 @@
         return now - recent[-1] > self.timeouts.leader_lease * 2.0 ** (len(recent) - 2)
 
     def _changed(self, key: str) -> None:
-        if key != LEADER:
+        if key != keys.LEADER:
             return
-        leader = self.registration.leader
+        leader = self.mirror.leader
         if leader is not None and self.led_by is not None and leader != self.led_by:
             self.takeovers.append(self.clock.seconds())
         self.led_by = leader if leader is not None else self.led_by
@@ -325,7 +324,7 @@
         leading = self.leader.leading
         return StandbyStatus(
             self.registration.me,
-            self.registration.leader,
+            self.mirror.leader,
             leading,
             self.leader.ready,
             self.log.term if leading else self.replica.term,
--- a/src/beamspar/state/client.py
+++ b/src/beamspar/state/client.py
@@ -4,6 +4,7 @@
 
 import heapq
 from collections.abc import Callable
+from enum import IntEnum
 from typing import Any
 from urllib.parse import quote
 
@@ -51,6 +52,16 @@
     version: int = msgspec.field(name="entry_rev")
 
 
+class RequestPriority(IntEnum):
+    """Order of the queue: the lower goes first, and within one priority the lower weight."""
+
+    URGENT = 0
+    ACCEPT = 1
+    PLACEMENT = 2
+    COMPLETION = 3
+    BACKGROUND = 4
+
+
 class WatchEvent(msgspec.Struct):
     """A change that a watch tells of."""
 
@@ -66,8 +77,6 @@
 
 # What the service says of a put whose lease has ended.
 NO_LEASE = "no such lease"
-# Priorities of the queue: lower goes first, and within one the lower weight.
-URGENT, ACCEPT, PLACE, DONE, CHORE = range(5)
 # Questions go behind accepts, which have the same priority.
 QUESTION_WEIGHT = 1.0
 
@@ -135,7 +144,9 @@
         self.failing_since: float | None = None
         self.served_at = -1e9
 
-    def _admit(self, priority: int, changes: int, weight: float = 0.0) -> Deferred[None]:
+    def _admit(
+        self, priority: RequestPriority, changes: int, weight: float = 0.0
+    ) -> Deferred[None]:
         ready: Deferred[None] = Deferred()
         self.turn += 1
         heapq.heappush(self.queue, (priority, weight, self.turn, changes, ready))
@@ -144,7 +155,7 @@
 
     def questions_backlog_s(self) -> float:
         """How long a question of a user would wait here for its turn."""
-        ahead = sum(1 for priority, *_ in self.queue if priority <= ACCEPT)
+        ahead = sum(1 for priority, *_ in self.queue if priority <= RequestPriority.ACCEPT)
         return ahead / self.requests.rate
 
     def backlog_s(self) -> float:
@@ -157,7 +168,7 @@
             requests = self.requests.fill()
             level = self.changes.fill()
             need = min(changes, self.changes.rate)
-            if priority > URGENT and (requests < 1 or level < need):
+            if priority > RequestPriority.URGENT and (requests < 1 or level < need):
                 if self.timer is None:
                     wait = max((1 - requests) / self.requests.rate, 0.0)
                     wait = max(wait, (need - level) / self.changes.rate, 0.005)
@@ -215,7 +226,7 @@
     async def get(
         self,
         key: str,
-        priority: int = ACCEPT,
+        priority: RequestPriority = RequestPriority.ACCEPT,
         weight: float = 0.0,
         leaves: Callable[[], None] = lambda: None,
     ) -> KeyValue | None:
@@ -236,7 +247,9 @@
         except msgspec.ValidationError as error:
             raise StateUnavailableError(f"odd reply: {error}") from error
 
-    async def scan(self, prefix: str, priority: int = ACCEPT) -> tuple[list[KeyValue], int]:
+    async def scan(
+        self, prefix: str, priority: RequestPriority = RequestPriority.ACCEPT
+    ) -> tuple[list[KeyValue], int]:
         """All keys below the prefix, and a revision the first page is at least as new as."""
         items: list[KeyValue] = []
         first = 0
@@ -261,7 +274,7 @@
         self,
         conditions: dict[str, int],
         changes: list[dict[str, Any]],
-        priority: int = PLACE,
+        priority: RequestPriority = RequestPriority.PLACEMENT,
         weight: float = 0.0,
     ) -> int:
         """One transaction; returns the new revision.
@@ -285,7 +298,7 @@
                 self.changes.refused()
                 if not patience:
                     raise
-                if priority == URGENT:
+                if priority == RequestPriority.URGENT:
                     await sleep(self.clock, (len(changes) + 1) / self.smallest.write_rps)
         if status == 409:
             failed = data.get("failed")
@@ -301,7 +314,7 @@
 
     async def grant_lease(self, life_s: float) -> int:
         """A new lease of this length; its ID."""
-        await self._admit(URGENT, 0)
+        await self._admit(RequestPriority.URGENT, 0)
         body = {"life_ms": int(life_s * 1000)}
         status, data = await self._call("POST", "/grants", body, self.limit_s, True)
         lease_id = data.get("permit")
@@ -311,7 +324,7 @@
 
     async def renew_lease(self, lease_id: int) -> None:
         """Renew a lease; raises LeaseExpiredError if it has ended."""
-        await self._admit(URGENT, 0)
+        await self._admit(RequestPriority.URGENT, 0)
         path = f"/grants/{lease_id}/extend"
         status, _ = await self._call("POST", path, {}, self.limit_s, True)
         if status == 404:
@@ -321,14 +334,14 @@
 
     async def revoke_lease(self, lease_id: int) -> None:
         """End a lease; its keys go with it."""
-        await self._admit(URGENT, 0)
+        await self._admit(RequestPriority.URGENT, 0)
         status, _ = await self._call("DELETE", f"/grants/{lease_id}", None, self.limit_s, True)
         if status not in (200, 204, 404):
             raise StateUnavailableError(f"odd reply to the end of a lease: {status}")
 
     async def watch(self, prefix: str, since: int, hold_s: float) -> tuple[list[WatchEvent], int]:
         """Changes below the prefix after a revision; empty when the time runs out."""
-        await self._admit(URGENT, 0)
+        await self._admit(RequestPriority.URGENT, 0)
         path = f"/watch?under={quote(prefix, safe='/')}&since={since}&hold_ms={int(hold_s * 1000)}"
         status, data = await self._call("GET", path, None, hold_s + self.limit_s * 2, False)
         if status == 410:
--- a/src/beamspar/state/job_records.py
+++ b/src/beamspar/state/job_records.py
@@ -12,15 +12,25 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import Any
 
 import msgspec
 
 from beamspar.protocol.wire import JobSpec
 from beamspar.settings import StateServiceLimits
-from beamspar.state.client import CHORE, KeyValue, StateClient
+from beamspar.state import keys
+from beamspar.state.client import KeyValue, RequestPriority, StateClient
+
+
+class JobStatus(StrEnum):
+    """What is stored of a job's progress."""
+
+    LIVE = "live"
+    CANCELLED = "withdrawn"
+    DONE = "done"
+
 
-LIVE, CANCELLED, DONE = "live", "withdrawn", "done"
 # Bytes that one task takes in a record at most, in JSON form, with room to spare.
 TASK_BYTES = 44
 # What a transaction may hold altogether (PROTOCOL), and the part of it that is used.
@@ -41,7 +51,7 @@
 
     spec: dict[str, Any] = msgspec.field(name="s")
     partition: str = msgspec.field(name="f")
-    status: str = msgspec.field(name="st", default=LIVE)
+    status: JobStatus = msgspec.field(name="st", default=JobStatus.LIVE)
     done: int = msgspec.field(name="n", default=0)
     running: int = msgspec.field(name="r", default=0)
     chunk: Chunk = msgspec.field(name="t", default_factory=Chunk)
@@ -53,25 +63,10 @@
 class EndRecord(msgspec.Struct):
     """What stays of a job that is over."""
 
-    status: str = msgspec.field(name="st")
+    status: JobStatus = msgspec.field(name="st")
     done: int = msgspec.field(name="n", default=0)
 
 
-def job_key(job: str) -> str:
-    """The key of a job that is not over."""
-    return f"job/{job}"
-
-
-def end_key(job: str) -> str:
-    """The key of what stays of a job."""
-    return f"end/{job}"
-
-
-def mark_key(job: str) -> str:
-    """The key that marks a job as cancelled and not over."""
-    return f"c/w/{job}"
-
-
 class Layout(msgspec.Struct, frozen=True):
     """How a job's tasks are cut into chunks, and where the chunks lie."""
 
@@ -87,7 +82,7 @@
 
     def prefix(self, job: str) -> str:
         """Where the chunks of a job lie."""
-        return f"task/{job}/" if self.first else f"task/{job}/{self.per}/"
+        return keys.tasks(job) if self.first else f"{keys.tasks(job)}{self.per}/"
 
     def key(self, job: str, chunk: int) -> str:
         """The key of one chunk."""
@@ -159,12 +154,12 @@
     index = int(index_text)
     # After a death there are hundreds to ask about, until a successor has read its jobs: ahead
     # of that reading, they would keep it waiting for ever.
-    item = await state.get(job_key(job), CHORE)
+    item = await state.get(keys.job(job), RequestPriority.BACKGROUND)
     if item is None:
         return False
     record = read_job(item)
     chunk, layout = record.chunk, layout_of(record, facts)
     if index // layout.per:
-        part = await state.get(layout.key(job, index // layout.per), CHORE)
+        part = await state.get(layout.key(job, index // layout.per), RequestPriority.BACKGROUND)
         chunk = msgspec.convert(part.value, Chunk) if part else Chunk()
     return (index, attempt, machine) in chunk.bound
--- a/tests/test_acceptor.py
+++ b/tests/test_acceptor.py
@@ -54,9 +54,9 @@
     owner = JobController(clock, registration, store, settings(), timeouts)  # type: ignore[arg-type]
     owner.quota_manager = quota_manager = QuotaManager(registration, store, settings())  # type: ignore[arg-type]
     quota_manager.loaded = lambda: owner.loaded
-    registration.observe("c/folio/rig-0.1", {"owner": "rig-0"}, 3)
-    registration.observe(KEY, {"rig-0.1": [10.0, 0.0]}, 5)
-    registration._caught_up(5)
+    registration.mirror.observe("c/folio/rig-0.1", {"owner": "rig-0"}, 3)
+    registration.mirror.observe(KEY, {"rig-0.1": [10.0, 0.0]}, 5)
+    registration.mirror._caught_up(5)
     owner.loaded = {"rig-0.1"}
     room = Room("m-1", "small", "east", False, 8.0, 0.0, 64.0)
     owner.placer.rooms = lambda: [room]
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from beamspar.cluster.registration import JobPartition, Registration
+from beamspar.cluster.registration import Registration
 from beamspar.jobs.job import Job
 from beamspar.protocol.wire import JobSpec
 from beamspar.quota.quota_manager import QuotaManager
@@ -20,6 +20,7 @@
     WorkerSettings,
 )
 from beamspar.state.client import ConflictError, OutcomeUnknownError
+from beamspar.state.control_records import JobPartition
 from beamspar.state.job_records import Layout
 from tests.standins.clock import SimClock
 
@@ -55,8 +56,8 @@
     timeouts = Timeouts(settings(), OperatorSettings())
     registration = Registration(clock, script, settings(), timeouts)  # type: ignore[arg-type]
     registration.started, registration.partition = True, "rig-0.1"
-    registration.renewed_at = registration.watched_at = 0.0
-    registration.partitions["rig-0.1"] = JobPartition("rig-0", 3)
+    registration.renewed_at = registration.mirror.watched_at = 0.0
+    registration.mirror.partitions["rig-0.1"] = JobPartition("rig-0", 3)
     quota_manager = QuotaManager(registration, script, settings())  # type: ignore[arg-type]
     quota_manager.loaded = lambda: {"rig-0.1"}
     return quota_manager, registration, script
@@ -84,7 +85,9 @@
     quota_manager, registration, script = make(
         OutcomeUnknownError("lost"), ConflictError([KEY]), OutcomeUnknownError("lost")
     )
-    registration.observe(KEY, {"rig-0.1": [10.0, 0.0], "rig-1.1": [0.0, 0.0, 3, 4.0, 0.0]}, 5)
+    registration.mirror.observe(
+        KEY, {"rig-0.1": [10.0, 0.0], "rig-1.1": [0.0, 0.0, 3, 4.0, 0.0]}, 5
+    )
     held = job(2.0)
     count(quota_manager, held, 1)
     quota_manager.tick()
@@ -98,15 +101,15 @@
     )
     assert not quota_manager.reserve(job(4.0), [0])
     # The mirror tells at last: what it says holds again.
-    registration.observe(KEY, {"rig-0.1": [2.0, 0.0], "rig-1.1": [8.0, 0.0]}, 6)
+    registration.mirror.observe(KEY, {"rig-0.1": [2.0, 0.0], "rig-1.1": [8.0, 0.0]}, 6)
     assert quota_manager.share("rig-0.1", "red") == (2.0, 0.0)
-    registration.observe(KEY, {"rig-0.1": [7.0, 0.0]}, 7)
+    registration.mirror.observe(KEY, {"rig-0.1": [7.0, 0.0]}, 7)
     assert quota_manager.share("rig-0.1", "red") == (7.0, 0.0)
 
 
 def test_a_share_in_doubt_is_settled_by_another_write() -> None:
     quota_manager, registration, script = make(OutcomeUnknownError("lost"), 9)
-    registration.observe(KEY, {"rig-0.1": [6.0, 0.0], "rig-1.1": [0.0, 0.0, 3, 4.0, 0.0]}, 5)
+    registration.mirror.observe(KEY, {"rig-0.1": [6.0, 0.0], "rig-1.1": [0.0, 0.0, 3, 4.0, 0.0]}, 5)
     held = job(2.0, tasks=3)
     count(quota_manager, held, 3)
     count(quota_manager, held, -2)
--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -13,11 +13,11 @@
 import msgspec
 import pytest
 
-from beamspar.cluster.registration import MachineShard, shard_record
 from beamspar.placement import Room
 from beamspar.protocol import peer_messages as messages
 from beamspar.protocol.wire import JobSpec
 from beamspar.state import job_records as records
+from beamspar.state.control_records import MachineShard, shard_record
 from tests.standins import releases
 
 FIXTURE = json.loads((Path(__file__).parent / "fixtures" / "production.json").read_text())
@@ -54,7 +54,15 @@
         assert holds(spec, value["s"])
     if key.startswith("c/block/"):
         shard = msgspec.convert(value, MachineShard)
-        assert shard_record(shard.holder, shard.machines, shard.live, shard.keep) == value
+        assert (
+            shard_record(
+                shard.holder,
+                shard.machines,
+                shard.previous_holder_may_act,
+                shard.kept_fencing_token,
+            )
+            == value
+        )
 
 
 def test_every_kind_of_record_is_there() -> None:
@@ -77,7 +85,9 @@
 
 def test_our_messages_are_read_by_production() -> None:
     old = releases.production().module("control.messages")
-    desired = messages.DesiredAttempt("host-1", 7, "j-1/0", 2, messages.RUN, gang=True)
+    desired = messages.DesiredAttempt(
+        "host-1", 7, "j-1/0", 2, messages.DesiredAction.RUN, gang=True
+    )
     sync = messages.DesiredStateUpdate("rig-0", "rig-0.1", 3, 1, 9, [desired])
     read = old.decode(messages.encode([sync]), list[old.Sync])
     assert read[0].wants[0].task == "j-1/0" and not hasattr(read[0].wants[0], "gang")
--- a/tests/test_failure_backoff.py
+++ b/tests/test_failure_backoff.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
-from beamspar.cluster.registration import Machine
 from beamspar.jobs.failure_backoff import LONGEST_PAUSE, PROBES, FailureBackoff
 from beamspar.machines.fault_evidence import MOST_JOBS, FaultEvidence
 from beamspar.machines.managed_machine import ManagedMachine
 from beamspar.settings import OperatorSettings, Settings, Timeouts
+from beamspar.state.control_records import Machine
 from tests.standins.world import World
 
 RETRY_S = 0.5
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -20,7 +20,6 @@
 from twisted.internet.defer import Deferred, ensureDeferred, succeed
 
 from beamspar import settings
-from beamspar.cluster import registration as registration
 from beamspar.leader import cloud_client as cloud
 from beamspar.machines import worker_client as workers
 from beamspar.node import node
@@ -29,13 +28,14 @@
 from beamspar.protocol import wire
 from beamspar.quota import allocations as shares
 from beamspar.quota import quota_manager as quota_manager
-from beamspar.sharing import leave
 from beamspar.sharing import messages as sharing
 from beamspar.standby import decisions as log
 from beamspar.standby import messages as standby
 from beamspar.standby import standby as standing
 from beamspar.state import client as state
+from beamspar.state import control_records
 from beamspar.state import job_records as records
+from beamspar.state import keys as stored_keys
 from beamspar.transport import http
 from tests.standins.clock import SimClock
 from tests.standins.sharing import SharingWorld
@@ -70,13 +70,24 @@
 
 
 def machine() -> Any:
-    return registration.Machine("host-7", "10.1.0.7:9000", "g8", "b", True)
+    return control_records.Machine("host-7", "10.1.0.7:9000", "g8", "b", True)
 
 
 def desired() -> Any:
     amounts = (8.5, 1.5, 64.25, "img-07", 6.5)
     return messages.DesiredAttempt(
-        "host-7", 41, "j-1/3", 2, messages.RUN, *amounts, 1, True, 4.5, True, True, True
+        "host-7",
+        41,
+        "j-1/3",
+        2,
+        messages.DesiredAction.RUN,
+        *amounts,
+        1,
+        True,
+        4.5,
+        True,
+        True,
+        True,
     )
 
 
@@ -108,7 +119,9 @@
 
 
 def status() -> Any:
-    return messages.AttemptStatus("host-7", 41, "j-1/3", 2, messages.ENDED, "error", True)
+    return messages.AttemptStatus(
+        "host-7", 41, "j-1/3", 2, messages.AttemptState.ENDED, "error", True
+    )
 
 
 def decisions() -> list[Any]:
@@ -156,7 +169,9 @@
 
 
 def job_record() -> Any:
-    return records.JobRecord(JOB, "rig-1.3", records.CANCELLED, 8, 1, chunk(), "rig-1.3-5", 372)
+    return records.JobRecord(
+        JOB, "rig-1.3", records.JobStatus.CANCELLED, 8, 1, chunk(), "rig-1.3-5", 372
+    )
 
 
 def least_job() -> dict[str, Any]:
@@ -188,20 +203,20 @@
 def keys() -> list[str]:
     first, small = records.Layout(372, True), records.Layout(93)
     return [
-        records.job_key("j-1"),
-        records.end_key("j-1"),
-        records.mark_key("j-1"),
+        stored_keys.job("j-1"),
+        stored_keys.finished_job("j-1"),
+        stored_keys.cancellation("j-1"),
         first.prefix("j-1"),
         first.key("j-1", 4),
         small.prefix("j-1"),
         small.key("j-1", 4),
-        registration.CONTROL,
-        registration.PARTITION,
-        registration.BLOCK,
-        registration.LEADER,
-        leave.LEAVING,
-        node.TYPES,
-        quota_manager.TEAM,
+        stored_keys.CONTROL_PREFIX,
+        stored_keys.PARTITION_PREFIX,
+        stored_keys.SHARD_PREFIX,
+        stored_keys.LEADER,
+        stored_keys.LEAVING_MEMBERS,
+        stored_keys.MACHINE_TYPES,
+        stored_keys.TEAM_QUOTA_PREFIX,
     ]
 
 
@@ -231,12 +246,17 @@
     "states-least": lambda: messages.AttemptStatusBatch(
         [messages.AttemptStatus("host-7", 41, "j-1/3", 2, "gone")]
     ),
-    "actions": lambda: [messages.RUN, messages.STOP, messages.CLEAR, messages.HOLD],
+    "actions": lambda: [
+        messages.DesiredAction.RUN,
+        messages.DesiredAction.STOP,
+        messages.DesiredAction.CLEAR,
+        messages.DesiredAction.HOLD,
+    ],
     "states-of-an-attempt": lambda: [
-        messages.GONE,
-        messages.REFUSED,
-        messages.ENDED,
-        messages.KEPT,
+        messages.AttemptState.GONE,
+        messages.AttemptState.REFUSED,
+        messages.AttemptState.ENDED,
+        messages.AttemptState.KEPT,
     ],
     "ask-for-room": lambda: messages.CapacityRequestBatch(
         "rig-1", [messages.CapacityRequest(JOB, 5, {"b": 2}, {"host-7": 1}, ["host-8"], 7.5)]
@@ -316,17 +336,21 @@
 OUTER: dict[str, Callable[[], Any]] = {
     "job-record": job_record,
     "job-record-least": lambda: records.JobRecord({}, "rig-1.3"),
-    "job-states": lambda: [records.LIVE, records.CANCELLED, records.DONE],
+    "job-states": lambda: [
+        records.JobStatus.LIVE,
+        records.JobStatus.CANCELLED,
+        records.JobStatus.DONE,
+    ],
     "tasks-record": chunk,
     "tasks-record-least": lambda: records.Chunk(),
-    "end-record": lambda: records.EndRecord(records.DONE, 16),
-    "end-record-least": lambda: records.EndRecord(records.CANCELLED),
+    "end-record": lambda: records.EndRecord(records.JobStatus.DONE, 16),
+    "end-record-least": lambda: records.EndRecord(records.JobStatus.CANCELLED),
     "keys": keys,
-    "block-record": lambda: registration.shard_record("rig-1", [machine()], True, 41),
-    "block-record-least": lambda: registration.shard_record("rig-1", [machine()]),
-    "block-machine-least": lambda: registration.Machine("host-7", "10.1.0.7:9000", "g8", "b"),
+    "block-record": lambda: control_records.shard_record("rig-1", [machine()], True, 41),
+    "block-record-least": lambda: control_records.shard_record("rig-1", [machine()]),
+    "block-machine-least": lambda: control_records.Machine("host-7", "10.1.0.7:9000", "g8", "b"),
     "team-record": team_record,
-    "release-told": lambda: registration.RELEASE,
+    "release-told": lambda: control_records.RELEASE,
     "submission": lambda: wire.parse_spec(JOB),
     "submission-least": lambda: wire.parse_spec(least_job()),
     "job-answer": lambda: wire.job_answer("j-1", "running", 3, 13),
@@ -643,7 +667,7 @@
 
 def test_a_block_is_read_from_its_record() -> None:
     stored = wire.unpack(bytes.fromhex(pinned()["outer"]["block-record"]))
-    assert msgspec.convert(stored, registration.MachineShard) == registration.MachineShard(
+    assert msgspec.convert(stored, control_records.MachineShard) == control_records.MachineShard(
         "rig-1", [machine()], True, 41
     )
 
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -9,10 +9,12 @@
 import orjson
 from twisted.internet.defer import ensureDeferred
 
-from beamspar.cluster.registration import LEADER, Machine, Registration, shard_record
+from beamspar.cluster.registration import Registration
 from beamspar.leader.instance_manager import InstanceManager
 from beamspar.leader.leader import Leader
 from beamspar.settings import NextLimits, OperatorSettings, Timeouts
+from beamspar.state import keys
+from beamspar.state.control_records import Machine, shard_record
 from tests.standins.clock import SimClock
 from tests.test_budget import settings
 
@@ -42,7 +44,7 @@
     unused: Any = None
     store: Any = recorder
     registration = Registration(clock, store, own, timeouts)
-    registration.observe(LEADER, {"name": "rig-0", "inc": 0}, 5)
+    registration.mirror.observe(keys.LEADER, {"name": "rig-0", "inc": 0}, 5)
     rng = random.Random(1)
     fleet = InstanceManager(clock, unused, registration, own, timeouts, {})
     leader = Leader(clock, registration, store, fleet, own, timeouts, OperatorSettings(), rng)
@@ -55,9 +57,9 @@
 
 def test_a_block_that_outgrew_the_limit_is_split_in_one_write() -> None:
     leader, recorder = make(NextLimits(value_kb=1.0))
-    leader.registration.observe(KEY, shard_record("rig-1", machines(20)), 7)
-    moved = shard_record("rig-0", machines(20), live=True)
-    ensureDeferred(leader.shards.write([(KEY, moved)]))
+    leader.registration.mirror.observe(KEY, shard_record("rig-1", machines(20)), 7)
+    moved = shard_record("rig-0", machines(20), previous_holder_may_act=True)
+    ensureDeferred(leader.shard_writer.write([(KEY, moved)]))
     ((conditions, changes),) = recorder.written
     shards = {c["put"]: c["data"] for c in changes if c["put"].startswith("c/block/")}
     assert len(shards) > 1 and conditions[KEY] == 7
@@ -73,13 +75,13 @@
     for n in range(4):
         part = [msgspec.structs.replace(m, name=f"{m.name}-{n}") for m in machines(14)]
         changes.append((f"c/block/{part[0].name}", shard_record("rig-0", part)))
-    ensureDeferred(leader.shards.write(changes))
+    ensureDeferred(leader.shard_writer.write(changes))
     for _, written in recorder.written:
         assert len(written) <= 6
     for key, value in changes:
         wanted = {machine["name"] for machine in value["machines"]}
         holding = [
-            {m["name"] for c in written if c["put"] != LEADER for m in c["data"]["machines"]}
+            {m["name"] for c in written if c["put"] != keys.LEADER for m in c["data"]["machines"]}
             for _, written in recorder.written
         ]
         assert sum(1 for there in holding if there & wanted) == 1, key
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -7,11 +7,12 @@
 import msgspec
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from beamspar.cluster.registration import JobPartition, Registration
+from beamspar.cluster.registration import Registration
 from beamspar.jobs.job_controller import JobController
 from beamspar.protocol.wire import JobSpec
 from beamspar.settings import OperatorSettings, Timeouts
 from beamspar.state.client import KeyValue
+from beamspar.state.control_records import JobPartition
 from beamspar.state.job_records import JobRecord
 from tests.standins.clock import SimClock
 from tests.test_budget import settings
@@ -51,7 +52,7 @@
     timeouts = Timeouts(settings(), OperatorSettings())
     registration = Registration(clock, slow, settings(), timeouts)  # type: ignore[arg-type]
     owner = JobController(clock, registration, slow, settings(), timeouts)  # type: ignore[arg-type]
-    registration.partitions["rig-1.1"] = JobPartition("rig-0", 3)
+    registration.mirror.partitions["rig-1.1"] = JobPartition("rig-0", 3)
     owner.partitions.add("rig-1.1")
     return owner, slow
 
@@ -71,7 +72,7 @@
 def test_a_withdrawal_stored_after_the_read_is_heeded_as_the_job_is_kept() -> None:
     owner, slow = make()
     ensureDeferred(owner.load())
-    owner.registration.observe_cancellations({"j-1": 20})
+    owner.registration.mirror.observe_cancellations({"j-1": 20})
     slow.waiting[0].callback(None)
     assert owner.jobs["j-1"].status == "withdrawn"
     assert not owner.jobs["j-1"].waiting(0.0, 1)
@@ -82,10 +83,10 @@
     owner, slow = make()
     slow.slow_scans = True
     ensureDeferred(owner.load())
-    owner.registration.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
+    owner.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
     newer = KeyValue("job/j-1", {**slow.item.value, "t": {"b": [(0, 1, "host-1")]}}, 8)
     # Lost and regained while the first reading is under way.
-    owner.registration.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 10)
+    owner.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 10)
     slow.item = newer
     ensureDeferred(owner.load())
     for _ in range(4):
@@ -103,8 +104,8 @@
     owner, slow = make()
     slow.slow_scans = True
     ensureDeferred(owner.load())
-    owner.registration.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
-    owner.registration.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 10)
+    owner.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
+    owner.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 10)
     while slow.waiting:
         slow.waiting.pop().callback(None)
     assert owner.loaded == set()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -7,7 +7,7 @@
 import pytest
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from beamspar.cluster.registration import BLOCK, Machine, Registration, shard_record
+from beamspar.cluster.registration import Registration
 from beamspar.jobs.assignments import Assignments
 from beamspar.jobs.job import Job, Task
 from beamspar.leader.cloud_client import CloudUnavailableError, MachinePage
@@ -22,6 +22,8 @@
 )
 from beamspar.protocol.wire import Instance, MachineType
 from beamspar.settings import OperatorSettings, Timeouts
+from beamspar.state import keys
+from beamspar.state.control_records import Machine, shard_record
 from tests.standins.clock import SimClock
 from tests.test_budget import settings
 
@@ -36,10 +38,12 @@
     store: Any = None
     registration = Registration(clock, store, settings(), unused)
     registration.incarnation, registration.fence_version = 1, 1
-    registration.values[registration.fence_key] = ({"inc": 1}, 1)
+    registration.mirror.values[registration.fence_key] = ({"inc": 1}, 1)
     holder = MachineController(clock, registration, store, unused, lambda: {"big": BIG}, store)
     machines = [Machine(f"host-{n:06d}", f"10.0.0.1:{n}", "big", "east") for n in range(count)]
-    registration.observe(BLOCK + "host-000000", shard_record(registration.me, machines), 5)
+    registration.mirror.observe(
+        keys.shard("host-000000"), shard_record(registration.me, machines), 5
+    )
     for number, machine in enumerate(holder.machines.values()):
         for index in range(TASKS_EACH):
             key = (f"j-{number}/{index}", 1)
@@ -100,7 +104,7 @@
     assignments = Assignments(
         clock, registration, Timeouts(settings(), OperatorSettings()), Book(registration)
     )
-    for name in registration.shard_of:
+    for name in registration.mirror.shard_of:
         there: dict[tuple[str, int], Any] = {}
         for index in range(TASKS_EACH):
             there[(f"j-{name}", index)] = (None, Task())
@@ -113,7 +117,7 @@
     parts = assignments._parts(registration.me, None)
     assert len(parts) > 1 and None not in parts
     names = [name for part in parts for name in part or ()]
-    assert sorted(names) == sorted(registration.shard_of)
+    assert sorted(names) == sorted(registration.mirror.shard_of)
     for part in parts:
         desired_attempts = [
             DesiredAttempt(
@@ -146,7 +150,7 @@
 @pytest.mark.parametrize("lost", [0, 1, 2])
 def test_parts_after_a_lost_one_are_not_sent_and_all_is_due_again(lost: int) -> None:
     registration, assignments = spoken_for(30)
-    registration.partitions.clear()
+    registration.mirror.partitions.clear()
     sent: list[set[str] | None] = []
 
     async def tell(holder: str, machines: set[str] | None) -> bool:
@@ -156,7 +160,7 @@
     assignments._tell = tell  # type: ignore[method-assign]
     whole = assignments._parts
     assignments._parts = lambda holder, names: whole(holder, names, 40)  # type: ignore
-    due = set(registration.shard_of)
+    due = set(registration.mirror.shard_of)
     assignments.due[registration.me] = set(due)
     assignments.syncing.add(registration.me)
     ensureDeferred(assignments._sync(registration.me, full=False))
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -6,11 +6,12 @@
 
 from twisted.internet.defer import ensureDeferred
 
-from beamspar.cluster.registration import Machine, Registration, shard_record
+from beamspar.cluster.registration import Registration
 from beamspar.machines.machine_controller import MachineController
 from beamspar.machines.worker_client import WorkerClient
 from beamspar.settings import OperatorSettings, Timeouts
 from beamspar.state.client import KeyValue
+from beamspar.state.control_records import Machine, shard_record
 from tests.standins.clock import SimClock
 from tests.test_budget import settings
 
@@ -60,5 +61,5 @@
     done: list[bool] = []
     ensureDeferred(registration._register()).addCallback(done.append)
     assert done == [True]
-    assert registration.holder_of("m-1") == ("rig-0", 12)
+    assert registration.mirror.holder_of("m-1") == ("rig-0", 12)
     assert set(holder.machines) == {"m-1"}, "else nobody ever answers its worker"
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -34,27 +34,27 @@
 )
 def test_with_another_partitions_odd_entry_nothing_starts(entry: Any, errors: list[str]) -> None:
     quota_manager, registration, script = make(ConflictError([KEY]))
-    registration.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
-    registration.observe(KEY, {"rig-0.1": [8.0, 0.0], "rig-1.1": entry}, 5)
+    registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
+    registration.mirror.observe(KEY, {"rig-0.1": [8.0, 0.0], "rig-1.1": entry}, 5)
     assert not quota_manager.reserve(job(1.0), [0])
     for _ in range(3):
         quota_manager.tick()
     assert script.written == [], "what the others have is not known"
     assert len(errors) == 1 and "red" in errors[0] and "rig-1.1" in errors[0]
-    registration.observe(KEY, {"rig-0.1": [8.0, 0.0], "rig-1.1": [2.0, 0.0]}, 6)
+    registration.mirror.observe(KEY, {"rig-0.1": [8.0, 0.0], "rig-1.1": [2.0, 0.0]}, 6)
     assert quota_manager.reserve(job(1.0), [0])
 
 
 def test_our_own_odd_entry_is_mended() -> None:
     quota_manager, registration, script = make(6)
-    registration.observe(KEY, {"rig-0.1": "all", "rig-1.1": [2.0, 0.0]}, 5)
+    registration.mirror.observe(KEY, {"rig-0.1": "all", "rig-1.1": [2.0, 0.0]}, 5)
     quota_manager.tick()
     assert script.written == [(5, {"rig-1.1": [2.0, 0.0]})]
 
 
 def test_a_record_that_is_no_map_stops_its_team(errors: list[str]) -> None:
     quota_manager, registration, script = make()
-    registration.observe(KEY, "none", 5)
+    registration.mirror.observe(KEY, "none", 5)
     assert not quota_manager.reserve(job(1.0), [0])
     quota_manager.tick()
     assert script.written == [] and len(errors) == 1
@@ -62,8 +62,8 @@
 
 def test_shares_above_the_limit_stop_their_team(errors: list[str]) -> None:
     quota_manager, registration, script = make(ConflictError([KEY]), ConflictError([KEY]))
-    registration.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
-    registration.observe(KEY, {"rig-0.1": [8.0, 0.0], "rig-1.1": [6.0, 0.0]}, 5)
+    registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
+    registration.mirror.observe(KEY, {"rig-0.1": [8.0, 0.0], "rig-1.1": [6.0, 0.0]}, 5)
     assert not quota_manager.reserve(job(1.0), [0])
     assert not quota_manager.may_start("rig-0.1", "red")
     quota_manager.tick()
@@ -74,7 +74,7 @@
 
 def test_an_unknown_partitions_share_counts(errors: list[str]) -> None:
     quota_manager, registration, _ = make(ConflictError([KEY]), ConflictError([KEY]))
-    registration.observe(KEY, {"rig-0.1": [4.0, 0.0], "rig-9.9": [6.0, 0.0]}, 5)
+    registration.mirror.observe(KEY, {"rig-0.1": [4.0, 0.0], "rig-9.9": [6.0, 0.0]}, 5)
     assert quota_manager.reserve(job(4.0), [0])
     held = job(1.0, tasks=4)
     for _ in range(4):
@@ -87,8 +87,8 @@
 
 def test_use_above_a_share_is_never_written_above_what_is_left(errors: list[str]) -> None:
     quota_manager, registration, script = make(6)
-    registration.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
-    registration.observe(KEY, {"rig-0.1": [3.0, 0.0], "rig-1.1": [5.0, 0.0]}, 5)
+    registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
+    registration.mirror.observe(KEY, {"rig-0.1": [3.0, 0.0], "rig-1.1": [5.0, 0.0]}, 5)
     held = job(1.0, tasks=8)
     for _ in range(8):
         held.quota_usage.bind(0)
@@ -106,18 +106,18 @@
     """Else a share is read that the former owner has given back since."""
     quota_manager, registration, _ = make()
     quota_manager.loaded = lambda: {"rig-0.1", "rig-1.1"}
-    registration.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 3)
-    registration.observe(KEY, {"rig-1.1": [10.0, 0.0]}, 5)
-    registration._caught_up(5)
+    registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 3)
+    registration.mirror.observe(KEY, {"rig-1.1": [10.0, 0.0]}, 5)
+    registration.mirror._caught_up(5)
     moved = job(4.0)
     moved.partition = "rig-1.1"
     # Our own write is known before the watch has told what came between.
-    registration.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 9)
+    registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 9)
     assert not quota_manager.reserve(moved, [0])
-    registration.observe(KEY, {"rig-1.1": [2.0, 0.0], "rig-2.1": [8.0, 0.0]}, 7)
-    registration._caught_up(9)
+    registration.mirror.observe(KEY, {"rig-1.1": [2.0, 0.0], "rig-2.1": [8.0, 0.0]}, 7)
+    registration.mirror._caught_up(9)
     assert not quota_manager.reserve(moved, [0])
-    registration.observe(KEY, {"rig-1.1": [4.0, 0.0]}, 10)
+    registration.mirror.observe(KEY, {"rig-1.1": [4.0, 0.0]}, 10)
     assert quota_manager.reserve(moved, [0])
 
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -93,7 +93,7 @@
     """A machine that was told to take nothing more, and its block."""
     leader = world.nodes[world.leader()].leader
     for name in sorted(leader.draining):
-        return name, world.nodes[world.leader()].registration.shard_of[name]
+        return name, world.nodes[world.leader()].registration.mirror.shard_of[name]
     return "", ""
 
 
@@ -268,7 +268,7 @@
     for member, incarnation, state in wrong:
         reply = node.sharing.transfer.accept(ReleaseRequest(member, incarnation, [state]))
         assert reply == ReleaseReply([]) and not held.is_taken_over, (member, incarnation, state)
-    ahead = replace(right, fencing_token=node.registration.revision + 5)
+    ahead = replace(right, fencing_token=node.registration.mirror.revision + 5)
     request = ReleaseRequest(source, incarnation, [ahead])
     assert node.sharing.transfer.accept(request) == ReleaseReply([], [machine])
     # Without `sole` one before the sender may still answer: the longest lease counts.
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -390,7 +390,7 @@
     new = world.nodes[followers[0]]
     assert world.leader() == followers[0]
     assert followers[1] in new.leader.confirmed()
-    assert world.nodes[followers[1]].registration.leader == old
+    assert world.nodes[followers[1]].registration.mirror.leader == old
 
 
 def test_room_is_lent_in_a_zone_that_is_confirmed_before_the_others() -> None:
@@ -414,7 +414,7 @@
     assert not leader.ready and leader.confirmed() == {first}
     unconfirmed = {
         machine.zone
-        for shard in world.nodes[first].registration.shards.values()
+        for shard in world.nodes[first].registration.mirror.shards.values()
         if shard.holder == third
         for machine in shard.machines
     }
