--- a/src/beamspar/jobs/assignments.py
+++ b/src/beamspar/jobs/assignments.py
@@ -260,7 +260,9 @@
         """Only what is stored may be cleared from a machine's memory."""
         job_id, _, index = name.partition("/")
         job = self.job_store.jobs.get(job_id)
-        return job is None or (not job.writing and int(index) // job.per not in job.dirty)
+        return job is None or (
+            not job.writing and int(index) // job.tasks_per_chunk not in job.dirty
+        )
 
     def moved(self, machine: str) -> None:
         """The machine's block has changed: its holder is told what we have there."""
--- a/src/beamspar/jobs/job.py
+++ b/src/beamspar/jobs/job.py
@@ -10,7 +10,7 @@
 
 from beamspar.jobs.failure_backoff import FailureBackoff
 from beamspar.jobs.gang import Gang, Phase
-from beamspar.protocol.wire import JobSpec
+from beamspar.protocol.jobs import JobSpec
 from beamspar.quota.quota_usage import QuotaUsage
 from beamspar.state import job_records as records
 from beamspar.state.job_records import Chunk, JobRecord, JobStatus, Layout
@@ -57,7 +57,7 @@
         self.partition = partition
         self.layout = layout
         # While its record is rewritten in another layout, nothing of it is bound anew.
-        self.moving = False
+        self.is_changing_layout = False
         self.version = 0
         self.chunk_versions: dict[int, int] = {}
         self.status = JobStatus.LIVE
@@ -68,18 +68,18 @@
         self.bound = 0
         self.running = 0
         self._on_machine: Counter[str] = Counter()
-        self.untouched = 0
-        self.again: deque[int] = deque()
+        self.next_unstarted = 0
+        self.retry_queue: deque[int] = deque()
         self.done: dict[int, set[int]] = {}
         self.done_count = 0
         self.dirty: set[int] = set()
         self.writing = False
-        self.since = now
-        self.stamp = ""
+        self.waiting_since = now
+        self.write_stamp = ""
         # The revision at which it was accepted or got a share of its team's limit last, and
         # when: who has waited longest is first at the limit.
-        self.served = 0
-        self.served_at = now
+        self.quota_served_revision = 0
+        self.quota_served_at = now
         self.gang = Gang()
         self.backoff = FailureBackoff()
         # How long a task of a gang waits for the others.
@@ -89,9 +89,9 @@
         self.quota_usage = QuotaUsage()
 
     @property
-    def per(self) -> int:
+    def tasks_per_chunk(self) -> int:
         """Tasks in a chunk of its record."""
-        return self.layout.per
+        return self.layout.tasks_per_chunk
 
     @property
     def id(self) -> str:
@@ -106,7 +106,7 @@
 
     def is_done(self, index: int) -> bool:
         """Has the task completed?"""
-        return index in self.done.get(index // self.per, ())
+        return index in self.done.get(index // self.tasks_per_chunk, ())
 
     def phase(self, now: float) -> Phase:
         """What a gang's attempt needs now."""
@@ -121,7 +121,7 @@
 
     def waiting(self, now: float, most: int) -> list[int]:
         """Indexes that may be placed now, those that ran before first."""
-        if self.status != JobStatus.LIVE or self.moving or self.quota_usage.rewriting:
+        if self.status != JobStatus.LIVE or self.is_changing_layout or self.quota_usage.rewriting:
             return []
         if self.spec.is_gang:
             phase = self.phase(now)
@@ -134,27 +134,29 @@
         found: list[int] = []
         if not most:
             return found
-        for index in self.again:
+        for index in self.retry_queue:
             if self.tasks[index].not_before <= now:
                 found.append(index)
                 if len(found) >= most:
                     return found
-        rest = range(self.untouched, min(self.spec.tasks, self.untouched + most - len(found)))
+        rest = range(
+            self.next_unstarted, min(self.spec.tasks, self.next_unstarted + most - len(found))
+        )
         return found + list(rest)
 
     def _all_waiting(self, now: float) -> list[int]:
         """All unfinished tasks of a gang that has none bound, or none while one must pause."""
-        if any(self.tasks[index].not_before > now for index in self.again):
+        if any(self.tasks[index].not_before > now for index in self.retry_queue):
             return []
-        return [*self.again, *range(self.untouched, self.spec.tasks)]
+        return [*self.retry_queue, *range(self.next_unstarted, self.spec.tasks)]
 
     def take(self, index: int) -> Task:
         """Mark a waiting task as about to be bound."""
-        if index >= self.untouched:
-            self.untouched = index + 1
+        if index >= self.next_unstarted:
+            self.next_unstarted = index + 1
             self.tasks.setdefault(index, Task())
         else:
-            self.again.remove(index)
+            self.retry_queue.remove(index)
         return self.tasks[index]
 
     def bind(self, index: int, machine: str) -> None:
@@ -162,7 +164,7 @@
         self.tasks[index].machine = machine
         self.bound += 1
         self._on_machine[machine] += 1
-        self.quota_usage.bind(index // self.per)
+        self.quota_usage.bind(index // self.tasks_per_chunk)
 
     def unbind(self, index: int) -> None:
         """The task's attempt is over, or was never stored."""
@@ -175,7 +177,7 @@
         task.machine = None
         self.bound -= 1
         self.saw(task, "")
-        self.quota_usage.unbind(index // self.per)
+        self.quota_usage.unbind(index // self.tasks_per_chunk)
 
     def saw(self, task: Task, state: str) -> None:
         """A holder tells the state of one of the job's bound tasks; empty while none is known."""
@@ -184,7 +186,7 @@
 
     def complete(self, index: int) -> None:
         """The task is done, and stays so."""
-        done = self.done.setdefault(index // self.per, set())
+        done = self.done.setdefault(index // self.tasks_per_chunk, set())
         if index not in done:
             done.add(index)
             self.done_count += 1
@@ -193,7 +195,7 @@
         """How many more tasks count against the limit once these are bound."""
         if not self.quota_usage.spare:
             return len(indexes)
-        per = self.per
+        per = self.tasks_per_chunk
         return self.quota_usage.extra([index // per for index in indexes])
 
     def places(self, zone_of: Callable[[str], str]) -> tuple[dict[str, int], dict[str, int]]:
@@ -206,9 +208,12 @@
 
     def chunk(self, number: int) -> Chunk:
         """What a chunk's record says of its tasks."""
-        low, high = number * self.per, min((number + 1) * self.per, self.spec.tasks)
+        low, high = (
+            number * self.tasks_per_chunk,
+            min((number + 1) * self.tasks_per_chunk, self.spec.tasks),
+        )
         chunk = Chunk(done=records.ranges(sorted(self.done.get(number, ()))))
-        for index in range(low, min(high, self.untouched)):
+        for index in range(low, min(high, self.next_unstarted)):
             task = self.tasks.get(index)
             # A task whose `done` is not stored yet is still among the tasks: listed
             # as waiting, a successor would run and count it twice.
@@ -217,7 +222,7 @@
             if task.machine is not None:
                 chunk.bound.append((index, task.attempt, task.machine))
             elif task.attempt:
-                chunk.again.append((index, task.attempt))
+                chunk.waiting_again.append((index, task.attempt))
         return chunk
 
     def relayout(self, layout: Layout) -> None:
@@ -226,11 +231,11 @@
         self.layout = layout
         self.done = {}
         for index in finished:
-            self.done.setdefault(index // layout.per, set()).add(index)
+            self.done.setdefault(index // layout.tasks_per_chunk, set()).add(index)
         self.chunk_versions = {}
-        self.dirty = {index // layout.per for index in range(self.untouched)} | {0}
+        self.dirty = {index // layout.tasks_per_chunk for index in range(self.next_unstarted)} | {0}
         bound = [index for index, task in self.tasks.items() if task.machine is not None]
-        self.quota_usage.change_layout(index // layout.per for index in bound)
+        self.quota_usage.change_layout(index // layout.tasks_per_chunk for index in bound)
 
     def record(self) -> dict[str, Any]:
         """The job's own record, the first chunk in it."""
@@ -241,7 +246,7 @@
             self.done_count,
             self.bound,
             self.chunk(0),
-            self.stamp,
+            self.write_stamp,
             self.layout.stored,
         )
         data: dict[str, Any] = msgspec.to_builtins(record)
--- a/src/beamspar/jobs/job_acceptor.py
+++ b/src/beamspar/jobs/job_acceptor.py
@@ -10,7 +10,7 @@
 from beamspar.cluster.registration import Registration
 from beamspar.jobs.job import Job
 from beamspar.jobs.job_writer import JobWriter
-from beamspar.protocol.wire import JobSpec
+from beamspar.protocol.jobs import JobSpec
 from beamspar.settings import Timeouts
 from beamspar.state import job_records as records
 from beamspar.state import keys
@@ -95,7 +95,7 @@
         layout = self.job_store.writer.layout_now()
         job = Job(spec, self.registration.partition, layout, self.clock.seconds())
         job.gang_wait_s = self.timeouts.gang_wait
-        job.served = self.mirror.revision
+        job.quota_served_revision = self.mirror.revision
         self.arriving[spec.id] = job
         try:
             return await self._accept(job)
@@ -106,7 +106,7 @@
         spec = job.spec
         await self.job_store.place([job])
         binding = job.quota_usage.writing(0)
-        job.stamp = self.job_store.writer.stamp()
+        job.write_stamp = self.job_store.writer.stamp()
         conditions = {
             **self.registration.fence_condition(),
             **self.mirror.partition_condition(job.partition),
@@ -135,7 +135,7 @@
         job.dirty.discard(0)
         job.quota_usage.written(0, binding)
         for index, task in job.tasks.items():
-            if index < job.per and task.machine:
+            if index < job.tasks_per_chunk and task.machine:
                 task.stored = True
                 self.job_store.touch(task.machine)
         self.job_store.jobs[spec.id] = job
--- a/src/beamspar/jobs/job_controller.py
+++ b/src/beamspar/jobs/job_controller.py
@@ -19,11 +19,11 @@
 from beamspar.jobs.job_loader import JobLoader
 from beamspar.jobs.job_writer import JobWriter
 from beamspar.jobs.placer import Placer
+from beamspar.protocol.jobs import PRIORITIES, JobSpec
 from beamspar.protocol.peer_messages import (
     AttemptState,
     AttemptStatus,
 )
-from beamspar.protocol.wire import PRIORITIES, JobSpec
 from beamspar.quota import quota_preemption as limit_yield
 from beamspar.quota.quota_preemption import PreemptionUnit
 from beamspar.settings import Settings, Timeouts
@@ -209,7 +209,7 @@
         log.info("{job} is withdrawn", job=job.id)
         job.status = JobStatus.CANCELLED
         self._drop_unstored(job)
-        job.again.clear()
+        job.retry_queue.clear()
         self._touch_all(job)
 
     def _touch_all(self, job: Job) -> None:
@@ -244,7 +244,7 @@
         task.stored = False
         task.fencing_token = 0
         # It counts against the team's limit until that is stored: a successor would start it.
-        job.dirty.add(index // job.per)
+        job.dirty.add(index // job.tasks_per_chunk)
         self.use_changed(job)
 
     # -- what holders say
@@ -337,7 +337,7 @@
                 task.not_before = now + (wait if task.failures > 2 else self.timeouts.retry)
             elif status.state == AttemptState.REFUSED:
                 task.not_before = now + self.timeouts.heartbeat / 2
-            job.again.append(index)
+            job.retry_queue.append(index)
         return job
 
     def _failed(self, job: Job, task: Task, machine: str, now: float) -> None:
@@ -384,8 +384,8 @@
                 self.assignments.clear(job, task.machine, name, task.attempt)
                 self._unbind(job, index, task)
             job.complete(index)
-            job.dirty.add(index // job.per)
-        job.again.clear()
+            job.dirty.add(index // job.tasks_per_chunk)
+        job.retry_queue.clear()
 
     def tick(self) -> None:
         """See to what is due: writes, placing, repeated messages."""
--- a/src/beamspar/jobs/job_loader.py
+++ b/src/beamspar/jobs/job_loader.py
@@ -134,10 +134,10 @@
         layout = records.layout_of(record, self.facts)
         job = Job(records.read_spec(record), record.partition, layout, self.clock.seconds())
         job.gang_wait_s = self.timeouts.gang_wait
-        job.version, job.status, job.stamp = version, record.status, record.stamp
-        job.served = version
+        job.version, job.status, job.write_stamp = version, record.status, record.write_stamp
+        job.quota_served_revision = version
         chunks = {0: record.chunk}
-        if job.spec.tasks > layout.per:
+        if job.spec.tasks > layout.tasks_per_chunk:
             items, _ = await self.state.scan(layout.prefix(job.id), RequestPriority.ACCEPT)
             for item in items:
                 number = layout.number(job.id, item.key)
@@ -149,10 +149,10 @@
         job.done_count = sum(len(d) for d in job.done.values())
         # Below the mark all that is neither bound, done nor waiting again was never
         # started: it waits with attempt 0.
-        for index in range(job.untouched):
+        for index in range(job.next_unstarted):
             if index not in job.tasks and not job.is_done(index):
                 job.tasks[index] = Task()
-                job.again.append(index)
+                job.retry_queue.append(index)
         return job
 
     def _keep(self, job: Job) -> bool:
@@ -194,14 +194,14 @@
     """Take a stored chunk of the job's tasks into memory."""
     for low, high in chunk.done:
         job.done.setdefault(number, set()).update(range(low, high + 1))
-        job.untouched = max(job.untouched, high + 1)
+        job.next_unstarted = max(job.next_unstarted, high + 1)
     for index, attempt, machine in chunk.bound:
         task = job.tasks[index] = Task(attempt)
         job.bind(index, machine)
         task.stored = True
-        job.untouched = max(job.untouched, index + 1)
-    for index, attempt in chunk.again:
+        job.next_unstarted = max(job.next_unstarted, index + 1)
+    for index, attempt in chunk.waiting_again:
         job.tasks[index] = Task(attempt)
-        job.again.append(index)
-        job.untouched = max(job.untouched, index + 1)
+        job.retry_queue.append(index)
+        job.next_unstarted = max(job.next_unstarted, index + 1)
     job.quota_usage.written(number, len(chunk.bound))
--- a/src/beamspar/jobs/job_writer.py
+++ b/src/beamspar/jobs/job_writer.py
@@ -91,7 +91,10 @@
 
     def _too_large(self, job: Job) -> bool:
         """May the job's records outgrow the announced limit in the layout that they have?"""
-        return job.per > self.small.per and job.spec.tasks > self.small.per
+        return (
+            job.tasks_per_chunk > self.small.tasks_per_chunk
+            and job.spec.tasks > self.small.tasks_per_chunk
+        )
 
     def tick(self) -> None:
         """Rewrite what may outgrow the announced limit, before that limit comes."""
@@ -152,8 +155,8 @@
         their layout. Until then the old records hold, and nothing is bound anew.
         """
         old, versions = job.layout, job.chunk_versions
-        log.info("{job}: records of {per} tasks", job=job.id, per=self.small.per)
-        job.moving = True
+        log.info("{job}: records of {per} tasks", job=job.id, per=self.small.tasks_per_chunk)
+        job.is_changing_layout = True
         job.relayout(self.small)
         done = False
         try:
@@ -164,7 +167,7 @@
             else:
                 done = await self._store(job)
         finally:
-            job.moving = False
+            job.is_changing_layout = False
             if not done:
                 # Not there yet: the record still names the old layout.
                 job.relayout(old)
@@ -214,24 +217,31 @@
     async def _store(self, job: Job) -> bool:
         """Write the job's record and some of its chunks; False when that is not known."""
         numbers = sorted(job.dirty)[: records.chunks_at_once(self.facts)]
-        if job.moving:
+        if job.is_changing_layout:
             numbers = sorted(job.dirty)
         job.dirty.difference_update(numbers)
-        job.stamp = self.stamp()
+        job.write_stamp = self.stamp()
         binding = self._begin(job, {0, *numbers})
         marks: list[tuple[int, int, str | None]] = []
         key = keys.job(job.id)
         changes = [put(key, job.record())]
         conditions = self._conditions(job)
-        written = range(-(-job.untouched // job.per)) if job.moving else {0, *numbers}
+        written = (
+            range(-(-job.next_unstarted // job.tasks_per_chunk))
+            if job.is_changing_layout
+            else {0, *numbers}
+        )
         for number in written:
-            for index in range(number * job.per, min((number + 1) * job.per, job.untouched)):
+            for index in range(
+                number * job.tasks_per_chunk,
+                min((number + 1) * job.tasks_per_chunk, job.next_unstarted),
+            ):
                 if index in job.tasks:
                     marks.append((index, job.tasks[index].attempt, job.tasks[index].machine))
         for number in numbers:
             if number:
                 name = job.layout.key(job.id, number)
-                if not job.moving:
+                if not job.is_changing_layout:
                     # What an attempt to change the layout left there is not known.
                     conditions[name] = job.chunk_versions.get(number, 0)
                 changes.append(put(name, msgspec.to_builtins(job.chunk(number))))
@@ -241,7 +251,7 @@
                 conditions, changes, RequestPriority.PLACEMENT, job.weight
             )
         except ConflictError as error:
-            job.dirty.update({0, *numbers} if job.moving else numbers)
+            job.dirty.update({0, *numbers} if job.is_changing_layout else numbers)
             log.info("{job}: write lost to {failed}", job=job.id, failed=error.failed)
             if key not in error.failed:
                 # Fenced, or a chunk's late write: the mirror will tell, not haste.
@@ -251,7 +261,7 @@
         except (StateUnavailableError, LeaseExpiredError) as error:
             # In doubt it may be applied yet, even late; the record's version tells
             # the two apart at the next write, so nothing is decided here.
-            job.dirty.update({0, *numbers} if job.moving else numbers)
+            job.dirty.update({0, *numbers} if job.is_changing_layout else numbers)
             log.info("{job}: write waits: {error}", job=job.id, error=error)
             await sleep(self.clock, self.timeouts.retry)
             if isinstance(error, TooLargeError):
@@ -294,7 +304,7 @@
         if item.version >= job.version:
             job.version = item.version
             layout = records.layout_of(record, self.facts)
-            if layout != job.layout and not job.moving:
+            if layout != job.layout and not job.is_changing_layout:
                 # A change of layout without an answer was carried out after all.
                 job.relayout(layout)
         if record.status == JobStatus.CANCELLED and job.status == JobStatus.LIVE:
@@ -303,7 +313,7 @@
 
     async def _reread_all(self, job: Job) -> None:
         await self.reread(job)
-        if job.spec.tasks > job.per and job.id in self.job_store.jobs:
+        if job.spec.tasks > job.tasks_per_chunk and job.id in self.job_store.jobs:
             layout = job.layout
             try:
                 items, _ = await self.state.scan(layout.prefix(job.id), RequestPriority.PLACEMENT)
--- a/src/beamspar/jobs/placer.py
+++ b/src/beamspar/jobs/placer.py
@@ -18,8 +18,8 @@
 from beamspar.jobs.job import Job
 from beamspar.jobs.job_writer import JobWriter
 from beamspar.placement import Preference, Room, choose, choose_group
+from beamspar.protocol.jobs import LOWEST_RANK, JobSpec
 from beamspar.protocol.peer_messages import CapacityRequest, PlacementOffer
-from beamspar.protocol.wire import LOWEST_RANK, JobSpec
 from beamspar.settings import Timeouts
 from beamspar.transport.http import Clock, spawn
 
@@ -120,7 +120,7 @@
             self._flush_held_back(jobs)
             jobs = [j for j in jobs if self._takes(j)]
             if jobs and self.registration.lease_is_valid():
-                jobs.sort(key=lambda j: (j.spec.rank, j.since))
+                jobs.sort(key=lambda j: (j.spec.rank, j.waiting_since))
                 part = self._first(jobs)
                 bound = sum(job.bound for job in part)
                 await self.place(part)
@@ -196,7 +196,12 @@
             spec = msgspec.to_builtins(job.spec)
             avoid = sorted(self._avoid(job))
             capacity_requests.append(
-                (job, CapacityRequest(spec, len(indexes), zones, machines, avoid, now - job.since))
+                (
+                    job,
+                    CapacityRequest(
+                        spec, len(indexes), zones, machines, avoid, now - job.waiting_since
+                    ),
+                )
             )
         return capacity_requests
 
@@ -232,7 +237,7 @@
         # For a while only: where each machine had failed some task of a job, all of the job
         # waited beside machines with room for ever.
         since = self.clock.seconds() - self.timeouts.worker_lease
-        for index in job.again:
+        for index in job.retry_queue:
             task = job.tasks[index]
             if task.avoid and task.not_before > since:
                 found |= task.avoid
@@ -325,7 +330,7 @@
             self.job_store.quota_manager.recount(job)
         task.stored = False
         task.fencing_token, task.preempt, task.preempted_for_quota = 0, preempt, False
-        job.dirty.add(index // job.per)
+        job.dirty.add(index // job.tasks_per_chunk)
         if job.spec.is_gang and job.bound + job.done_count == job.spec.tasks:
             job.gang.completed()
         self.job_store.assignments.place_on(machine, job, index, task)
--- a/src/beamspar/leader/cloud_client.py
+++ b/src/beamspar/leader/cloud_client.py
@@ -6,7 +6,8 @@
 
 import msgspec
 
-from beamspar.protocol.wire import Instance, InvalidInputError, MachineType, convert, pack, unpack
+from beamspar.protocol.cloud import Instance, MachineType
+from beamspar.protocol.codec import InvalidInputError, convert, pack, unpack
 from beamspar.transport.http import CallFailedError, Net
 
 # Machines that the cloud lists in one answer at most (PROTOCOL).
--- a/src/beamspar/leader/gang_reservations.py
+++ b/src/beamspar/leader/gang_reservations.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from beamspar.placement import Room, allowed, fitting
+from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.peer_messages import CapacityRequest
-from beamspar.protocol.wire import JobSpec
 from beamspar.settings import Timeouts
 
 
--- a/src/beamspar/leader/instance_manager.py
+++ b/src/beamspar/leader/instance_manager.py
@@ -14,7 +14,8 @@
 from beamspar.cluster.registration import Registration
 from beamspar.leader.cloud_client import CloudClient, CloudUnavailableError, NoCapacityError
 from beamspar.placement import Room, allowed, copy, fits_type, fitting, slots
-from beamspar.protocol.wire import Instance, JobSpec, MachineType
+from beamspar.protocol.cloud import Instance, MachineType
+from beamspar.protocol.jobs import JobSpec
 from beamspar.settings import Settings, Timeouts
 from beamspar.standby.decision_log import DecisionLog
 from beamspar.standby.decisions import (
--- a/src/beamspar/leader/leader.py
+++ b/src/beamspar/leader/leader.py
@@ -31,6 +31,7 @@
     has_room,
     per_gpu,
 )
+from beamspar.protocol.jobs import LOWEST_RANK, JobSpec
 from beamspar.protocol.peer_messages import (
     CapacityOffers,
     CapacityRequest,
@@ -39,7 +40,6 @@
     MemberHeartbeat,
     PlacementOffer,
 )
-from beamspar.protocol.wire import LOWEST_RANK, JobSpec
 from beamspar.settings import OperatorSettings, Settings, Timeouts
 from beamspar.standby.decisions import CacheChanged
 from beamspar.state import keys
--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -18,6 +18,7 @@
 from beamspar.machines.managed_machine import Key, ManagedMachine, Start
 from beamspar.machines.worker_client import WorkerClient
 from beamspar.placement import Room, copy, evict_least_recently_used
+from beamspar.protocol.cloud import MachineType
 from beamspar.protocol.peer_messages import (
     VIEWS_AT_ONCE,
     AttemptState,
@@ -27,13 +28,13 @@
     DesiredStateUpdate,
     MachineStatus,
 )
-from beamspar.protocol.wire import (
-    MachineType,
+from beamspar.protocol.workers import (
+    ClearCommand,
+    Command,
+    StartCommand,
+    StopCommand,
     TaskStatus,
     WorkerHeartbeat,
-    order_clear,
-    order_start,
-    order_stop,
 )
 from beamspar.settings import Timeouts
 from beamspar.state import keys
@@ -152,7 +153,7 @@
 
     # -- reports
 
-    def report(self, report: WorkerHeartbeat) -> tuple[int, list[dict[str, Any]]] | None:
+    def report(self, report: WorkerHeartbeat) -> tuple[int, list[Command]] | None:
         """Take in a worker's own report; token and orders to answer with, None for 'not mine'."""
         machine = self.held(report.machine)
         if machine is None:
@@ -475,9 +476,9 @@
             return 0.0
         return desired.save_s * SAVE_MARGIN + (self.timeouts.gang_peer if desired.gang else 0.0)
 
-    def _commands(self, machine: ManagedMachine) -> list[dict[str, Any]]:
+    def _commands(self, machine: ManagedMachine) -> list[Command]:
         """Orders that the difference between wants and reports calls for."""
-        commands = []
+        commands: list[Command] = []
         cancellations = bool(self.mirror.cancelled or self.mirror.announced_cancellations)
         open_tasks = [(key, machine.tasks[key]) for key in machine.open if key in machine.tasks]
         for key, task in open_tasks:
@@ -498,7 +499,7 @@
             else:
                 grace = None
             if grace is not None and not (task.status == "saving" and grace > 0):
-                commands.append(order_stop(key[0], key[1], grace))
+                commands.append(StopCommand(key[0], key[1], grace))
         for key, task in open_tasks:
             desired = machine.desired_attempts.get(key)
             # After a clear the worker has forgotten the attempt, so a start
@@ -507,11 +508,11 @@
             if clearable and (
                 (desired and desired.action == DesiredAction.CLEAR) or key in machine.unwanted
             ):
-                commands.append(order_clear(key[0], key[1]))
+                commands.append(ClearCommand(key[0], key[1]))
         return commands
 
-    def _starts(self, machine: ManagedMachine) -> list[dict[str, Any]]:
-        commands: list[dict[str, Any]] = []
+    def _starts(self, machine: ManagedMachine) -> list[Command]:
+        commands: list[Command] = []
         if not machine.fresh:
             return commands
         missing = [
@@ -541,11 +542,11 @@
                     self._mark_over(machine, key, AttemptState.REFUSED)
             elif desired.action == DesiredAction.RUN and not cancelled:
                 if start is not None:
-                    commands.append(order_start(*key))
+                    commands.append(StartCommand(*key))
                 elif not self.summaries.usable(machine):
                     self._mark_over(machine, key, AttemptState.REFUSED)
                 elif self._fits(machine, key, desired):
-                    commands.append(order_start(*key))
+                    commands.append(StartCommand(*key))
                 elif not (desired.preempt and self._preempt(machine, key, desired)):
                     self._mark_over(machine, key, AttemptState.REFUSED)
             elif start is None:
@@ -642,12 +643,12 @@
             and not self.mirror.is_cancelled(key[0].partition("/")[0])
         )
 
-    async def _send(self, machine: ManagedMachine, commands: list[dict[str, Any]]) -> None:
+    async def _send(self, machine: ManagedMachine, commands: list[Command]) -> None:
         epoch, token = machine.agent_epoch, machine.command_token
         sent = []
         for command in commands:
-            if command["verb"] == "start":
-                key = (command["parcel"], command["try"])
+            if isinstance(command, StartCommand):
+                key = (command.task, command.attempt)
                 start = machine.starts.setdefault(key, Start(epoch, token))
                 if machine.void(start):
                     start.doubt = start.answered = False
@@ -661,7 +662,9 @@
                     number=token,
                 )
         try:
-            done, report = await self.workers.order(machine.info.address, token, epoch, commands)
+            done, report = await self.workers.send_commands(
+                machine.info.address, token, epoch, commands
+            )
         except CallFailedError as error:
             for _, start in sent:
                 start.doubt = True
--- a/src/beamspar/machines/machine_summaries.py
+++ b/src/beamspar/machines/machine_summaries.py
@@ -6,8 +6,8 @@
 
 from beamspar.machines.managed_machine import Key, ManagedMachine
 from beamspar.placement import Room
+from beamspar.protocol.cloud import MachineType
 from beamspar.protocol.peer_messages import MachineStatus
-from beamspar.protocol.wire import MachineType
 from beamspar.settings import Timeouts
 from beamspar.transport.http import Clock
 
--- a/src/beamspar/machines/managed_machine.py
+++ b/src/beamspar/machines/managed_machine.py
@@ -9,7 +9,7 @@
     DesiredAction,
     DesiredAttempt,
 )
-from beamspar.protocol.wire import TaskStatus
+from beamspar.protocol.workers import TaskStatus
 from beamspar.state.control_records import Machine
 
 # A task and the number of its attempt.
--- a/src/beamspar/machines/worker_client.py
+++ b/src/beamspar/machines/worker_client.py
@@ -2,9 +2,13 @@
 
 from __future__ import annotations
 
-from typing import Any
-
-from beamspar.protocol.wire import InvalidInputError, WorkerHeartbeat, orders, parse_report
+from beamspar.protocol.codec import InvalidInputError
+from beamspar.protocol.workers import (
+    Command,
+    WorkerHeartbeat,
+    encode_commands,
+    parse_worker_heartbeat,
+)
 from beamspar.transport.http import CallFailedError, Net
 
 
@@ -15,19 +19,19 @@
         self.net = net
         self.limit_s = limit_s
 
-    async def order(
-        self, address: str, token: int, agent_epoch: int, commands: list[dict[str, Any]]
+    async def send_commands(
+        self, address: str, token: int, agent_epoch: int, commands: list[Command]
     ) -> tuple[bool, WorkerHeartbeat]:
         """Whether the orders were executed, and the report after them.
 
         CallFailedError means doubt: the orders may be executed minutes later, while
         number and agent_epoch still match.
         """
-        body = orders(token, agent_epoch, commands)
+        body = encode_commands(token, agent_epoch, commands)
         answer = await self.net.request("POST", address, "/orders", body, self.limit_s)
         if answer.status not in (200, 409):
             raise CallFailedError(f"worker {address} answered {answer.status}")
         try:
-            return answer.status == 200, parse_report(answer.body)
+            return answer.status == 200, parse_worker_heartbeat(answer.body)
         except InvalidInputError as error:
             raise CallFailedError(f"worker {address}: odd report: {error}") from error
--- a/src/beamspar/node/node.py
+++ b/src/beamspar/node/node.py
@@ -19,6 +19,9 @@
 from beamspar.machines.worker_client import WorkerClient
 from beamspar.node.public_api import Api
 from beamspar.placement import Preference, Room, slow_kinds
+from beamspar.protocol.cloud import MachineType
+from beamspar.protocol.codec import BODY_LIMIT, convert, pack, unpack
+from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.peer_messages import (
     PEER_LIMIT,
     STATUSES_AT_ONCE,
@@ -39,7 +42,6 @@
     decode,
     encode,
 )
-from beamspar.protocol.wire import BODY_LIMIT, JobSpec, MachineType, convert, pack, unpack
 from beamspar.quota.quota_manager import QuotaManager
 from beamspar.settings import OperatorSettings, Settings, Timeouts
 from beamspar.standby.standby import Standby
--- a/src/beamspar/node/public_api.py
+++ b/src/beamspar/node/public_api.py
@@ -12,18 +12,9 @@
 from twisted.logger import Logger
 
 from beamspar.placement import fits_type
-from beamspar.protocol.wire import (
-    JOB_ID,
-    InvalidInputError,
-    JobSpec,
-    job_answer,
-    pack,
-    parse_report,
-    parse_spec,
-    redirect,
-    report_answer,
-    unpack,
-)
+from beamspar.protocol.codec import InvalidInputError, pack, unpack
+from beamspar.protocol.jobs import JOB_ID, JobSpec, job_response, parse_spec
+from beamspar.protocol.workers import heartbeat_response, parse_worker_heartbeat, redirect_response
 from beamspar.state import job_records as records
 from beamspar.state import keys
 from beamspar.state.client import (
@@ -141,7 +132,7 @@
             return busy()
         finally:
             self.submitting -= 1
-        return reply(201, job_answer(job, "pending"))
+        return reply(201, job_response(job, "pending"))
 
     async def _known_or(self, job: str, answer: Answer) -> Answer:
         """A job that is known is never refused, whatever the repeated body says."""
@@ -210,7 +201,7 @@
         mine = owner.jobs.get(job) if owner else None
         if mine is not None and mine.version and mine.status == JobStatus.LIVE:
             if await self._check(job, mine.version):
-                return job_answer(
+                return job_response(
                     job, "running" if mine.running else "pending", mine.done_count, mine.running
                 )
         else:
@@ -220,13 +211,13 @@
         return await self._read(job)
 
     def _final(self, job: str, end: EndRecord) -> dict[str, Any]:
-        return job_answer(job, end.status, end.done)
+        return job_response(job, end.status, end.done)
 
     def _current(self, job: str, record: JobRecord) -> dict[str, Any]:
         if record.status == JobStatus.CANCELLED:
-            return job_answer(job, JobStatus.CANCELLED, record.done)
+            return job_response(job, JobStatus.CANCELLED, record.done)
         status = "running" if record.running else "pending"
-        return job_answer(job, status, record.done, record.running)
+        return job_response(job, status, record.done, record.running)
 
     def _read(self, job: str) -> Deferred[dict[str, Any] | None]:
         """The job's state by its stored record. All who ask before the reading leaves share it."""
@@ -370,7 +361,7 @@
 
     def _report(self, call: Call) -> Answer:
         try:
-            report = parse_report(call.body)
+            report = parse_worker_heartbeat(call.body)
         except InvalidInputError as error:
             log.info("malformed report: {error}", error=error)
             return reply(400, {"error": str(error)})
@@ -390,8 +381,8 @@
             if reachable or not node.refused.get(held[0]):
                 # It may just be on its way there; the leader knows whether it arrives.
                 node.strays[report.machine] = node.clock.seconds()
-            return reply(421, redirect(held[0] if reachable else None))
+            return reply(421, redirect_response(held[0] if reachable else None))
         answer = holder.report(report)
         if answer is None:
             return reply(503)
-        return reply(200, report_answer(*answer))
+        return reply(200, heartbeat_response(*answer))
--- a/src/beamspar/placement.py
+++ b/src/beamspar/placement.py
@@ -12,7 +12,8 @@
 
 import msgspec
 
-from beamspar.protocol.wire import JobSpec, MachineType
+from beamspar.protocol.cloud import MachineType
+from beamspar.protocol.jobs import JobSpec
 
 EPS = 1e-6
 # Of the time that a class has to start, what a fetch may take: rates differ by a third.
--- a/src/beamspar/quota/quota_manager.py
+++ b/src/beamspar/quota/quota_manager.py
@@ -232,7 +232,7 @@
             return
         tasks = max(tasks, known.tasks) if known else tasks
         requests[job.id] = AllocationRequest(
-            spec.rank, job.served, spec.cpus, spec.gpus, tasks, until, whole
+            spec.rank, job.quota_served_revision, spec.cpus, spec.gpus, tasks, until, whole
         )
         self.highest[key] = min(spec.rank, self._highest(key))
         self._schedule(spec.team)
@@ -250,9 +250,9 @@
         if not self.covers(job, indexes, whole=True):
             return False
         now = self.registration.clock.seconds()
-        if now - job.served_at >= self.registration.timeouts.report:
+        if now - job.quota_served_at >= self.registration.timeouts.report:
             # Not for each task: every step is told in the team's record.
-            job.served, job.served_at = self.mirror.revision, now
+            job.quota_served_revision, job.quota_served_at = self.mirror.revision, now
         requests = self.requests.get((job.partition, job.spec.team), {})
         if job.id in requests:
             request = requests.pop(job.id)
@@ -282,7 +282,7 @@
     def _others_first(self, shares: TeamQuota, job: Job) -> bool:
         """Does some partition say that it can't start higher work, or work of the same rank
         that has waited longer? What ends here is for that then. Our own may say the latter."""
-        order = (job.spec.rank, job.served, job.partition)
+        order = (job.spec.rank, job.quota_served_revision, job.partition)
         elsewhere = shares.waiting_elsewhere(job.partition)
         if any(share.waiting_rank <= job.spec.rank for _, share in elsewhere):
             return True
--- a/src/beamspar/quota/quota_preemption.py
+++ b/src/beamspar/quota/quota_preemption.py
@@ -92,7 +92,7 @@
         -spec.rank,
         all(task.machine in spot for _, task in tasks),
         not spec.checkpoint_s,
-        -job.since,
+        -job.waiting_since,
         job.id,
         tasks[0][0],
     )
--- a/src/beamspar/state/client.py
+++ b/src/beamspar/state/client.py
@@ -11,7 +11,7 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from beamspar.protocol.wire import pack, unpack
+from beamspar.protocol.codec import pack, unpack
 from beamspar.settings import Settings, Timeouts
 from beamspar.transport.http import Answer, CallFailedError, Clock, Net, sleep
 
--- a/src/beamspar/state/job_records.py
+++ b/src/beamspar/state/job_records.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from beamspar.protocol.wire import JobSpec
+from beamspar.protocol.jobs import JobSpec
 from beamspar.settings import StateServiceLimits
 from beamspar.state import keys
 from beamspar.state.client import KeyValue, RequestPriority, StateClient
@@ -42,7 +42,7 @@
     """Tasks of one record: bound [index, attempt, machine], waiting again, done ranges."""
 
     bound: list[tuple[int, int, str]] = msgspec.field(name="b", default_factory=list)
-    again: list[tuple[int, int]] = msgspec.field(name="a", default_factory=list)
+    waiting_again: list[tuple[int, int]] = msgspec.field(name="a", default_factory=list)
     done: list[tuple[int, int]] = msgspec.field(name="d", default_factory=list)
 
 
@@ -55,9 +55,9 @@
     done: int = msgspec.field(name="n", default=0)
     running: int = msgspec.field(name="r", default=0)
     chunk: Chunk = msgspec.field(name="t", default_factory=Chunk)
-    stamp: str = msgspec.field(name="w", default="")
+    write_stamp: str = msgspec.field(name="w", default="")
     # Tasks in a chunk; None in the layout of the first release.
-    per: int | None = msgspec.field(name="p", default=None)
+    tasks_per_chunk: int | None = msgspec.field(name="p", default=None)
 
 
 class EndRecord(msgspec.Struct):
@@ -71,18 +71,22 @@
     """How a job's tasks are cut into chunks, and where the chunks lie."""
 
     # Tasks in a chunk.
-    per: int
+    tasks_per_chunk: int
     # Of the first release, which all releases read: not stored with the job.
-    first: bool = False
+    is_first_release: bool = False
 
     @property
     def stored(self) -> int | None:
         """What the job's record says of it."""
-        return None if self.first else self.per
+        return None if self.is_first_release else self.tasks_per_chunk
 
     def prefix(self, job: str) -> str:
         """Where the chunks of a job lie."""
-        return keys.tasks(job) if self.first else f"{keys.tasks(job)}{self.per}/"
+        return (
+            keys.tasks(job)
+            if self.is_first_release
+            else f"{keys.tasks(job)}{self.tasks_per_chunk}/"
+        )
 
     def key(self, job: str, chunk: int) -> str:
         """The key of one chunk."""
@@ -96,7 +100,7 @@
 
 def first_layout(facts: StateServiceLimits) -> Layout:
     """The layout of the first release: by the present limit, whatever has been announced."""
-    return Layout(chunk_size(facts.value_kb), first=True)
+    return Layout(chunk_size(facts.value_kb), is_first_release=True)
 
 
 def small_layout(facts: StateServiceLimits) -> Layout:
@@ -106,7 +110,7 @@
 
 def layout_of(record: JobRecord, facts: StateServiceLimits) -> Layout:
     """The layout that a job's record was written in."""
-    return Layout(record.per) if record.per else first_layout(facts)
+    return Layout(record.tasks_per_chunk) if record.tasks_per_chunk else first_layout(facts)
 
 
 def chunk_size(value_kb: float) -> int:
@@ -159,7 +163,9 @@
         return False
     record = read_job(item)
     chunk, layout = record.chunk, layout_of(record, facts)
-    if index // layout.per:
-        part = await state.get(layout.key(job, index // layout.per), RequestPriority.BACKGROUND)
+    if index // layout.tasks_per_chunk:
+        part = await state.get(
+            layout.key(job, index // layout.tasks_per_chunk), RequestPriority.BACKGROUND
+        )
         chunk = msgspec.convert(part.value, Chunk) if part else Chunk()
     return (index, attempt, machine) in chunk.bound
--- a/tests/standins/checker.py
+++ b/tests/standins/checker.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from beamspar.protocol.wire import unpack
+from beamspar.protocol.codec import unpack
 from tests.standins.clock import SimClock
 
 FINAL = ("done", "withdrawn")
--- a/tests/standins/sharing.py
+++ b/tests/standins/sharing.py
@@ -9,7 +9,7 @@
 import orjson
 from twisted.internet.defer import Deferred
 
-from beamspar.protocol.wire import unpack
+from beamspar.protocol.codec import unpack
 from beamspar.transport.http import Answer
 from tests.standins.world import ZONES, World
 
--- a/tests/standins/state.py
+++ b/tests/standins/state.py
@@ -9,7 +9,7 @@
 from msgspec import json
 from twisted.internet.defer import Deferred
 
-from beamspar.protocol.wire import pack, unpack
+from beamspar.protocol.codec import pack, unpack
 from beamspar.transport.http import Answer, Call
 from tests.standins.clock import SimClock
 
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -8,7 +8,7 @@
 
 from twisted.internet.defer import Deferred
 
-from beamspar.protocol.wire import pack, unpack
+from beamspar.protocol.codec import pack, unpack
 from beamspar.transport.http import Answer, Call
 from tests.standins.checker import Checker
 from tests.standins.clock import SimClock
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -8,7 +8,7 @@
 import msgspec
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from beamspar.protocol.wire import pack, unpack
+from beamspar.protocol.codec import pack, unpack
 from beamspar.settings import OperatorSettings, Settings
 from beamspar.transport.http import CallFailedError, ConnectionLimits, Sockets
 from tests.standins import releases
--- a/tests/test_acceptor.py
+++ b/tests/test_acceptor.py
@@ -11,7 +11,7 @@
 from beamspar.cluster.registration import Registration
 from beamspar.jobs.job_controller import JobController
 from beamspar.placement import Room
-from beamspar.protocol.wire import JobSpec
+from beamspar.protocol.jobs import JobSpec
 from beamspar.quota.quota_manager import QuotaManager
 from beamspar.settings import OperatorSettings, Timeouts
 from beamspar.state.client import KeyValue, OutcomeUnknownError, StateUnavailableError
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -6,7 +6,7 @@
 
 from beamspar.cluster.registration import Registration
 from beamspar.jobs.job import Job
-from beamspar.protocol.wire import JobSpec
+from beamspar.protocol.jobs import JobSpec
 from beamspar.quota.quota_manager import QuotaManager
 from beamspar.settings import (
     CloudLimits,
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from beamspar.protocol.wire import order_start, order_stop, orders
+from beamspar.protocol.workers import StartCommand, StopCommand, encode_commands
 from tests.standins.checker import Checker
 from tests.standins.clock import SimClock
 from tests.standins.world import JOB
@@ -90,7 +90,7 @@
 
 def started_cancelled(checker: Checker) -> None:
     cancelled(checker)
-    checker.ordered(orders(7, 1, [order_start("j-1/0", 1)]))
+    checker.ordered(encode_commands(7, 1, [StartCommand("j-1/0", 1)]))
 
 
 def forgotten(checker: Checker) -> None:
@@ -193,7 +193,7 @@
     checker.answered("j-1", 200, {"status": "withdrawn"}, 0.9)
     # Asked before the user was told, and a stop for what is cancelled.
     checker.answered("j-1", 200, {"status": "running"}, 0.8)
-    checker.ordered(orders(7, 1, [order_stop("j-1/0", 1, 0.0)]))
+    checker.ordered(encode_commands(7, 1, [StopCommand("j-1/0", 1, 0.0)]))
     at(checker, 44.0)
     checker.sweep()
     checker.stop("j-1/0", 1, "m-1")
--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -15,7 +15,7 @@
 
 from beamspar.placement import Room
 from beamspar.protocol import peer_messages as messages
-from beamspar.protocol.wire import JobSpec
+from beamspar.protocol.jobs import JobSpec
 from beamspar.state import job_records as records
 from beamspar.state.control_records import MachineShard, shard_record
 from tests.standins import releases
@@ -105,4 +105,4 @@
     read = msgspec.convert(msgspec.to_builtins(record), old.JobRecord)
     # It would lose the layout when it writes the record anew.
     assert read.chunk.bound == [(0, 1, "host-1")] and not hasattr(read, "per")
-    assert record.per is None
+    assert record.tasks_per_chunk is None
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,7 +6,8 @@
 
 from beamspar.leader.instance_manager import InstanceManager
 from beamspar.placement import Room
-from beamspar.protocol.wire import JobSpec, MachineType
+from beamspar.protocol.cloud import MachineType
+from beamspar.protocol.jobs import JobSpec
 from beamspar.settings import OperatorSettings, Timeouts
 from beamspar.standby.decisions import Booting
 from tests.standins.clock import SimClock
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -8,7 +8,9 @@
 
 from __future__ import annotations
 
+import functools
 import json
+import operator
 import os
 import random
 from collections.abc import Awaitable, Callable, Iterator
@@ -24,8 +26,11 @@
 from beamspar.machines import worker_client as workers
 from beamspar.node import node
 from beamspar.placement import Room
+from beamspar.protocol import cloud as cloud_protocol
+from beamspar.protocol import codec
+from beamspar.protocol import jobs as jobs_protocol
 from beamspar.protocol import peer_messages as messages
-from beamspar.protocol import wire
+from beamspar.protocol import workers as workers_protocol
 from beamspar.quota import allocations as shares
 from beamspar.quota import quota_manager as quota_manager
 from beamspar.sharing import messages as sharing
@@ -179,24 +184,26 @@
 
 
 def report() -> Any:
-    tasks = [wire.TaskStatus("j-1/3", 2, "ended", "stopped", True)]
-    return wire.WorkerHeartbeat("host-7", "10.1.0.7:9000", "g8", "b", 5, 88, 41, tasks, True, 20.5)
+    tasks = [workers_protocol.TaskStatus("j-1/3", 2, "ended", "stopped", True)]
+    return workers_protocol.WorkerHeartbeat(
+        "host-7", "10.1.0.7:9000", "g8", "b", 5, 88, 41, tasks, True, 20.5
+    )
 
 
 def machine_type() -> Any:
     prices = (12.5, 4.5, 45.5, ["a", "b"])
-    return wire.MachineType("g8", 96.5, 8.5, 768.5, 200.5, 1.5, *prices)
+    return cloud_protocol.MachineType("g8", 96.5, 8.5, 768.5, 200.5, 1.5, *prices)
 
 
 def rental() -> Any:
-    return wire.Instance("host-7", "10.1.0.7:9000", "g8", "b", True, "starting", 61.5)
+    return cloud_protocol.Instance("host-7", "10.1.0.7:9000", "g8", "b", True, "starting", 61.5)
 
 
 def commands() -> list[Any]:
     return [
-        wire.order_start("j-1/4", 2),
-        wire.order_stop("j-1/1", 1, 10.5),
-        wire.order_clear("j-1/0", 3),
+        workers_protocol.StartCommand("j-1/4", 2),
+        workers_protocol.StopCommand("j-1/1", 1, 10.5),
+        workers_protocol.ClearCommand("j-1/0", 3),
     ]
 
 
@@ -351,22 +358,26 @@
     "block-machine-least": lambda: control_records.Machine("host-7", "10.1.0.7:9000", "g8", "b"),
     "team-record": team_record,
     "release-told": lambda: control_records.RELEASE,
-    "submission": lambda: wire.parse_spec(JOB),
-    "submission-least": lambda: wire.parse_spec(least_job()),
-    "job-answer": lambda: wire.job_answer("j-1", "running", 3, 13),
-    "job-answer-least": lambda: wire.job_answer("j-1", "pending"),
-    "redirect": lambda: wire.redirect("rig-2"),
-    "redirect-least": lambda: wire.redirect(None),
+    "submission": lambda: jobs_protocol.parse_spec(JOB),
+    "submission-least": lambda: jobs_protocol.parse_spec(least_job()),
+    "job-answer": lambda: jobs_protocol.job_response("j-1", "running", 3, 13),
+    "job-answer-least": lambda: jobs_protocol.job_response("j-1", "pending"),
+    "redirect": lambda: workers_protocol.redirect_response("rig-2"),
+    "redirect-least": lambda: workers_protocol.redirect_response(None),
     "commands": commands,
-    "orders": lambda: wire.unpack(wire.orders(41, 5, commands())),
-    "report-answer": lambda: wire.report_answer(41, commands()),
+    "orders": lambda: codec.unpack(workers_protocol.encode_commands(41, 5, commands())),
+    "report-answer": lambda: codec.unpack(
+        codec.pack(workers_protocol.heartbeat_response(41, commands()))
+    ),
     "report": report,
-    "report-least": lambda: wire.WorkerHeartbeat("host-7", "10.1.0.7:9000", "g8", "b", 5, 88, 41),
-    "task-report-least": lambda: wire.TaskStatus("j-1/3", 2, "running"),
+    "report-least": lambda: workers_protocol.WorkerHeartbeat(
+        "host-7", "10.1.0.7:9000", "g8", "b", 5, 88, 41
+    ),
+    "task-report-least": lambda: workers_protocol.TaskStatus("j-1/3", 2, "running"),
     "machine-type": machine_type,
-    "machine-type-least": lambda: wire.MachineType("g8", 96.5),
+    "machine-type-least": lambda: cloud_protocol.MachineType("g8", 96.5),
     "rental": rental,
-    "rental-least": lambda: wire.Instance("host-7"),
+    "rental-least": lambda: cloud_protocol.Instance("host-7"),
     "put": lambda: state.put("a/b", {"n": 1}, 7),
     "put-least": lambda: state.put("a/b", None),
     "drop": lambda: state.drop("a/b"),
@@ -388,7 +399,7 @@
     ) -> Deferred[http.Answer]:
         self.calls.append([method, address, path, "no body" if body is None else body.hex()])
         answer = self.answers.pop(0)
-        raw = answer if isinstance(answer, bytes) else wire.pack(msgspec.to_builtins(answer))
+        raw = answer if isinstance(answer, bytes) else codec.pack(msgspec.to_builtins(answer))
         return succeed(http.Answer(200, raw))
 
 
@@ -468,14 +479,14 @@
 
 async def direct_orders(net: Recorder) -> None:
     client = workers.WorkerClient(net, 1.0)  # type: ignore[arg-type]
-    assert await client.order("host-7:9", 41, 5, commands()) == (True, report())
+    assert await client.send_commands("host-7:9", 41, 5, commands()) == (True, report())
 
 
 async def relayed_request(net: Recorder) -> None:
     tuning, rng = settings.OperatorSettings(), random.Random(1)
     sender = node.Node(SimClock(), net, deployment(), tuning, rng)  # type: ignore[arg-type]
-    call = http.Call("POST", "/submissions", {}, wire.pack(JOB))
-    answer = http.Answer(503, wire.pack({"error": "busy"}), (("Retry-After", "2"),))
+    call = http.Call("POST", "/submissions", {}, codec.pack(JOB))
+    answer = http.Answer(503, codec.pack({"error": "busy"}), (("Retry-After", "2"),))
     assert await sender.relay("rig-2", call) == answer
 
 
@@ -549,7 +560,7 @@
         if path.startswith("/peer/") and source in world.names:
             paths.add(path)
         if path == "/multi":
-            changes = wire.unpack(rest[0]).get("apply", ())
+            changes = codec.unpack(rest[0]).get("apply", ())
             marks.update(str(c["data"]) for c in changes if c.get("put") == "c/w/j-long")
         return carry(source, method, address, path, *rest)
 
@@ -593,7 +604,7 @@
 
 def outer_form(value: Any) -> str:
     """A MessagePack form, in hex."""
-    return wire.pack(msgspec.to_builtins(value)).hex()
+    return codec.pack(msgspec.to_builtins(value)).hex()
 
 
 def written() -> dict[str, Any]:
@@ -615,7 +626,8 @@
 def kind_of(value: Any) -> Any:
     """The type to read an example's bytes as."""
     if isinstance(value, list) and value:
-        return list[type(value[0])]  # type: ignore[misc]
+        kinds = dict.fromkeys(type(part) for part in value)
+        return list[functools.reduce(operator.or_, kinds)]  # type: ignore[misc]
     return type(value)
 
 
@@ -649,7 +661,7 @@
 def test_what_is_stored_or_sent_elsewhere_keeps_its_bytes(name: str) -> None:
     example, form = OUTER[name](), pinned()["outer"][name]
     assert outer_form(example) == form
-    assert msgspec.convert(wire.unpack(bytes.fromhex(form)), kind_of(example)) == example
+    assert msgspec.convert(codec.unpack(bytes.fromhex(form)), kind_of(example)) == example
 
 
 @pytest.mark.parametrize("name", CALLS)
@@ -662,17 +674,22 @@
 
 
 def test_reports_are_read_from_their_bytes() -> None:
-    assert wire.parse_report(bytes.fromhex(pinned()["outer"]["report"])) == report()
+    assert (
+        workers_protocol.parse_worker_heartbeat(bytes.fromhex(pinned()["outer"]["report"]))
+        == report()
+    )
 
 
 def test_a_block_is_read_from_its_record() -> None:
-    stored = wire.unpack(bytes.fromhex(pinned()["outer"]["block-record"]))
+    stored = codec.unpack(bytes.fromhex(pinned()["outer"]["block-record"]))
     assert msgspec.convert(stored, control_records.MachineShard) == control_records.MachineShard(
         "rig-1", [machine()], True, 41
     )
 
 
-@pytest.mark.parametrize("module", [messages, standby, sharing, wire])
+@pytest.mark.parametrize(
+    "module", [messages, standby, sharing, codec, jobs_protocol, workers_protocol, cloud_protocol]
+)
 def test_every_kind_of_message_has_an_example(module: Any) -> None:
     examples = [build() for build in [*PEER.values(), *OUTER.values()]]
     shown = {type(part) for part in structs_in(examples)}
--- a/tests/test_gang.py
+++ b/tests/test_gang.py
@@ -4,7 +4,7 @@
 
 from beamspar.jobs.gang import LONGEST_PAUSE, Gang, Phase
 from beamspar.jobs.job import Job
-from beamspar.protocol.wire import JobSpec
+from beamspar.protocol.jobs import JobSpec
 from beamspar.quota import quota_preemption as limit_yield
 from beamspar.state.job_records import Layout
 
@@ -125,7 +125,7 @@
     assert gang.waiting(0.0, 1) == [0, 1, 2, 3]
     for index in range(4):
         gang.take(index)
-        gang.again.append(index)
+        gang.retry_queue.append(index)
     gang.tasks[3].not_before = 5.0
     assert gang.waiting(4.0, 200) == []
     assert sorted(gang.waiting(5.0, 200)) == [0, 1, 2, 3]
--- a/tests/test_limit_use.py
+++ b/tests/test_limit_use.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from beamspar.jobs.job import Job
-from beamspar.protocol.wire import JobSpec
+from beamspar.protocol.jobs import JobSpec
 from beamspar.quota.quota_usage import QuotaUsage
 from beamspar.state.job_records import Layout
 
@@ -50,14 +50,14 @@
 
 def test_both_layouts_count_until_all_chunks_are_written() -> None:
     spec = JobSpec("j-1", "front", "red", "sweep", "normal", 8, 1.0, 0.0, 1.0, "img", 1.0)
-    job = Job(spec, "rig-0.1", Layout(46, first=True), 0.0)
+    job = Job(spec, "rig-0.1", Layout(46, is_first_release=True), 0.0)
     for index in range(8):
         job.take(index)
         job.bind(index, "host-1")
     job.quota_usage.written(0, job.quota_usage.writing(0))
     for index in (0, 1):
         job.unbind(index)
-        job.again.append(index)
+        job.retry_queue.append(index)
     job.relayout(Layout(2))
     assert job.quota_usage.tasks == 8
     for chunk in range(4):
--- a/tests/test_many_tasks.py
+++ b/tests/test_many_tasks.py
@@ -10,8 +10,8 @@
 from beamspar.jobs.assignments import MANY_WANTS, Assignments
 from beamspar.jobs.job import Job
 from beamspar.jobs.placer import Placer
+from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.peer_messages import WANTS_AT_ONCE
-from beamspar.protocol.wire import JobSpec
 from beamspar.state.job_records import Layout
 from tests.standins.world import ZONES, World
 
@@ -49,7 +49,7 @@
                 if action == "done" and rng.random() < 0.2:
                     job.complete(index)
                 else:
-                    job.again.append(index)
+                    job.retry_queue.append(index)
         zones, machines = job.places(lambda machine: machine[-1:])
         assert (job.bound, job.running, machines) == plain_counts(job)
         assert sum(zones.values()) == job.bound
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -9,7 +9,7 @@
 
 from beamspar.cluster.registration import Registration
 from beamspar.jobs.job_controller import JobController
-from beamspar.protocol.wire import JobSpec
+from beamspar.protocol.jobs import JobSpec
 from beamspar.settings import OperatorSettings, Timeouts
 from beamspar.state.client import KeyValue
 from beamspar.state.control_records import JobPartition
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -15,7 +15,7 @@
     strands,
     turn,
 )
-from beamspar.protocol.wire import JobSpec
+from beamspar.protocol.jobs import JobSpec
 
 ZONES = "xyz"
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,6 +13,7 @@
 from beamspar.leader.cloud_client import CloudUnavailableError, MachinePage
 from beamspar.leader.instance_manager import PAGE_RETRIES, InstanceManager
 from beamspar.machines.machine_controller import MachineController
+from beamspar.protocol.cloud import Instance, MachineType
 from beamspar.protocol.peer_messages import (
     PEER_LIMIT,
     VIEWS_AT_ONCE,
@@ -20,7 +21,6 @@
     DesiredStateUpdate,
     encode,
 )
-from beamspar.protocol.wire import Instance, MachineType
 from beamspar.settings import OperatorSettings, Timeouts
 from beamspar.state import keys
 from beamspar.state.control_records import Machine, shard_record
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -9,8 +9,8 @@
 import pytest
 from twisted.internet.defer import ensureDeferred
 
+from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.peer_messages import CapacityRequest
-from beamspar.protocol.wire import JobSpec
 from beamspar.standby.decisions import MachinesUp
 from beamspar.standby.messages import (
     HandOverReply,
