--- a/src/beamspar/sharing/command.py
+++ b/src/beamspar/sharing/command.py
@@ -106,7 +106,7 @@
 
 
 @main.command()
-@click.argument("block")
+@click.argument("shard", metavar="BLOCK")
 @click.option("--to", required=True, help="The controller that shall hold the block.")
 @click.pass_obj
 def move(settings: Settings, shard: str, to: str) -> None:
