--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -133,7 +133,7 @@
         jobs = [j for j in jobs if world.machines_of(j) and j not in world.checker.told]
         assert len(jobs) >= step.get("at_least", 1), (step, jobs)
         world.cancel_now(jobs, step.get("hang_s", 0.0))
-    elif do == "polls-within-milliseconds":
+    elif do == "close-looks":
         world.looking = (world.clock.seconds() + step["for_s"], step.get("cancel", 0.0))
     elif do == "cancel-at-end":
         world.ending = (world.clock.seconds() + step["for_s"], step["share"])
