--- a/src/beamspar/jobs/assignments.py
+++ b/src/beamspar/jobs/assignments.py
@@ -1,14 +1,21 @@
-"""What is bound to each machine, and telling the machines' holders what is wanted there."""
+"""What is bound to each machine, and telling the machines' controllers what is desired there."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Protocol
 
+import msgspec
 from twisted.internet.defer import Deferred
 
 from beamspar.cluster.registration import Registration
-from beamspar.jobs.gang import Phase
+from beamspar.jobs.desired_state import (
+    AssignedTask,
+    TaskKey,
+    desired_action,
+    desired_attempt,
+    split_by_size,
+)
 from beamspar.jobs.job import Job, Task
 from beamspar.protocol.peer_messages import (
     WANTS_AT_ONCE,
@@ -18,29 +25,50 @@
     DesiredStateUpdate,
 )
 from beamspar.settings import Timeouts
-from beamspar.state.job_records import JobStatus
 from beamspar.transport.http import Clock, sleep, spawn
 
-# From so many wants in one telling on, the next one waits in proportion to them.
-MANY_WANTS = 200
+# Attempts in one publication: after so many, the next one waits in proportion to them.
+LARGE_PUBLICATION_ATTEMPTS = 200
+# A machine that has not confirmed a clear for so many worker leases is not asked again.
+CLEAR_EXPIRY_WORKER_LEASES = 3
+
+SendUpdates = Callable[[str, list[DesiredStateUpdate]], Deferred[list[AttemptStatus] | None]]
 
 
 class JobStore(Protocol):
-    """Whose tasks these are, and who is told what holders answer."""
+    """Whose tasks these are, and who is told what machine controllers answer."""
 
     jobs: dict[str, Job]
     partitions: set[str]
     loaded: set[str]
 
     def statuses(self, statuses: list[AttemptStatus]) -> None:
-        """Take in what holders tell of our attempts."""
+        """Take in what machine controllers report of our attempts."""
 
     def may_start(self, job: Job) -> bool:
-        """Is what is bound of the job's team within its share?"""
+        """Is what is bound of the job's team within its quota allocation?"""
+
+
+class AttemptKey(msgspec.Struct, frozen=True):
+    """Names one attempt of a task."""
+
+    task_name: str
+    attempt: int
+
+
+class PendingClear(msgspec.Struct, frozen=True):
+    """An attempt that is over, and that its machine may forget."""
+
+    partition: str
+    since: float
 
 
 class Assignments:
-    """Owns the index of tasks by machine and the messages to holders."""
+    """Owns the index of tasks by machine and the messages to machine controllers.
+
+    Members are told of the machines of which they are the controller: at once what has changed,
+    and all of it now and then, which repairs what was lost.
+    """
 
     def __init__(
         self, clock: Clock, registration: Registration, timeouts: Timeouts, job_store: JobStore
@@ -50,246 +78,244 @@
         self.mirror = registration.mirror
         self.timeouts = timeouts
         self.job_store = job_store
-        # What is bound to each machine, and what of it was over and waits for its clear.
-        self.on: dict[str, dict[tuple[str, int], tuple[Job, Task]]] = {}
-        self.clears: dict[str, dict[tuple[str, int], tuple[str, float]]] = {}
-        # Bound, but its holder was not told yet: its room is not off the picture.
-        self.unacknowledged: dict[tuple[str, int], tuple[Job, Task]] = {}
-        self.seq = 0
-        # How many wants were told so far.
-        self.wants_told = 0
-        # Per holder: the machines whose wants changed, and when all was said last.
-        self.due: dict[str, set[str]] = {}
-        self.syncing: set[str] = set()
-        self.sync_called = False
-        self.told_all: dict[str, float] = {}
-        self.send: (
-            Callable[[str, list[DesiredStateUpdate]], Deferred[list[AttemptStatus] | None]] | None
-        ) = None
-
-    def place_on(self, machine: str, job: Job, index: int, task: Task) -> None:
-        """The job's task is bound to the machine now."""
-        self.on.setdefault(machine, {})[(job.id, index)] = (job, task)
-        self.touch(machine)
-
-    def take_off(self, machine: str, job: Job, index: int) -> None:
+        # What is bound to each machine, and what of it is over and waits to be cleared there.
+        self.by_machine: dict[str, dict[TaskKey, AssignedTask]] = {}
+        self.pending_clears: dict[str, dict[AttemptKey, PendingClear]] = {}
+        # Bound, but not published yet: its capacity still shows as free at its machine.
+        self.unpublished: dict[TaskKey, AssignedTask] = {}
+        self.sequence = 0
+        # How many desired attempts were sent so far.
+        self.attempts_sent = 0
+        # Per member: the machines whose desired state changed, and when all was sent last.
+        self.changed_machines: dict[str, set[str]] = {}
+        self.fully_published_at: dict[str, float] = {}
+        self.publishing_to: set[str] = set()
+        self.is_publish_scheduled = False
+        # Answers the states of attempts; None when the updates or their answer were lost.
+        self.send: SendUpdates | None = None
+
+    # -- the index
+
+    def assign(self, machine: str, job: Job, index: int, task: Task) -> None:
+        """The job's task is bound to the machine, as its record says."""
+        self.by_machine.setdefault(machine, {})[TaskKey(job.id, index)] = AssignedTask(job, task)
+        self.mark_changed(machine)
+
+    def assign_new(self, machine: str, job: Job, index: int, task: Task) -> None:
+        """The job's task is bound to the machine now; no record and no member has it yet."""
+        key, assigned = TaskKey(job.id, index), AssignedTask(job, task)
+        self.by_machine.setdefault(machine, {})[key] = assigned
+        self.mark_changed(machine)
+        self.unpublished[key] = assigned
+
+    def unassign(self, machine: str, job: Job, index: int) -> None:
         """The job's task is bound to the machine no more."""
-        key = (job.id, index)
+        key = TaskKey(job.id, index)
         # The same job may be in memory twice while it arrives and is read back.
-        if key in self.unacknowledged and self.unacknowledged[key][0] is job:
-            del self.unacknowledged[key]
-        there = self.on.get(machine, {})
-        if key in there and there[key][0] is job:
-            del there[key]
-            if not there:
-                del self.on[machine]
-            self.touch(machine)
-
-    def touch(self, machine: str) -> None:
-        """Its holder should hear what is wanted there now, this turn's changes together."""
-        held = self.mirror.holder_of(machine)
-        if held is not None:
-            self.due.setdefault(held[0], set()).add(machine)
-            if not self.sync_called:
-                self.sync_called = True
-                self.clock.callLater(0, self.sync)
-
-    def sync(self) -> None:
-        """Tell the holders what changed, and now and then all, which mends what was lost."""
-        self.sync_called = False
+        if key in self.unpublished and self.unpublished[key].job is job:
+            del self.unpublished[key]
+        assigned = self.by_machine.get(machine, {})
+        if key in assigned and assigned[key].job is job:
+            del assigned[key]
+            if not assigned:
+                del self.by_machine[machine]
+            self.mark_changed(machine)
+
+    def on_machine(self, machine: str) -> list[tuple[TaskKey, AssignedTask]]:
+        """What is bound to the machine now."""
+        return list(self.by_machine.get(machine, {}).items())
+
+    def without_controller(self) -> list[str]:
+        """Machines with tasks of ours that are in no shard."""
+        return [name for name in self.by_machine if self.mirror.holder_of(name) is None]
+
+    # -- attempts that are over
+
+    def clear(self, job: Job, machine: str, task_name: str, attempt: int) -> None:
+        """An attempt is over: the machine may forget it once that is stored."""
+        clears = self.pending_clears.setdefault(machine, {})
+        clears[AttemptKey(task_name, attempt)] = PendingClear(job.partition, self.clock.seconds())
+        job.clearing.add(machine)
+
+    def cleared(self, status: AttemptStatus) -> bool:
+        """Was the attempt waiting to be cleared? Then that is done."""
+        clears = self.pending_clears.get(status.machine)
+        if not clears or clears.pop(AttemptKey(status.task, status.attempt), None) is None:
+            return False
+        if not clears:
+            del self.pending_clears[status.machine]
+        self.mark_changed(status.machine)
+        return True
+
+    # -- publishing
+
+    def mark_changed(self, machine: str) -> None:
+        """Tell the machine's controller what is desired there, this turn's changes together."""
+        controller = self.mirror.holder_of(machine)
+        if controller is not None:
+            self.changed_machines.setdefault(controller[0], set()).add(machine)
+            if not self.is_publish_scheduled:
+                self.is_publish_scheduled = True
+                self.clock.callLater(0, self.publish)
+
+    def shard_changed(self, machine: str) -> None:
+        """The machine's shard has changed: its controller is told what we have there."""
+        if machine in self.by_machine or machine in self.pending_clears:
+            self.mark_changed(machine)
+
+    def publish_all(self) -> None:
+        """Tell every member all that is desired."""
+        self.fully_published_at.clear()
+        self.publish()
+
+    def publish(self) -> None:
+        """Tell the members what changed, and now and then all, which repairs what was lost."""
+        self.is_publish_scheduled = False
         if not self.registration.lease_is_valid() or self.send is None or not self.job_store.loaded:
             return
         now = self.clock.seconds()
-        for holder in {shard.holder for shard in self.mirror.shards.values()}:
-            full = now - self.told_all.get(holder, -1e9) >= self.timeouts.resync
-            if holder not in self.syncing and (full or self.due.get(holder)):
-                self.syncing.add(holder)
-                spawn(self._sync(holder, full), f"telling {holder}")
-
-    async def _sync(self, holder: str, full: bool) -> None:
-        machines = self.due.pop(holder, set())
+        for member in {shard.holder for shard in self.mirror.shards.values()}:
+            full = now - self.fully_published_at.get(member, -1e9) >= self.timeouts.resync
+            if member not in self.publishing_to and (full or self.changed_machines.get(member)):
+                self.publishing_to.add(member)
+                spawn(self._publish_to(member, full), f"desired state for {member}")
+
+    async def _publish_to(self, member: str, full: bool) -> None:
+        machines = self.changed_machines.pop(member, set())
         if full:
-            self.told_all[holder] = self.clock.seconds()
-        heard = False
-        desired_attempts = self.wants_told
+            self.fully_published_at[member] = self.clock.seconds()
+        is_acknowledged = False
+        sent_before = self.attempts_sent
         try:
-            for part in self._parts(holder, None if full else machines):
-                heard = await self._tell(holder, part)
-                if not heard:
+            for part in self._split(member, None if full else machines):
+                is_acknowledged = await self._send_part(member, part)
+                if not is_acknowledged:
                     break
-            # Machines with hundreds of short tasks change all the time, and each change tells
-            # all that is wanted there: what comes meanwhile is told together.
-            told = self.wants_told - desired_attempts
-            if told >= MANY_WANTS:
-                await sleep(self.clock, self.timeouts.heartbeat * min(told / WANTS_AT_ONCE, 1.0))
+            # Machines with hundreds of short tasks change all the time, and each change sends
+            # all that is desired there: what comes meanwhile is sent together.
+            sent = self.attempts_sent - sent_before
+            if sent >= LARGE_PUBLICATION_ATTEMPTS:
+                await sleep(self.clock, self.timeouts.heartbeat * min(sent / WANTS_AT_ONCE, 1.0))
         finally:
-            self.syncing.discard(holder)
-            if not heard:
-                # Lost, or its answer was: said again with the next heartbeat.
-                self.due.setdefault(holder, set()).update(machines)
+            self.publishing_to.discard(member)
+            if not is_acknowledged:
+                # Lost, or its answer was: sent again with the next heartbeat.
+                self.changed_machines.setdefault(member, set()).update(machines)
                 if full:
-                    self.told_all.pop(holder, None)
-        if heard and self.due.get(holder):
-            self.sync()
-
-    async def _tell(self, holder: str, machines: set[str] | None) -> bool:
-        """Send what is wanted on these machines, and take in the answer; False when it is lost."""
-        assert self.send is not None
-        messages = self._wants(holder, machines)
-        answers = await self.send(holder, messages) if messages else []
-        if answers:
-            self.job_store.statuses(answers)
-        return answers is not None
-
-    def _parts(
-        self, holder: str, machines: set[str] | None, most: int = WANTS_AT_ONCE
+                    self.fully_published_at.pop(member, None)
+        if is_acknowledged and self.changed_machines.get(member):
+            self.publish()
+
+    def _split(
+        self, member: str, machines: set[str] | None, max_attempts: int = WANTS_AT_ONCE
     ) -> list[set[str] | None]:
-        """The machines to speak of, cut so that each part's wants fit into one message.
+        """The machines to send, cut so that each part's attempts fit into one message.
 
-        None stands for all machines. All wants on the fleet of one holder were one message, and
-        one beyond the limit was refused and repeated for ever.
+        None stands for all machines. All of one member's machines were one message, and one
+        beyond the limit was refused and repeated for ever.
         """
-        names = {*self.on, *self.clears} if machines is None else machines
-        weights = {n: len(self.on.get(n, ())) + len(self.clears.get(n, ())) for n in names}
-        if sum(weights.values()) <= most:
+        names = {*self.by_machine, *self.pending_clears} if machines is None else machines
+        sizes = {
+            name: len(self.by_machine.get(name, ())) + len(self.pending_clears.get(name, ()))
+            for name in names
+        }
+        if sum(sizes.values()) <= max_attempts:
             return [machines]
         if machines is None:
-            # Also machines on which nothing is wanted any more.
-            shards = self.mirror.shards.values()
-            names = names | {m.name for b in shards if b.holder == holder for m in b.machines}
-        parts: list[set[str] | None] = []
-        part: set[str] = set()
-        size = 0
-        for name in sorted(names):
-            size += weights.get(name, 0)
-            if part and size > most:
-                parts.append(part)
-                part, size = set(), weights.get(name, 0)
-            part.add(name)
-        parts.append(part)
-        return parts
-
-    def _wants(self, holder: str, machines: set[str] | None) -> list[DesiredStateUpdate]:
-        """Per partition all that we want on these machines, or (None) on all of the holder's."""
-        # An empty list of a partition whose jobs are still being read would tell the holder
-        # that none of its tasks is wanted, and it would stop them all.
-        desired_attempts: dict[str, list[DesiredAttempt]] = {
-            f: [] for f in sorted(self.job_store.partitions & self.job_store.loaded)
+            # Also machines on which nothing is desired any more.
+            shards = [shard for shard in self.mirror.shards.values() if shard.holder == member]
+            names = names | {machine.name for shard in shards for machine in shard.machines}
+        return split_by_size(names, sizes, max_attempts)
+
+    async def _send_part(self, member: str, machines: set[str] | None) -> bool:
+        """Send the desired state of these machines, and take in the answer.
+
+        False when the update or its answer is lost.
+        """
+        if self.send is None:
+            return False
+        updates = self._updates(member, machines)
+        statuses = await self.send(member, updates) if updates else []
+        if statuses:
+            self.job_store.statuses(statuses)
+        return statuses is not None
+
+    # -- the messages
+
+    def _updates(self, member: str, machines: set[str] | None) -> list[DesiredStateUpdate]:
+        """Per partition the desired state of these machines, or (None) of all of the member's."""
+        # An empty list of a partition whose jobs are still being read would tell the member
+        # that none of its tasks is desired, and it would stop them all.
+        desired: dict[str, list[DesiredAttempt]] = {
+            partition: [] for partition in sorted(self.job_store.partitions & self.job_store.loaded)
         }
-        names = set(machines) if machines is not None else {*self.on, *self.clears}
+        names = set(machines) if machines is not None else {*self.by_machine, *self.pending_clears}
+        now = self.clock.seconds()
         for name in names:
-            held = self.mirror.holder_of(name)
-            if held is None:
-                self.clears.pop(name, None)
-            elif held[0] == holder:
-                self._wants_on(name, held[1], desired_attempts)
-        self.seq += 1
+            controller = self.mirror.holder_of(name)
+            if controller is None:
+                self.pending_clears.pop(name, None)
+            elif controller[0] == member:
+                self._add_assigned(name, controller[1], now, desired)
+                self._add_clears(name, controller[1], now, desired)
+        self.sequence += 1
+        return self._as_messages(desired, None if machines is None else sorted(machines))
+
+    def _as_messages(
+        self, desired: dict[str, list[DesiredAttempt]], machines: list[str] | None
+    ) -> list[DesiredStateUpdate]:
         messages = []
-        for partition, listed in desired_attempts.items():
+        for partition, attempts in desired.items():
             record = self.mirror.partitions.get(partition)
             if record:
-                self.wants_told += len(listed)
-                part = None if machines is None else sorted(machines)
+                self.attempts_sent += len(attempts)
                 messages.append(
                     DesiredStateUpdate(
-                        self.registration.me,
-                        partition,
-                        record.version,
-                        self.registration.incarnation,
-                        self.seq,
-                        listed,
-                        part,
+                        owner=self.registration.me,
+                        partition=partition,
+                        version=record.version,
+                        incarnation=self.registration.incarnation,
+                        sequence=self.sequence,
+                        desired_attempts=attempts,
+                        machines=machines,
                     )
                 )
         return messages
 
-    def _wants_on(
-        self, machine: str, number: int, desired_attempts: dict[str, list[DesiredAttempt]]
+    def _add_assigned(
+        self, machine: str, fencing_token: int, now: float, desired: dict[str, list[DesiredAttempt]]
     ) -> None:
-        for (job_id, index), (job, task) in self.on.get(machine, {}).items():
-            spec = job.spec
-            if job.partition not in desired_attempts:
+        """Add what is bound to the machine to the lists by partition."""
+        may_start = self.job_store.may_start
+        for key, assigned in self.by_machine.get(machine, {}).items():
+            job, task = assigned.job, assigned.task
+            attempts = desired.get(job.partition)
+            if attempts is None:
                 continue
-            task.fencing_token = number
-            self.unacknowledged.pop((job_id, index), None)
-            if not task.stored:
-                # The room is spoken for at once: while the record was on its way, others
-                # used to take it, and the start was refused.
-                action = DesiredAction.HOLD
-            elif (
-                job.status != JobStatus.LIVE
-                or task.preempted_for_quota
-                or (spec.is_gang and job.phase(self.clock.seconds()) is Phase.STOPPING)
-            ):
-                action = DesiredAction.STOP
-            elif not self.job_store.may_start(job):
-                # What runs goes on, what does not is not started.
-                action = DesiredAction.HOLD
-            else:
-                action = DesiredAction.RUN
-            desired_attempts[job.partition].append(
-                DesiredAttempt(
-                    machine,
-                    number,
-                    f"{job_id}/{index}",
-                    task.attempt,
-                    action,
-                    spec.cpus,
-                    spec.gpus,
-                    spec.memory_gb,
-                    spec.image,
-                    spec.image_gb,
-                    spec.rank,
-                    spec.checkpoint_s > 0 and not (spec.is_gang and job.gang.broken),
-                    spec.save_s,
-                    task.preempt,
-                    spec.is_gang,
-                    job.backoff.to_blame,
-                )
-            )
-        clears = self.clears.get(machine, {})
-        for (name, attempt), (partition, since) in list(clears.items()):
-            if self.clock.seconds() - since > self.timeouts.worker_lease * 3:
-                del clears[(name, attempt)]
-            elif partition in desired_attempts and self._clearable(name):
-                desired_attempts[partition].append(
-                    DesiredAttempt(machine, number, name, attempt, DesiredAction.CLEAR)
+            task.fencing_token = fencing_token
+            self.unpublished.pop(key, None)
+            action = desired_action(job, task, now, may_start)
+            attempts.append(desired_attempt(machine, fencing_token, key.name, assigned, action))
+
+    def _add_clears(
+        self, machine: str, fencing_token: int, now: float, desired: dict[str, list[DesiredAttempt]]
+    ) -> None:
+        """Add what the machine may forget, and drop what it has not confirmed for too long."""
+        clears = self.pending_clears.get(machine, {})
+        for key, clear in list(clears.items()):
+            if now - clear.since > self.timeouts.worker_lease * CLEAR_EXPIRY_WORKER_LEASES:
+                del clears[key]
+            elif clear.partition in desired and self._is_end_stored(key.task_name):
+                desired[clear.partition].append(
+                    DesiredAttempt(
+                        machine, fencing_token, key.task_name, key.attempt, DesiredAction.CLEAR
+                    )
                 )
 
-    def _clearable(self, name: str) -> bool:
-        """Only what is stored may be cleared from a machine's memory."""
-        job_id, _, index = name.partition("/")
+    def _is_end_stored(self, task_name: str) -> bool:
+        """Is the end of the task's attempt stored? Only then may its machine forget it."""
+        job_id, _, index = task_name.partition("/")
         job = self.job_store.jobs.get(job_id)
         return job is None or (
             not job.writing and int(index) // job.tasks_per_chunk not in job.dirty
         )
-
-    def moved(self, machine: str) -> None:
-        """The machine's block has changed: its holder is told what we have there."""
-        if machine in self.on or machine in self.clears:
-            self.touch(machine)
-
-    def repeat_all(self) -> None:
-        """Tell every holder all that is wanted."""
-        self.told_all.clear()
-        self.sync()
-
-    def clear(self, job: Job, machine: str, task: str, attempt: int) -> None:
-        """An attempt is over: the machine may forget it once that is stored."""
-        clears = self.clears.setdefault(machine, {})
-        clears[(task, attempt)] = (job.partition, self.clock.seconds())
-        job.clearing.add(machine)
-
-    def cleared(self, status: AttemptStatus) -> bool:
-        """Was the attempt waiting for its clear? Then that is done."""
-        clears = self.clears.get(status.machine)
-        if not clears or clears.pop((status.task, status.attempt), None) is None:
-            return False
-        if not clears:
-            del self.clears[status.machine]
-        self.touch(status.machine)
-        return True
-
-    def without_holder(self) -> list[str]:
-        """Machines with tasks of ours whose block is gone."""
-        return [machine for machine in self.on if self.mirror.holder_of(machine) is None]
--- /dev/null
+++ b/src/beamspar/jobs/empty_partitions.py
@@ -0,0 +1,89 @@
+"""Deletes the records of partitions whose jobs are all over.
+
+Nothing can be accepted into a partition of one of our earlier incarnations, which are fenced
+out. Left, there would be one more with every restart, in all that lists partitions.
+"""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from twisted.logger import Logger
+
+from beamspar.cluster.registration import Registration
+from beamspar.jobs.job import Job
+from beamspar.quota.quota_manager import QuotaManager
+from beamspar.settings import Timeouts
+from beamspar.state import keys
+from beamspar.state.client import (
+    ConflictError,
+    LeaseExpiredError,
+    RequestPriority,
+    StateClient,
+    StateUnavailableError,
+    drop,
+)
+from beamspar.transport.http import Clock, sleep, spawn
+
+log = Logger(namespace="owner")
+
+
+class JobStore(Protocol):
+    """The jobs of our partitions."""
+
+    jobs: dict[str, Job]
+    loaded: set[str]
+
+    @property
+    def doubtful(self) -> dict[str, list[Job]]:
+        """Accepts whose outcome is indeterminate."""
+
+
+class EmptyPartitions:
+    """Owns the deletion that is under way, one at a time."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        registration: Registration,
+        state: StateClient,
+        timeouts: Timeouts,
+        job_store: JobStore,
+    ) -> None:
+        self.clock = clock
+        self.registration = registration
+        self.mirror = registration.mirror
+        self.state = state
+        self.timeouts = timeouts
+        self.job_store = job_store
+        self.is_deleting = False
+
+    def delete_one(self, quota_manager: QuotaManager) -> None:
+        """Begin to delete one partition that is of no use any more, if there is one."""
+        if self.is_deleting:
+            return
+        job_store = self.job_store
+        indeterminate = [job for jobs in job_store.doubtful.values() for job in jobs]
+        in_use = {job.partition for job in (*job_store.jobs.values(), *indeterminate)}
+        for partition in sorted(job_store.loaded - in_use - {self.registration.partition}):
+            if partition in self.mirror.partitions and quota_manager.holds_none(partition):
+                self.is_deleting = True
+                spawn(self._delete(partition), "deleting a partition")
+                return
+
+    async def _delete(self, partition: str) -> None:
+        try:
+            conditions = {
+                **self.registration.fence_condition(),
+                **self.mirror.partition_condition(partition),
+            }
+            await self.state.transact(
+                conditions, [drop(keys.partition(partition))], RequestPriority.BACKGROUND
+            )
+            log.info("partition {partition} is empty: deleted", partition=partition)
+        except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
+            log.info(
+                "deleting partition {partition} waits: {error}", partition=partition, error=error
+            )
+        await sleep(self.clock, self.timeouts.resync)
+        self.is_deleting = False
--- /dev/null
+++ b/src/beamspar/jobs/quota_stops.py
@@ -0,0 +1,116 @@
+"""Stops bound work for its team's quota: preemption, and what exceeds an allocation.
+
+Which work that is, `quota.quota_preemption` decides. Here it is marked, and the machine
+controllers are told.
+"""
+
+from __future__ import annotations
+
+import functools
+from typing import NamedTuple, Protocol
+
+from twisted.logger import Logger
+
+from beamspar.jobs.job import Job
+from beamspar.protocol.jobs import PRIORITIES
+from beamspar.quota import quota_preemption
+from beamspar.quota.quota_manager import QuotaManager
+from beamspar.quota.quota_preemption import PreemptionUnit
+from beamspar.settings import Timeouts
+
+log = Logger(namespace="owner")
+
+
+class AllocationKey(NamedTuple):
+    """Names the part of a team's quota that a partition has."""
+
+    partition: str
+    team: str
+
+
+class JobStore(Protocol):
+    """The jobs, where they run, and who is told of a stop."""
+
+    jobs: dict[str, Job]
+    loaded: set[str]
+    spot_machines: set[str]
+
+    def touch(self, machine: str) -> None:
+        """Tell the machine's controller what is desired there."""
+
+
+class QuotaStops:
+    """Owns when teams' quotas are looked at, and how long allocations have been exceeded."""
+
+    def __init__(self, timeouts: Timeouts, job_store: JobStore) -> None:
+        self.timeouts = timeouts
+        self.job_store = job_store
+        self.last_run_at = -1e9
+        # Allocations that what is bound exceeds, and since when.
+        self.exceeded_since: dict[AllocationKey, float] = {}
+
+    def run_if_due(self, quota_manager: QuotaManager, now: float) -> None:
+        """Look at all teams, once in each report interval."""
+        if now - self.last_run_at >= self.timeouts.report:
+            self.last_run_at = now
+            self._preempt(quota_manager)
+            self._stop_excess(quota_manager, now)
+
+    def _preempt(self, quota_manager: QuotaManager) -> None:
+        """Higher work waits at its team's quota: lower work of the team makes room there.
+
+        Without this a large array that came first kept a team's critical services waiting
+        until it was done.
+        """
+        for team in sorted(quota_manager.teams):
+            if not any(quota_manager.amount_to_preempt(team, len(PRIORITIES))):
+                continue
+            jobs = [job for job in self.job_store.jobs.values() if job.spec.team == team]
+            lacking = functools.partial(_amount_lacking, quota_manager, team, jobs)
+            for unit in quota_preemption.choose(jobs, self.job_store.spot_machines, lacking):
+                self._stop(unit, f"is preempted: higher work of {team} waits for quota")
+
+    def _stop_excess(self, quota_manager: QuotaManager, now: float) -> None:
+        """Stop what is bound beyond an allocation and does not run.
+
+        Nothing of it is started before it is covered, and that may never be. What does run
+        goes on: by now every machine controller has had the time to report it.
+        """
+        allocations = [
+            AllocationKey(partition, team)
+            for partition in sorted(self.job_store.loaded)
+            for team in sorted(quota_manager.teams)
+        ]
+        for key in allocations:
+            excess = quota_manager.excess(*key)
+            if not any(excess):
+                self.exceeded_since.pop(key, None)
+            elif now - self.exceeded_since.setdefault(key, now) > self.timeouts.unstarted:
+                jobs = [
+                    job
+                    for job in self.job_store.jobs.values()
+                    if (job.partition, job.spec.team) == key
+                ]
+                spot = self.job_store.spot_machines
+                for unit in quota_preemption.choose_unstarted(jobs, spot, excess):
+                    self._stop(unit, f"is unbound: exceeds the quota allocation of {key.team}")
+
+    def _stop(self, unit: PreemptionUnit, why: str) -> None:
+        for index, task in unit.tasks:
+            if not task.preempted_for_quota and task.machine is not None:
+                task.preempted_for_quota = True
+                self.job_store.touch(task.machine)
+                log.info("{job}/{index} {why}", job=unit.job.id, index=index, why=why)
+
+
+def _amount_lacking(
+    quota_manager: QuotaManager, team: str, jobs: list[Job], rank: int
+) -> tuple[float, float]:
+    """CPUs and GPUs that work of this rank should free, less what is over and about to be
+    stored so."""
+    cpus, gpus = quota_manager.amount_to_preempt(team, rank)
+    for job in jobs:
+        released = job.quota_usage.tasks - job.bound
+        cpus -= released * job.spec.cpus
+        gpus -= released * job.spec.gpus
+    return max(cpus, 0.0), max(gpus, 0.0)
--- /dev/null
+++ b/src/beamspar/jobs/task_binder.py
@@ -0,0 +1,78 @@
+"""Binds waiting tasks to machines, in memory, as far as their team's quota covers them."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from twisted.logger import Logger
+
+from beamspar.jobs.assignments import Assignments
+from beamspar.jobs.job import Job
+from beamspar.jobs.placement_round import OfferedPlace
+from beamspar.quota.quota_manager import QuotaManager
+
+log = Logger(namespace="owner")
+
+
+class JobStore(Protocol):
+    """Where it is known what is bound, and what each team may use."""
+
+    assignments: Assignments
+    quota_manager: QuotaManager | None
+
+
+class TaskBinder:
+    """Binds tasks; a bound task is started only after its job's record is stored."""
+
+    def __init__(self, job_store: JobStore) -> None:
+        self.job_store = job_store
+
+    def is_covered(self, job: Job, indexes: list[int], whole: bool = False) -> bool:
+        """Is there quota for the first of these tasks, or for all? Else it is asked for."""
+        quota_manager = self.job_store.quota_manager
+        return quota_manager is None or quota_manager.covers(job, indexes, whole)
+
+    def bind_group(self, job: Job, indexes: list[int], places: list[OfferedPlace]) -> None:
+        """Bind all of these tasks, or none if there are too few places or too little quota."""
+        if len(places) < len(indexes) or not self._reserve_quota(job, indexes):
+            return
+        for index, place in zip(indexes, places, strict=False):
+            self._bind(job, index, place.machine, place.preempt)
+
+    def bind_if_covered(self, job: Job, index: int, machine: str, preempt: bool) -> bool:
+        """Bind a waiting task if the team's quota covers it."""
+        if not self._reserve_quota(job, [index]):
+            return False
+        self._bind(job, index, machine, preempt)
+        return True
+
+    def _reserve_quota(self, job: Job, indexes: list[int]) -> bool:
+        quota_manager = self.job_store.quota_manager
+        return quota_manager is None or quota_manager.reserve(job, indexes)
+
+    def _bind(self, job: Job, index: int, machine: str, preempt: bool) -> None:
+        """Bind a waiting task; the start waits until this is stored."""
+        gang_attempt = job.next_attempt if job.spec.is_gang else None
+        if job.spec.is_gang and not job.bound:
+            job.gang.begin()
+        task = job.take(index)
+        task.attempt = gang_attempt or task.attempt + 1
+        job.bind(index, machine)
+        if self.job_store.quota_manager is not None:
+            # Also for a job that is being accepted, and not among ours yet.
+            self.job_store.quota_manager.recount(job)
+        task.stored = False
+        task.fencing_token = 0
+        task.preempt = preempt
+        task.preempted_for_quota = False
+        job.dirty.add(index // job.tasks_per_chunk)
+        if job.spec.is_gang and job.bound + job.done_count == job.spec.tasks:
+            job.gang.completed()
+        self.job_store.assignments.assign_new(machine, job, index, task)
+        log.info(
+            "{job}/{index} attempt {attempt} is bound to {machine}",
+            job=job.id,
+            index=index,
+            attempt=task.attempt,
+            machine=machine,
+        )
--- a/tests/test_many_tasks.py
+++ b/tests/test_many_tasks.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from beamspar.jobs.assignments import MANY_WANTS, Assignments
+from beamspar.jobs.assignments import LARGE_PUBLICATION_ATTEMPTS, Assignments
 from beamspar.jobs.job import Job
 from beamspar.jobs.placer import Placer
 from beamspar.protocol.jobs import JobSpec
@@ -72,7 +72,7 @@
         patch.setattr(kind, method, call)
 
     with pytest.MonkeyPatch.context() as patch:
-        counted(Placer, "_pump", "rounds")
+        counted(Placer, "_run_round", "rounds")
         world = World(
             4,
             machines=[{"kind": "small", "zone": zone, "count": 8} for zone in ZONES],
@@ -132,16 +132,16 @@
 def test_a_large_message_to_a_holder_is_followed_by_a_pause() -> None:
     """What changes on machines with hundreds of tasks is told together."""
     told: list[tuple[tuple[int, str], float, int]] = []
-    tell = Assignments._tell
+    tell = Assignments._send_part
 
     async def counted(self: Assignments, holder: str, machines: set[str] | None) -> bool:
-        before = self.wants_told
+        before = self.attempts_sent
         heard = await tell(self, holder, machines)
-        told.append(((id(self), holder), self.clock.seconds(), self.wants_told - before))
+        told.append(((id(self), holder), self.clock.seconds(), self.attempts_sent - before))
         return heard
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Assignments, "_tell", counted)
+        patch.setattr(Assignments, "_send_part", counted)
         world = World(
             4,
             machines=[{"kind": "big", "zone": "east", "count": 4}],
@@ -152,7 +152,7 @@
             8.0, lambda: world.submit("j-0", parcels=1500, run_s=3.0, standby=True, **shape)
         )
         world.run(40.0)
-    large = [entry for entry in told if entry[2] >= MANY_WANTS]
+    large = [entry for entry in told if entry[2] >= LARGE_PUBLICATION_ATTEMPTS]
     assert len(large) > 10
     for pair, at, desired_attempts in large:
         following = [later for other, later, _ in told if other == pair and later > at]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -108,13 +108,13 @@
         there: dict[tuple[str, int], Any] = {}
         for index in range(TASKS_EACH):
             there[(f"j-{name}", index)] = (None, Task())
-        assignments.on[name] = there
+        assignments.by_machine[name] = there
     return registration, assignments
 
 
 def test_all_wants_of_a_large_fleet_are_cut_by_machines() -> None:
     registration, assignments = spoken_for(LARGEST_FLEET)
-    parts = assignments._parts(registration.me, None)
+    parts = assignments._split(registration.me, None)
     assert len(parts) > 1 and None not in parts
     names = [name for part in parts for name in part or ()]
     assert sorted(names) == sorted(registration.mirror.shard_of)
@@ -135,16 +135,16 @@
 def test_a_machine_without_wants_is_named_in_a_part() -> None:
     """What was wanted there before would stay wanted at its holder."""
     registration, assignments = spoken_for(20)
-    del assignments.on["host-000007"]
-    parts = assignments._parts(registration.me, None, most=40)
+    del assignments.by_machine["host-000007"]
+    parts = assignments._split(registration.me, None, max_attempts=40)
     assert len(parts) == 4
     assert "host-000007" in set().union(*(part or set() for part in parts))
 
 
 def test_what_fits_is_told_at_once() -> None:
     registration, assignments = spoken_for(20)
-    assert assignments._parts(registration.me, None) == [None]
-    assert assignments._parts(registration.me, {"host-000001"}) == [{"host-000001"}]
+    assert assignments._split(registration.me, None) == [None]
+    assert assignments._split(registration.me, {"host-000001"}) == [{"host-000001"}]
 
 
 @pytest.mark.parametrize("lost", [0, 1, 2])
@@ -157,15 +157,15 @@
         sent.append(machines)
         return len(sent) <= lost
 
-    assignments._tell = tell  # type: ignore[method-assign]
-    whole = assignments._parts
-    assignments._parts = lambda holder, names: whole(holder, names, 40)  # type: ignore
+    assignments._send_part = tell  # type: ignore[method-assign]
+    whole = assignments._split
+    assignments._split = lambda holder, names: whole(holder, names, 40)  # type: ignore
     due = set(registration.mirror.shard_of)
-    assignments.due[registration.me] = set(due)
-    assignments.syncing.add(registration.me)
-    ensureDeferred(assignments._sync(registration.me, full=False))
+    assignments.changed_machines[registration.me] = set(due)
+    assignments.publishing_to.add(registration.me)
+    ensureDeferred(assignments._publish_to(registration.me, full=False))
     assert len(sent) == lost + 1
-    assert assignments.due[registration.me] == due
+    assert assignments.changed_machines[registration.me] == due
 
 
 class PagedCloud:
