--- a/src/beamspar/jobs/assignments.py
+++ b/src/beamspar/jobs/assignments.py
@@ -91,7 +91,8 @@
         self.fully_published_at: dict[str, float] = {}
         self.publishing_to: set[str] = set()
         self.is_publish_scheduled = False
-        # Answers the states of attempts; None when the updates or their answer were lost.
+        # Set by the node. It answers the states of attempts; None when the updates or their
+        # answer were lost.
         self.send: SendUpdates | None = None
 
     # -- the index
--- a/src/beamspar/jobs/placer.py
+++ b/src/beamspar/jobs/placer.py
@@ -53,15 +53,25 @@
 
 
 class LocalRooms(NamedTuple):
-    """Room on the machines that this controller holds, at one time."""
+    """Room on the machines that this member is the controller of, at one time."""
 
     rooms: list[Room]
-    # Names of the machines that it held as the placing began.
+    # Names of those machines as the placing began: they win among cold ones.
     local: set[str]
 
 
+class UnplacedJob(NamedTuple):
+    """A job with tasks that no warm machine of ours has room for, and its request for more."""
+
+    job: Job
+    request: CapacityRequest
+
+
 class Placer:
-    """Owns the rounds of placing, one at a time."""
+    """Owns the rounds of placing, one at a time.
+
+    Jobs with the highest priority come first, then those that have waited longest.
+    """
 
     def __init__(
         self, clock: Clock, registration: Registration, timeouts: Timeouts, job_store: JobStore
@@ -77,7 +87,8 @@
         self.round_began_at = -1e9
         # How late timers have fired of late: the processor is busy by so much.
         self.late_s = 0.0
-        # Room on machines that this controller holds; what a job prefers; the leader's offers.
+        # Set by the node: room on machines that this member is the controller of; what decides
+        # among machines for a job; the leader's offers, None when its answer is lost.
         self.rooms: Callable[[], list[Room]] = lambda: []
         self.preference: Callable[[JobSpec], Preference] = lambda spec: Preference()
         self.ask: RequestCapacity | None = None
@@ -164,25 +175,25 @@
         rooms = self.rooms()
         local = {room.name for room in rooms}
         self._reserve_unpublished(rooms)
-        requests = self._place_on_warm(jobs, LocalRooms(rooms, local), now)
-        if not requests:
+        unplaced = self._place_on_warm_machines(jobs, LocalRooms(rooms, local), now)
+        if not unplaced:
             return
-        unplaced = [job for job, _ in requests]
-        offers = await self.ask([request for _, request in requests]) if self.ask else None
+        requests = [request for _, request in unplaced]
+        offers = await self.ask(requests) if self.ask else None
         if not self.registration.lease_is_valid():
             return
-        self._bind_offers(unplaced, offers or [], now)
+        self._bind_offers([job for job, _ in unplaced], offers or [], now)
         rooms = self.rooms()
         self._reserve_unpublished(rooms)
         local_rooms = LocalRooms(rooms, local)
-        for job in unplaced:
+        for job, _ in unplaced:
             self._place_locally(job, local_rooms, now, warm_only=False)
 
-    def _place_on_warm(
+    def _place_on_warm_machines(
         self, jobs: list[Job], local_rooms: LocalRooms, now: float
-    ) -> list[tuple[Job, CapacityRequest]]:
-        """Bind on our own warm machines; the leader is asked for what is left and covered."""
-        requests: list[tuple[Job, CapacityRequest]] = []
+    ) -> list[UnplacedJob]:
+        """Bind on our own warm machines; returns what is left and covered by its quota."""
+        unplaced: list[UnplacedJob] = []
         for job in jobs:
             # Our own shards lie in few zones: what is to be spread asks the leader first,
             # who knows the warm machines of all.
@@ -192,8 +203,9 @@
             whole = is_placed_together(job)
             if indexes and self.binder.is_covered(job, indexes, whole):
                 zone_of, avoid = self.job_store.zone_of, self._avoided(job)
-                requests.append((job, capacity_request(job, len(indexes), avoid, zone_of, now)))
-        return requests
+                request = capacity_request(job, len(indexes), avoid, zone_of, now)
+                unplaced.append(UnplacedJob(job, request))
+        return unplaced
 
     def _avoided(self, job: Job) -> set[str]:
         return avoided_machines(job, self.clock.seconds() - self.timeouts.worker_lease)
@@ -224,7 +236,7 @@
             if offered and indexes:
                 self.binder.bind_if_covered(offered, indexes[0], offer.machine, offer.preempt)
 
-    # -- on machines that this controller holds
+    # -- on machines of this member
 
     def _place_locally(
         self, job: Job, local_rooms: LocalRooms, now: float, warm_only: bool
--- a/tests/test_job_controller.py
+++ b/tests/test_job_controller.py
@@ -20,7 +20,7 @@
 SPEC = JobSpec("j-1", "front", "red", "sweep", "normal", 60, 1.0, 0.0, 1.0, "img", 1.0)
 
 
-class Slow:
+class SlowStore:
     """Holds back the tasks of a large job until told."""
 
     def __init__(self) -> None:
@@ -47,66 +47,66 @@
         return self.item
 
 
-def make() -> tuple[JobController, Slow]:
-    clock, slow = SimClock(), Slow()
+def make() -> tuple[JobController, SlowStore]:
+    clock, store = SimClock(), SlowStore()
     timeouts = Timeouts(settings(), OperatorSettings())
-    registration = Registration(clock, slow, settings(), timeouts)  # type: ignore[arg-type]
-    owner = JobController(clock, registration, slow, settings(), timeouts)  # type: ignore[arg-type]
+    registration = Registration(clock, store, settings(), timeouts)  # type: ignore[arg-type]
+    controller = JobController(clock, registration, store, settings(), timeouts)  # type: ignore[arg-type]
     registration.mirror.partitions["rig-1.1"] = JobPartition("rig-0", 3)
-    owner.partitions.add("rig-1.1")
-    return owner, slow
+    controller.partitions.add("rig-1.1")
+    return controller, store
 
 
-def test_a_job_that_ended_while_it_was_read_is_not_taken_up_again() -> None:
-    owner, slow = make()
-    ensureDeferred(owner.load())
-    ensureDeferred(owner.adopt("j-1"))
-    first, second = slow.waiting
+def test_a_job_that_ended_while_it_was_read_is_not_loaded_again() -> None:
+    controller, store = make()
+    ensureDeferred(controller.load())
+    ensureDeferred(controller.adopt("j-1"))
+    first, second = store.waiting
     second.callback(None)
-    owner.forget(owner.jobs["j-1"], ended=True)
+    controller.forget(controller.jobs["j-1"], ended=True)
     first.callback(None)
-    assert "j-1" not in owner.jobs
-    assert not owner.loader.reading and not owner.loader.ended
-
-
-def test_a_withdrawal_stored_after_the_read_is_heeded_as_the_job_is_kept() -> None:
-    owner, slow = make()
-    ensureDeferred(owner.load())
-    owner.registration.mirror.observe_cancellations({"j-1": 20})
-    slow.waiting[0].callback(None)
-    assert owner.jobs["j-1"].status == "withdrawn"
-    assert not owner.jobs["j-1"].waiting(0.0, 1)
-
-
-def test_a_job_read_before_its_partition_is_ours_is_read_again() -> None:
-    """Its former owner may have written it since: bound elsewhere, or done."""
-    owner, slow = make()
-    slow.slow_scans = True
-    ensureDeferred(owner.load())
-    owner.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
-    newer = KeyValue("job/j-1", {**slow.item.value, "t": {"b": [(0, 1, "host-1")]}}, 8)
+    assert "j-1" not in controller.jobs
+    assert not controller.loader.reading and not controller.loader.ended
+
+
+def test_a_cancellation_stored_after_the_read_is_applied_as_the_job_is_loaded() -> None:
+    controller, store = make()
+    ensureDeferred(controller.load())
+    controller.registration.mirror.observe_cancellations({"j-1": 20})
+    store.waiting[0].callback(None)
+    assert controller.jobs["j-1"].status == "withdrawn"
+    assert not controller.jobs["j-1"].waiting(0.0, 1)
+
+
+def test_a_job_read_before_its_partition_was_taken_over_is_read_again() -> None:
+    """Its former controller may have written it since: bound elsewhere, or done."""
+    controller, store = make()
+    store.slow_scans = True
+    ensureDeferred(controller.load())
+    controller.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
+    newer = KeyValue("job/j-1", {**store.item.value, "t": {"b": [(0, 1, "host-1")]}}, 8)
     # Lost and regained while the first reading is under way.
-    owner.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 10)
-    slow.item = newer
-    ensureDeferred(owner.load())
+    controller.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 10)
+    store.item = newer
+    ensureDeferred(controller.load())
     for _ in range(4):
-        for held in slow.waiting[:]:
-            slow.waiting.remove(held)
+        for held in store.waiting[:]:
+            store.waiting.remove(held)
             held.callback(None)
-        if len(slow.waiting) == 1:
-            assert owner.loaded == set(), "only the second reading counts"
-    assert owner.loaded == {"rig-1.1"}
-    assert owner.jobs["j-1"].version == 8
-    assert owner.jobs["j-1"].bound == 1
-
-
-def test_a_partition_that_was_lost_meanwhile_is_not_marked_as_read() -> None:
-    owner, slow = make()
-    slow.slow_scans = True
-    ensureDeferred(owner.load())
-    owner.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
-    owner.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 10)
-    while slow.waiting:
-        slow.waiting.pop().callback(None)
-    assert owner.loaded == set()
-    assert owner.jobs == {}
+        if len(store.waiting) == 1:
+            assert controller.loaded == set(), "only the second reading counts"
+    assert controller.loaded == {"rig-1.1"}
+    assert controller.jobs["j-1"].version == 8
+    assert controller.jobs["j-1"].bound == 1
+
+
+def test_a_partition_that_was_lost_while_it_was_read_is_not_marked_as_loaded() -> None:
+    controller, store = make()
+    store.slow_scans = True
+    ensureDeferred(controller.load())
+    controller.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
+    controller.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 10)
+    while store.waiting:
+        store.waiting.pop().callback(None)
+    assert controller.loaded == set()
+    assert controller.jobs == {}
--- /dev/null
+++ b/tests/test_task_retry.py
@@ -0,0 +1,37 @@
+"""When and where a task that has failed is tried again."""
+
+from __future__ import annotations
+
+from beamspar.jobs.job import Task
+from beamspar.jobs.task_retry import (
+    FAILURE_REASONS,
+    GANG_FAILURE_REASONS,
+    MAX_AVOIDED_MACHINES,
+    avoid_machine,
+    retry_pause_s,
+)
+
+RETRY_S = 0.5
+
+
+def test_the_pause_doubles_after_two_failures_up_to_thirty_retries() -> None:
+    pauses = [retry_pause_s(failures, RETRY_S) / RETRY_S for failures in range(1, 9)]
+    assert pauses == [1, 1, 8, 16, 30, 30, 30, 30]
+
+
+def test_a_task_avoids_four_machines_and_with_the_fifth_none() -> None:
+    task = Task()
+    for number in range(MAX_AVOIDED_MACHINES):
+        avoid_machine(task, f"host-{number}")
+    assert task.avoid == {"host-0", "host-1", "host-2", "host-3"}
+    avoid_machine(task, "host-3")
+    assert len(task.avoid) == MAX_AVOIDED_MACHINES
+    avoid_machine(task, "host-4")
+    assert task.avoid == set()
+
+
+def test_reasons_are_matched_as_the_strings_that_messages_have() -> None:
+    assert {"error", "no_room", "unknown", "in_use"} == FAILURE_REASONS
+    assert {"alone", *FAILURE_REASONS} == GANG_FAILURE_REASONS
+    reported: list[str | None] = ["no_room", "done", "evicted", None]
+    assert [reason in FAILURE_REASONS for reason in reported] == [True, False, False, False]
