--- a/src/beamspar/jobs/assignments.py
+++ b/src/beamspar/jobs/assignments.py
@@ -1,4 +1,4 @@
-"""What is bound to each machine, and telling the machines' controllers what is desired there."""
+"""The index of what is bound to each machine, and its publication to machine controllers."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 
 
 class JobStore(Protocol):
-    """Whose tasks these are, and who is told what machine controllers answer."""
+    """Whose tasks these are, and who handles the statuses that machine controllers answer."""
 
     jobs: dict[str, Job]
     partitions: set[str]
     loaded: set[str]
 
     def statuses(self, statuses: list[AttemptStatus]) -> None:
-        """Take in what machine controllers report of our attempts."""
+        """Handle the statuses of our attempts that machine controllers report."""
 
     def may_start(self, job: Job) -> bool:
         """Is what is bound of the job's team within its quota allocation?"""
@@ -66,8 +66,8 @@
 class Assignments:
     """Owns the index of tasks by machine and the messages to machine controllers.
 
-    Members are told of the machines of which they are the controller: at once what has changed,
-    and all of it now and then, which repairs what was lost.
+    Each member gets the desired state of the machines that it is the controller of: at once what
+    has changed, and all of it at intervals, which repairs what was lost.
     """
 
     def __init__(
@@ -151,7 +151,7 @@
     # -- publishing
 
     def mark_changed(self, machine: str) -> None:
-        """Tell the machine's controller what is desired there, this turn's changes together."""
+        """Publish the machine's desired state, with this turn's other changes."""
         controller = self.mirror.holder_of(machine)
         if controller is not None:
             self.changed_machines.setdefault(controller[0], set()).add(machine)
@@ -160,17 +160,17 @@
                 self.clock.callLater(0, self.publish)
 
     def shard_changed(self, machine: str) -> None:
-        """The machine's shard has changed: its controller is told what we have there."""
+        """The machine's shard has changed: its controller may not know what we have there."""
         if machine in self.by_machine or machine in self.pending_clears:
             self.mark_changed(machine)
 
     def publish_all(self) -> None:
-        """Tell every member all that is desired."""
+        """Publish all of the desired state to every member."""
         self.fully_published_at.clear()
         self.publish()
 
     def publish(self) -> None:
-        """Tell the members what changed, and now and then all, which repairs what was lost."""
+        """Publish what changed, and at intervals all, which repairs what was lost."""
         self.is_publish_scheduled = False
         if not self.registration.lease_is_valid() or self.send is None or not self.job_store.loaded:
             return
@@ -229,7 +229,7 @@
         return split_by_size(names, sizes, max_attempts)
 
     async def _send_part(self, member: str, machines: set[str] | None) -> bool:
-        """Send the desired state of these machines, and take in the answer.
+        """Send the desired state of these machines, and handle the statuses in the answer.
 
         False when the update or its answer is lost.
         """
--- a/src/beamspar/jobs/attempt_statuses.py
+++ b/src/beamspar/jobs/attempt_statuses.py
@@ -1,4 +1,4 @@
-"""Takes in what machine controllers report of the attempts of our jobs.
+"""Handles the statuses of our jobs' attempts that machine controllers report.
 
 A task may be bound anew only after its attempt is proven over: a machine controller has reported
 it so, or the machine itself is gone from every shard.
@@ -44,7 +44,7 @@
         """What of the job counts against its team's quota has changed."""
 
     def publish_desired_state_of(self, job: Job) -> None:
-        """Tell the controllers of all machines that the job is bound to what is desired there."""
+        """Publish the desired state of all machines that the job is bound to."""
 
     def schedule(self) -> None:
         """Place what waits."""
@@ -72,7 +72,7 @@
         self.jobs_backed_off = 0
 
     def observe(self, statuses: list[AttemptStatus]) -> None:
-        """Take in statuses; store and place anew what has ended."""
+        """Apply statuses to the jobs; store and place anew what has ended."""
         changed: dict[str, Job] = {}
         for status in statuses:
             job = self._observe_one(status)
@@ -93,7 +93,7 @@
         return quota_manager is not None and quota_manager.wanted(job)
 
     def _observe_one(self, status: AttemptStatus) -> Job | None:
-        """Take in one status; returns the job whose attempt it ends."""
+        """Apply one status; returns the job whose attempt it ends."""
         if status.state in CLEAR_ANSWERS and self.assignments.cleared(status):
             return None
         job_id, _, index_text = status.task.partition("/")
--- a/src/beamspar/jobs/desired_state.py
+++ b/src/beamspar/jobs/desired_state.py
@@ -39,7 +39,7 @@
 ) -> DesiredAction:
     """What the task's machine controller should do with the attempt.
 
-    `may_start` tells whether the job's team has the quota; it is asked last, for it is not cheap.
+    `may_start`: is the job's team within its quota? It is called last, for it is not cheap.
     """
     if not task.stored:
         # Its capacity is reserved at once: while the record was on its way, others used to
--- a/src/beamspar/jobs/gang_attempts.py
+++ b/src/beamspar/jobs/gang_attempts.py
@@ -2,7 +2,7 @@
 
 All tasks of a gang start together, so the loss of one concerns all: it is replaced while the
 attempt has not started, and otherwise all tasks are stopped. `gang` decides which; this module
-takes in what is known and has the machine controllers told.
+records the losses and has the desired state published.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     jobs: dict[str, Job]
 
     def publish_desired_state_of(self, job: Job) -> None:
-        """Tell the controllers of all machines that the job is bound to what is desired there."""
+        """Publish the desired state of all machines that the job is bound to."""
 
     def schedule(self) -> None:
         """Place what waits."""
--- a/src/beamspar/jobs/job_controller.py
+++ b/src/beamspar/jobs/job_controller.py
@@ -35,8 +35,8 @@
     """Owns the jobs of this controller's partitions.
 
     Its parts share what it knows of them: `loader` and `acceptor` bring jobs into memory, `placer`
-    binds their tasks, `writer` stores that, `assignments` tells the machines' controllers, and
-    `attempt_statuses` takes in what those answer.
+    binds their tasks, `writer` stores that, `assignments` publishes it to the machines'
+    controllers, and `attempt_statuses` applies the statuses that those report.
     """
 
     def __init__(
@@ -135,7 +135,7 @@
             self.apply_cancellation(job.id)
 
     def all_loaded(self) -> None:
-        """Jobs of more partitions are in memory: tell all members what is desired."""
+        """Jobs of more partitions are in memory: publish the desired state of all machines."""
         self.assignments.publish_all()
         self.schedule()
 
@@ -231,16 +231,16 @@
         self.assignments.unassign(machine, job, index)
 
     def touch(self, machine: str) -> None:
-        """Tell the machine's controller what is desired there."""
+        """Publish the machine's desired state to its controller."""
         self.assignments.mark_changed(machine)
 
     def publish_desired_state_of(self, job: Job) -> None:
-        """Tell the controllers of all machines that the job is bound to what is desired there."""
+        """Publish the desired state of all machines that the job is bound to."""
         for machine in {task.machine for task in job.tasks.values()} - {None}:
             self.touch(str(machine))
 
     def statuses(self, statuses: list[AttemptStatus]) -> None:
-        """Take in what machine controllers report of our attempts."""
+        """Handle the statuses of our attempts that machine controllers report."""
         self.attempt_statuses.observe(statuses)
 
     # -- placing
--- a/src/beamspar/jobs/placer.py
+++ b/src/beamspar/jobs/placer.py
@@ -111,7 +111,7 @@
             self._begin_round()
 
     def fired(self, due: float) -> None:
-        """A timer that was due then fires now."""
+        """Record how late a timer fires that was due then."""
         self.late_s = max(self.clock.seconds() - due, self.late_s / 2)
 
     def _begin_round(self, due: float | None = None) -> None:
@@ -222,7 +222,7 @@
                 by_name[machine].reserve(assigned.job.spec)
 
     def _bind_offers(self, jobs: list[Job], offers: list[PlacementOffer], now: float) -> None:
-        """Bind where the leader says that there is room."""
+        """Bind where the leader offers room."""
         by_id = {job.id: job for job in jobs}
         grouped = {job.id for job in jobs if is_placed_together(job)}
         for job_id, places in group_places(offers, grouped).items():
--- a/src/beamspar/jobs/quota_stops.py
+++ b/src/beamspar/jobs/quota_stops.py
@@ -1,7 +1,7 @@
 """Stops bound work for its team's quota: preemption, and what exceeds an allocation.
 
-Which work that is, `quota.quota_preemption` decides. Here it is marked, and the machine
-controllers are told.
+Which work that is, `quota.quota_preemption` decides. Here it is marked, and the
+desired state is published.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 
 
 class JobStore(Protocol):
-    """The jobs, where they run, and who is told of a stop."""
+    """The jobs, where they run, and how a stop is published."""
 
     jobs: dict[str, Job]
     loaded: set[str]
     spot_machines: set[str]
 
     def touch(self, machine: str) -> None:
-        """Tell the machine's controller what is desired there."""
+        """Publish the machine's desired state to its controller."""
 
 
 class QuotaStops:
