--- /dev/null
+++ b/tests/test_job_controller.py
@@ -0,0 +1,112 @@
+"""Reads of jobs that are overtaken by what happens meanwhile, with the state service scripted."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+from twisted.internet.defer import Deferred, ensureDeferred
+
+from beamspar.cluster.registration import Registration
+from beamspar.jobs.job_controller import JobController
+from beamspar.protocol.jobs import JobSpec
+from beamspar.settings import OperatorSettings, Timeouts
+from beamspar.state.client import KeyValue
+from beamspar.state.control_records import JobPartition
+from beamspar.state.job_records import JobRecord
+from tests.standins.clock import SimClock
+from tests.test_budget import settings
+
+SPEC = JobSpec("j-1", "front", "red", "sweep", "normal", 60, 1.0, 0.0, 1.0, "img", 1.0)
+
+
+class SlowStore:
+    """Holds back the tasks of a large job until told."""
+
+    def __init__(self) -> None:
+        record = JobRecord(msgspec.to_builtins(SPEC), "rig-1.1")
+        self.item = KeyValue("job/j-1", msgspec.to_builtins(record), 7)
+        self.waiting: list[Deferred[Any]] = []
+        # Are lists of jobs held back, too?
+        self.slow_scans = False
+
+    async def scan(self, prefix: str, *rest: Any) -> tuple[list[KeyValue], int]:
+        if prefix == "job/":
+            found = [self.item]
+            if self.slow_scans:
+                done: Deferred[Any] = Deferred()
+                self.waiting.append(done)
+                await done
+            return found, 9
+        held: Deferred[Any] = Deferred()
+        self.waiting.append(held)
+        await held
+        return [], 9
+
+    async def get(self, key: str, *rest: Any) -> KeyValue | None:
+        return self.item
+
+
+def make() -> tuple[JobController, SlowStore]:
+    clock, store = SimClock(), SlowStore()
+    timeouts = Timeouts(settings(), OperatorSettings())
+    registration = Registration(clock, store, settings(), timeouts)  # type: ignore[arg-type]
+    controller = JobController(clock, registration, store, settings(), timeouts)  # type: ignore[arg-type]
+    registration.mirror.partitions["rig-1.1"] = JobPartition("rig-0", 3)
+    controller.partitions.add("rig-1.1")
+    return controller, store
+
+
+def test_a_job_that_ended_while_it_was_read_is_not_loaded_again() -> None:
+    controller, store = make()
+    ensureDeferred(controller.load())
+    ensureDeferred(controller.adopt("j-1"))
+    first, second = store.waiting
+    second.callback(None)
+    controller.forget(controller.jobs["j-1"], ended=True)
+    first.callback(None)
+    assert "j-1" not in controller.jobs
+    assert not controller.loader.reading and not controller.loader.ended
+
+
+def test_a_cancellation_stored_after_the_read_is_applied_as_the_job_is_loaded() -> None:
+    controller, store = make()
+    ensureDeferred(controller.load())
+    controller.registration.mirror.observe_cancellations({"j-1": 20})
+    store.waiting[0].callback(None)
+    assert controller.jobs["j-1"].status == "withdrawn"
+    assert not controller.jobs["j-1"].waiting(0.0, 1)
+
+
+def test_a_job_read_before_its_partition_was_taken_over_is_read_again() -> None:
+    """Its former controller may have written it since: bound elsewhere, or done."""
+    controller, store = make()
+    store.slow_scans = True
+    ensureDeferred(controller.load())
+    controller.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
+    newer = KeyValue("job/j-1", {**store.item.value, "t": {"b": [(0, 1, "host-1")]}}, 8)
+    # Lost and regained while the first reading is under way.
+    controller.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 10)
+    store.item = newer
+    ensureDeferred(controller.load())
+    for _ in range(4):
+        for held in store.waiting[:]:
+            store.waiting.remove(held)
+            held.callback(None)
+        if len(store.waiting) == 1:
+            assert controller.loaded == set(), "only the second reading counts"
+    assert controller.loaded == {"rig-1.1"}
+    assert controller.jobs["j-1"].version == 8
+    assert controller.jobs["j-1"].bound == 1
+
+
+def test_a_partition_that_was_lost_while_it_was_read_is_not_marked_as_loaded() -> None:
+    controller, store = make()
+    store.slow_scans = True
+    ensureDeferred(controller.load())
+    controller.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
+    controller.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 10)
+    while store.waiting:
+        store.waiting.pop().callback(None)
+    assert controller.loaded == set()
+    assert controller.jobs == {}
