--- /dev/null
+++ b/src/beamspar/quota/allocation_planner.py
@@ -0,0 +1,83 @@
+"""Which allocations of our partitions should be written. It reads only: no clock, no writes."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from beamspar.cluster.registration import Registration
+from beamspar.quota.allocation_requests import AllocationRequests
+from beamspar.quota.allocations import Allocation, AllocationKey, TeamQuota
+from beamspar.quota.amounts import EPS
+from beamspar.quota.fair_share import desired_allocation
+from beamspar.quota.indeterminate_writes import IndeterminateWrites
+from beamspar.quota.quota_records import QuotaRecords
+from beamspar.quota.usage_counter import UsageCounter
+from beamspar.settings import Team
+
+
+class AllocationPlanner:
+    """Compares the records with what our partitions use and request."""
+
+    def __init__(
+        self,
+        registration: Registration,
+        teams: dict[str, Team],
+        controllers: int,
+        records: QuotaRecords,
+        usage: UsageCounter,
+        requests: AllocationRequests,
+        indeterminate_writes: IndeterminateWrites,
+        owns: Callable[[str], bool],
+    ) -> None:
+        self._registration = registration
+        self._teams = teams
+        self._controllers = controllers
+        self._records = records
+        self._usage = usage
+        self._requests = requests
+        self._indeterminate_writes = indeterminate_writes
+        self._owns = owns
+
+    def needs_write(self, team: str) -> bool:
+        """Is the team's record to be written, and may it be?"""
+        quota = self._records.quota_of(team)
+        if not self._is_writable(quota):
+            return False
+        return self.is_indeterminate(team) or any(
+            self.differs(team, partition, quota) for partition in self.partitions_of(team)
+        )
+
+    def partitions_of(self, team: str) -> list[str]:
+        """Our partitions that have or want an allocation of the team's quota."""
+        allocated = self._records.quota_of(team).raw
+        partitions = {*allocated, *self._requests.partitions_of(team)}
+        return sorted(partition for partition in partitions if self._owns(partition))
+
+    def differs(self, team: str, partition: str, quota: TeamQuota) -> bool:
+        """Should our partition's entry be another than it is?"""
+        allocation = self.desired(team, partition, quota)
+        if partition in quota.unreadable:
+            return True
+        return allocation != quota.allocations.get(partition)
+
+    def desired(self, team: str, partition: str, quota: TeamQuota) -> Allocation | None:
+        """What our partition's entry should be; None for no entry."""
+        key = AllocationKey(partition, team)
+        used = self._usage.used_by(key)
+        requests = self._requests.requests_of(key)
+        is_former = partition != self._registration.partition
+        if is_former and not requests and max(used) <= EPS:
+            # An earlier incarnation's partition accepts no new jobs: when nothing of it uses
+            # anything its entry goes, or one more would stay with every restart.
+            return None
+        return desired_allocation(
+            self._teams[team], partition, quota, used, requests, self._controllers
+        )
+
+    def is_indeterminate(self, team: str) -> bool:
+        """Is there a write without an answer that only another one will settle?"""
+        return self._indeterminate_writes.is_indeterminate(team, self._owns)
+
+    def _is_writable(self, quota: TeamQuota) -> bool:
+        """Is it known what all others have? Each owner mends its own entries."""
+        return quota.is_readable and all(self._owns(name) for name in quota.unreadable)
--- /dev/null
+++ b/src/beamspar/quota/allocation_requests.py
@@ -0,0 +1,91 @@
+"""Requests for allocations: which tasks of our jobs wait for more of their team's quota."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from beamspar.quota.allocations import AllocationKey
+from beamspar.quota.fair_share import AllocationRequest
+
+# Below every rank of work.
+LOWEST_RANK = 99
+
+
+class AllocationRequests:
+    """Owns the requests of our jobs, by partition and team.
+
+    A partition whose last request was served stays listed until the next `expire`.
+    """
+
+    def __init__(self) -> None:
+        self._requests: dict[AllocationKey, dict[str, AllocationRequest]] = {}
+        # The highest rank (from 0) among the requests, where it is known.
+        self._highest_rank: dict[AllocationKey, int] = {}
+
+    def request_of(self, key: AllocationKey, job: str) -> AllocationRequest | None:
+        """The job's request, if it has one."""
+        return self._requests.get(key, {}).get(job)
+
+    def requests_of(self, key: AllocationKey) -> list[AllocationRequest]:
+        """All requests of the partition for this team's quota."""
+        return list(self._requests.get(key, {}).values())
+
+    def partitions_of(self, team: str) -> Iterator[str]:
+        """Partitions that are listed for the team's quota."""
+        return (key.partition for key in self._requests if key.team == team)
+
+    def is_listed(self, team: str) -> bool:
+        """Is any partition listed for the team's quota?"""
+        return any(key.team == team for key in self._requests)
+
+    def is_waiting(self, key: AllocationKey) -> bool:
+        """Does work of the partition wait for more of the team's quota?"""
+        return bool(self._requests.get(key))
+
+    def other_job_waits(self, team: str, job: str) -> bool:
+        """Does another job than this one wait for more of the team's quota?"""
+        return any(
+            other != job
+            for key, requests in self._requests.items()
+            if key.team == team
+            for other in requests
+        )
+
+    def highest_rank(self, key: AllocationKey) -> int:
+        """The highest rank (from 0) among the requests of a partition."""
+        known = self._highest_rank.get(key)
+        if known is None:
+            ranks = [request.rank for request in self._requests.get(key, {}).values()]
+            known = self._highest_rank[key] = min(ranks, default=LOWEST_RANK)
+        return known
+
+    def put(self, key: AllocationKey, job: str, request: AllocationRequest) -> None:
+        """Note the job's request, in place of an earlier one."""
+        self._requests.setdefault(key, {})[job] = request
+        self._highest_rank[key] = min(request.rank, self.highest_rank(key))
+
+    def served(self, key: AllocationKey, job: str, tasks: int) -> None:
+        """So many tasks of the job were bound: its request, if it has one, is less by them."""
+        requests = self._requests.get(key, {})
+        if job not in requests:
+            return
+        request = requests.pop(job)
+        self._highest_rank.pop(key, None)
+        if request.tasks > tasks:
+            requests[job] = request._replace(tasks=request.tasks - tasks)
+
+    def expire(self, now: float) -> None:
+        """Drop requests that were not repeated in time."""
+        for key, requests in list(self._requests.items()):
+            expired = [job for job, request in requests.items() if request.expires_at < now]
+            for job in expired:
+                del requests[job]
+                self._highest_rank.pop(key, None)
+            if not requests:
+                del self._requests[key]
+
+    def forget(self, partition: str) -> None:
+        """The partition has another owner now."""
+        for key in [key for key in self._requests if key.partition == partition]:
+            del self._requests[key]
+            self._highest_rank.pop(key, None)
--- /dev/null
+++ b/src/beamspar/quota/allocation_writer.py
@@ -0,0 +1,150 @@
+"""Writes the allocations of our partitions into the teams' records."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from twisted.logger import Logger
+
+from beamspar.cluster.registration import Registration
+from beamspar.quota.allocation_planner import AllocationPlanner
+from beamspar.quota.allocations import Allocation, AllocationKey, TeamQuota
+from beamspar.quota.indeterminate_writes import IndeterminateWrite, IndeterminateWrites
+from beamspar.quota.quota_records import QuotaRecords
+from beamspar.state import keys
+from beamspar.state.client import (
+    ConflictError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    RequestPriority,
+    StateClient,
+    StateUnavailableError,
+    put,
+)
+from beamspar.transport.http import spawn
+
+log = Logger(namespace="quota")
+
+
+@dataclass(frozen=True)
+class ProposedWrite:
+    """One compare-and-swap of a team's record."""
+
+    team: str
+    conditions: dict[str, int]
+    record: dict[str, Any]
+    # Is there anything to write?
+    is_change: bool
+    # What it leaves our partitions if it is applied.
+    allocations: list[tuple[AllocationKey, IndeterminateWrite]]
+
+
+class AllocationWriter:
+    """Checks and writes the teams' records, one write of a record at a time.
+
+    Every change of a record is a compare-and-swap on its version, on the fence of our incarnation
+    and on our ownership of the partitions: so the allocations never exceed the quota.
+    """
+
+    def __init__(
+        self,
+        registration: Registration,
+        state: StateClient,
+        max_partitions: int,
+        records: QuotaRecords,
+        planner: AllocationPlanner,
+        indeterminate_writes: IndeterminateWrites,
+        on_written: Callable[[str], None],
+    ) -> None:
+        self._registration = registration
+        self._state = state
+        # Partitions of one transaction: each is a condition.
+        self._max_partitions = max_partitions
+        self._records = records
+        self._planner = planner
+        self._indeterminate_writes = indeterminate_writes
+        # Called with the team once the outcome of a write of its record is known.
+        self._on_written = on_written
+        self._writing: set[str] = set()
+        self._scheduled: set[str] = set()
+
+    def schedule_check(self, team: str) -> None:
+        """Check a team's record once for all requests of this turn of the event loop.
+
+        Each check goes through all of them, and after a restart hundreds of jobs request at once.
+        """
+        if team not in self._scheduled:
+            self._scheduled.add(team)
+            self._registration.clock.callLater(0, self._check_scheduled, team)
+
+    def check(self, team: str) -> None:
+        """Write the team's record if it is to be written."""
+        if self._planner.needs_write(team):
+            self._start_write(team)
+
+    def _check_scheduled(self, team: str) -> None:
+        self._scheduled.discard(team)
+        self.check(team)
+
+    def _start_write(self, team: str) -> None:
+        if team not in self._writing and self._registration.lease_is_valid():
+            self._writing.add(team)
+            spawn(self._write(team), f"quota of {team}")
+
+    async def _write(self, team: str) -> None:
+        """One compare-and-swap: our allocations down or up to what we need."""
+        write = self._propose(team)
+        try:
+            if write.is_change:
+                await self._store(write)
+        except OutcomeUnknownError as error:
+            # It may still be applied: its allocations are indeterminate until the record moves on.
+            log.info("quota of {team}: write is indeterminate: {error}", team=team, error=error)
+            return
+        except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
+            log.info("quota of {team}: write failed: {error}", team=team, error=error)
+        finally:
+            self._writing.discard(team)
+        for key, allocation in write.allocations:
+            self._indeterminate_writes.resolve(key, allocation)
+        if write.is_change:
+            self._on_written(team)
+
+    def _propose(self, team: str) -> ProposedWrite:
+        before = after = self._records.quota_of(team)
+        registration = self._registration
+        conditions = {**registration.fence_condition(), keys.team_quota(team): before.version}
+        must_settle = self._planner.is_indeterminate(team)
+        allocations: list[tuple[AllocationKey, IndeterminateWrite]] = []
+        for partition in self._partitions_to_write(team, before):
+            desired = self._planner.desired(team, partition, after)
+            conditions.update(registration.mirror.partition_condition(partition))
+            after = after.with_allocation(partition, desired)
+            # Until the outcome is known, the lower of both allocations holds, and of all before
+            # whose outcome is not known yet.
+            key = AllocationKey(partition, team)
+            pending = IndeterminateWrite(before.version, (desired or Allocation()).amounts)
+            allocations.append((key, pending))
+            self._indeterminate_writes.add(key, pending)
+        is_change = must_settle or after.raw != before.raw
+        return ProposedWrite(team, conditions, after.raw, is_change, allocations)
+
+    def _partitions_to_write(self, team: str, quota: TeamQuota) -> list[str]:
+        """As many of our partitions as one transaction has conditions for, sorted.
+
+        Those that change go first, the others wait for the next write.
+        """
+        partitions = self._planner.partitions_of(team)
+        partitions.sort(key=lambda name: (not self._planner.differs(team, name, quota), name))
+        return sorted(partitions[: self._max_partitions])
+
+    async def _store(self, write: ProposedWrite) -> None:
+        """Raises what `transact` raises."""
+        key = keys.team_quota(write.team)
+        revision = await self._state.transact(
+            write.conditions, [put(key, write.record)], RequestPriority.PLACEMENT
+        )
+        self._registration.mirror.observe(key, write.record, revision)
+        log.info("team {team}: allocations {record}", team=write.team, record=write.record)
--- /dev/null
+++ b/src/beamspar/quota/amounts.py
@@ -0,0 +1,32 @@
+"""Amounts of CPUs and accelerators: what a quota limits."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from beamspar.settings import Team
+
+# Sums of fractions of CPUs are equal up to this.
+EPS = 1e-6
+
+
+class Amounts(NamedTuple):
+    """CPUs and accelerators."""
+
+    cpus: float
+    gpus: float
+
+    def plus_tasks(self, tasks: int, cpus: float, gpus: float) -> Amounts:
+        """These amounts and those of so many tasks of this size."""
+        return Amounts(self.cpus + tasks * cpus, self.gpus + tasks * gpus)
+
+    def __str__(self) -> str:
+        return f"({self.cpus}, {self.gpus})"
+
+
+NOTHING = Amounts(0.0, 0.0)
+
+
+def quota_of(team: Team) -> Amounts:
+    """The most that the team may use; 0 where it is not limited."""
+    return Amounts(team.cpus_max, team.gpus_max)
--- a/src/beamspar/quota/quota_preemption.py
+++ b/src/beamspar/quota/quota_preemption.py
@@ -1,29 +1,52 @@
-"""Which work of a team gives way at the team's limit.
+"""Which work of a team is preempted at the team's quota. Decisions only: no clock, no writes.
 
-Lower work stops when higher work of the team waits at the limit. What is bound beyond a share,
-which only records of an earlier release can cause, is let go as far as it does not run.
+Lower work stops when higher work of the team waits for its quota. What is bound beyond an
+allocation, which only records of an earlier release can cause, is stopped as far as it does not
+run.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Collection, Iterable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from beamspar.jobs.job import Job, Task
 from beamspar.placement import EPS
+from beamspar.quota.amounts import Amounts
 from beamspar.state.job_records import JobStatus
 
 
+class BoundTask(NamedTuple):
+    """A task that a stored record binds, with its index in the job."""
+
+    task_index: int
+    task: Task
+
+
+class PreemptionOrder(NamedTuple):
+    """What is preempted before what: the lowest goes first.
+
+    That is the lowest rank, then what is on ordinary machines, where higher work can take its
+    place, what keeps checkpoints, and the newest.
+    """
+
+    negative_rank: int
+    is_on_spot: bool
+    has_no_checkpoint: bool
+    negative_waiting_since: float
+    job: str
+    first_index: int
+
+
 class PreemptionUnit(NamedTuple):
     """Tasks of a job that are stopped together, and what that frees."""
 
-    # The lowest goes first.
-    order: tuple[Any, ...]
+    order: PreemptionOrder
     rank: int
     cpus: float
     gpus: float
     job: Job
-    tasks: list[tuple[int, Task]]
+    tasks: list[BoundTask]
 
 
 def choose(
@@ -33,8 +56,7 @@
 ) -> list[PreemptionUnit]:
     """The units to stop: as many as free what is lacking for work above their rank.
 
-    The lowest rank goes first, then what is on ordinary machines, where higher work can take
-    its place, what saves, and the newest.
+    `spot` has the names of all spot machines.
     """
     units = [
         unit
@@ -42,16 +64,8 @@
         if job.status == JobStatus.LIVE and job.spec.rank
         for unit in units_of(job, spot)
     ]
-    wanted = {rank: lacking(rank) for rank in {unit.rank for unit in units}}
-    chosen: list[PreemptionUnit] = []
-    cpus = gpus = 0.0
-    for unit in sorted(units, key=lambda unit: unit.order):
-        cpus_wanted, gpus_wanted = wanted[unit.rank]
-        if cpus + EPS >= cpus_wanted and gpus + EPS >= gpus_wanted:
-            break
-        cpus, gpus = cpus + unit.cpus, gpus + unit.gpus
-        chosen.append(unit)
-    return chosen
+    lacking_above = {rank: Amounts(*lacking(rank)) for rank in {unit.rank for unit in units}}
+    return _until_freed(units, lambda unit: lacking_above[unit.rank])
 
 
 def choose_unstarted(
@@ -65,36 +79,45 @@
         for unit in units_of(job, spot)
         if not any(task.state for _, task in unit.tasks)
     ]
-    chosen: list[PreemptionUnit] = []
-    cpus = gpus = 0.0
-    for unit in sorted(units, key=lambda unit: unit.order):
-        if cpus + EPS >= excess[0] and gpus + EPS >= excess[1]:
-            break
-        cpus, gpus = cpus + unit.cpus, gpus + unit.gpus
-        chosen.append(unit)
-    return chosen
+    to_free = Amounts(*excess)
+    return _until_freed(units, lambda unit: to_free)
 
 
 def units_of(job: Job, spot: Collection[str]) -> list[PreemptionUnit]:
     """What may be stopped of a job at a time: a task, or a gang as a whole."""
     tasks = [
-        (index, task)
+        BoundTask(index, task)
         for index, task in job.tasks.items()
         if task.machine is not None and task.stored
     ]
-    groups = [tasks] if job.spec.is_gang and tasks else [[entry] for entry in tasks]
+    groups = [tasks] if job.spec.is_gang and tasks else [[task] for task in tasks]
     return [_unit(job, group, spot) for group in groups]
 
 
-def _unit(job: Job, tasks: list[tuple[int, Task]], spot: Collection[str]) -> PreemptionUnit:
+def _until_freed(
+    units: Iterable[PreemptionUnit], to_free: Callable[[PreemptionUnit], Amounts]
+) -> list[PreemptionUnit]:
+    """The first units in order, up to the one for which enough is free already."""
+    chosen: list[PreemptionUnit] = []
+    cpus = gpus = 0.0
+    for unit in sorted(units, key=lambda unit: unit.order):
+        needed = to_free(unit)
+        if cpus + EPS >= needed.cpus and gpus + EPS >= needed.gpus:
+            break
+        cpus, gpus = cpus + unit.cpus, gpus + unit.gpus
+        chosen.append(unit)
+    return chosen
+
+
+def _unit(job: Job, tasks: list[BoundTask], spot: Collection[str]) -> PreemptionUnit:
     spec = job.spec
-    order = (
-        -spec.rank,
-        all(task.machine in spot for _, task in tasks),
-        not spec.checkpoint_s,
-        -job.waiting_since,
-        job.id,
-        tasks[0][0],
+    order = PreemptionOrder(
+        negative_rank=-spec.rank,
+        is_on_spot=all(bound.task.machine in spot for bound in tasks),
+        has_no_checkpoint=not spec.checkpoint_s,
+        negative_waiting_since=-job.waiting_since,
+        job=job.id,
+        first_index=tasks[0].task_index,
     )
     return PreemptionUnit(
         order, spec.rank, spec.cpus * len(tasks), spec.gpus * len(tasks), job, tasks
--- a/src/beamspar/quota/quota_usage.py
+++ b/src/beamspar/quota/quota_usage.py
@@ -1,8 +1,8 @@
-"""How many tasks of a job count against its team's limit.
+"""How many tasks of a job count against its team's quota.
 
 A successor restores a job from its stored record and starts what that binds. So a task counts
 until a stored record says that it is not bound any more, even if its attempt is proven over, and
-also while a write that may bind it has no answer. Counts are kept per chunk, for a chunk is
+also while a write that may bind it is indeterminate. Counts are kept per chunk, for a chunk is
 written as a whole: within one, a task that is over makes room for another at once, as the same
 write unbinds one and binds the other.
 """
@@ -22,19 +22,20 @@
         self._stored: dict[int, int] = {}
         # Chunks whose stored record binds more: so many more may be bound there at no cost.
         self.spare: dict[int, int] = {}
+        # The sum over all chunks of the larger of both counts.
         self._tasks = 0
         # While the records are rewritten in another layout: what counted before that.
-        self._before_layout = 0
+        self._tasks_before_layout = 0
 
     @property
     def tasks(self) -> int:
         """Tasks that count now."""
-        return max(self._tasks, self._before_layout)
+        return max(self._tasks, self._tasks_before_layout)
 
     @property
     def rewriting(self) -> bool:
         """Is it not known yet what each chunk of the present layout binds?"""
-        return self._before_layout > 0
+        return self._tasks_before_layout > 0
 
     def extra(self, chunks: Collection[int]) -> int:
         """How many more tasks count once a task is bound in each of these chunks."""
@@ -46,28 +47,28 @@
 
     def bind(self, chunk: int) -> None:
         """A task of the chunk is bound in memory."""
-        self._change(chunk, self._bound[chunk] + 1, self._stored.get(chunk, 0))
+        self._update(chunk, self._bound[chunk] + 1, self._stored.get(chunk, 0))
 
     def unbind(self, chunk: int) -> None:
         """A task of the chunk is bound in memory no more."""
-        self._change(chunk, self._bound[chunk] - 1, self._stored.get(chunk, 0))
+        self._update(chunk, self._bound[chunk] - 1, self._stored.get(chunk, 0))
 
     def writing(self, chunk: int) -> int:
         """The chunk's record is about to be written; returns the tasks that it binds."""
         bound = self._bound[chunk]
-        self._change(chunk, bound, max(self._stored.get(chunk, 0), bound))
+        self._update(chunk, bound, max(self._stored.get(chunk, 0), bound))
         return bound
 
     def written(self, chunk: int, tasks: int) -> None:
-        """The chunk's record is known to bind so many tasks: older writes are void."""
-        self._change(chunk, self._bound[chunk], tasks)
+        """The chunk's record is known to bind so many tasks: older writes are superseded."""
+        self._update(chunk, self._bound[chunk], tasks)
 
     def change_layout(self, bound_in: Iterable[int]) -> None:
-        """The chunks are cut anew, with a bound task in each of the given ones.
+        """The job is divided into other chunks, with a bound task in each of the given ones.
 
         What counted before counts on until `settle`, for either layout may be stored.
         """
-        self._before_layout = self.tasks
+        self._tasks_before_layout = self.tasks
         self._bound = Counter(bound_in)
         self._stored = {}
         self.spare = {}
@@ -75,9 +76,10 @@
 
     def settle(self) -> None:
         """Every chunk of the present layout has been written."""
-        self._before_layout = 0
+        self._tasks_before_layout = 0
 
-    def _change(self, chunk: int, bound: int, stored: int) -> None:
+    def _update(self, chunk: int, bound: int, stored: int) -> None:
+        """Set both counts of the chunk, and what follows from them."""
         before = max(self._bound[chunk], self._stored.get(chunk, 0))
         self._bound[chunk] = bound
         self._stored[chunk] = stored
--- /dev/null
+++ b/src/beamspar/quota/usage_counter.py
@@ -0,0 +1,52 @@
+"""What the tasks of our partitions use of their teams' quotas."""
+
+from __future__ import annotations
+
+from collections.abc import Collection
+
+from beamspar.jobs.job import Job
+from beamspar.quota.allocations import AllocationKey
+from beamspar.quota.amounts import NOTHING, Amounts
+
+
+class UsageCounter:
+    """Owns the sums of what the jobs in memory use, by partition and team."""
+
+    def __init__(self, teams: Collection[str]) -> None:
+        self.used: dict[AllocationKey, Amounts] = {}
+        # Only teams with a quota are counted.
+        self._teams = teams
+        # Tasks of each job that are in `used`.
+        self._counted_tasks: dict[Job, int] = {}
+
+    def used_by(self, key: AllocationKey) -> Amounts:
+        """What the partition's jobs of the team use."""
+        return self.used.get(key, NOTHING)
+
+    def recount(self, job: Job) -> int:
+        """Count what the job's tasks use now; returns how many more count than before."""
+        if job.spec.team not in self._teams:
+            return 0
+        tasks = job.quota_usage.tasks
+        more = tasks - self._counted_tasks.get(job, 0)
+        if more:
+            self._counted_tasks[job] = tasks
+            self._add(job, more)
+        return more
+
+    def release(self, job: Job) -> None:
+        """The job is over, another's, or was never stored: nothing of it counts."""
+        tasks = self._counted_tasks.pop(job, 0)
+        if tasks:
+            self._add(job, -tasks)
+
+    def forget(self, partition: str) -> None:
+        """The partition has another owner now."""
+        for job in [job for job in self._counted_tasks if job.partition == partition]:
+            del self._counted_tasks[job]
+        for key in [key for key in self.used if key.partition == partition]:
+            del self.used[key]
+
+    def _add(self, job: Job, tasks: int) -> None:
+        key = AllocationKey(job.partition, job.spec.team)
+        self.used[key] = self.used_by(key).plus_tasks(tasks, job.spec.cpus, job.spec.gpus)
--- a/tests/test_acceptor.py
+++ b/tests/test_acceptor.py
@@ -17,7 +17,7 @@
 from beamspar.state.client import KeyValue, OutcomeUnknownError, StateUnavailableError
 from beamspar.state.job_records import JobRecord
 from tests.standins.clock import SimClock
-from tests.test_budget import KEY, settings
+from tests.test_quota_manager import KEY, settings
 
 SPEC = JobSpec("j-1", "front", "red", "standing", "normal", 2, 2.0, 0.0, 1.0, "img", 1.0)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,7 +11,7 @@
 from beamspar.settings import OperatorSettings, Timeouts
 from beamspar.standby.decisions import Booting
 from tests.standins.clock import SimClock
-from tests.test_budget import settings
+from tests.test_quota_manager import settings
 
 ZONES = ["east", "south", "west"]
 BIG = MachineType("big", 32.0, 0.0, 64.0, zones=ZONES)
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -231,7 +231,7 @@
     waiting = shares.Allocation(8.5, 1.5, 2, 4.5, 0.5, 412)
     unserved = shares.Allocation(8.5, 1.5, 3, 4.5, 0.5)
     record = shares.TeamQuota({"rig-2.1": [1.5, 0.5]}, 400)
-    return record.with_share("rig-1.3", waiting).with_share("rig-3.1", unserved).raw
+    return record.with_allocation("rig-1.3", waiting).with_allocation("rig-3.1", unserved).raw
 
 
 # Sent between controllers: encoded as JSON. "-least" marks all that may be left out left out.
--- a/tests/test_holder.py
+++ b/tests/test_holder.py
@@ -15,7 +15,7 @@
 )
 from beamspar.settings import OperatorSettings, Timeouts
 from tests.standins.clock import SimClock
-from tests.test_budget import settings
+from tests.test_quota_manager import settings
 
 
 class Silent:
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -16,7 +16,7 @@
 from beamspar.state import keys
 from beamspar.state.control_records import Machine, shard_record
 from tests.standins.clock import SimClock
-from tests.test_budget import settings
+from tests.test_quota_manager import settings
 
 KEY = "c/block/host-0"
 
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -15,7 +15,7 @@
 from beamspar.state.control_records import JobPartition
 from beamspar.state.job_records import JobRecord
 from tests.standins.clock import SimClock
-from tests.test_budget import settings
+from tests.test_quota_manager import settings
 
 SPEC = JobSpec("j-1", "front", "red", "sweep", "normal", 60, 1.0, 0.0, 1.0, "img", 1.0)
 
--- a/tests/test_shares.py
+++ b/tests/test_quota_allocations.py
@@ -8,10 +8,10 @@
 import pytest
 from twisted.logger import LogLevel, formatEvent, globalLogPublisher
 
-from beamspar.quota.allocations import Allocation, read_share
+from beamspar.quota.allocations import Allocation, parse_allocation
 from beamspar.state.client import ConflictError
 from tests.standins.world import World
-from tests.test_budget import KEY, job, make
+from tests.test_quota_manager import KEY, job, make
 
 
 @pytest.fixture
@@ -32,7 +32,7 @@
     "entry",
     [[-3.0, 0.0], ["x", 0.0], [float("nan"), 0.0], [float("inf"), 0.0], [], None, 4.0, [True, 0]],
 )
-def test_with_another_partitions_odd_entry_nothing_starts(entry: Any, errors: list[str]) -> None:
+def test_another_partitions_unreadable_entry_blocks_starts(entry: Any, errors: list[str]) -> None:
     quota_manager, registration, script = make(ConflictError([KEY]))
     registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
     registration.mirror.observe(KEY, {"rig-0.1": [8.0, 0.0], "rig-1.1": entry}, 5)
@@ -45,14 +45,14 @@
     assert quota_manager.reserve(job(1.0), [0])
 
 
-def test_our_own_odd_entry_is_mended() -> None:
+def test_our_own_unreadable_entry_is_rewritten() -> None:
     quota_manager, registration, script = make(6)
     registration.mirror.observe(KEY, {"rig-0.1": "all", "rig-1.1": [2.0, 0.0]}, 5)
     quota_manager.tick()
     assert script.written == [(5, {"rig-1.1": [2.0, 0.0]})]
 
 
-def test_a_record_that_is_no_map_stops_its_team(errors: list[str]) -> None:
+def test_a_record_that_is_no_map_blocks_its_team(errors: list[str]) -> None:
     quota_manager, registration, script = make()
     registration.mirror.observe(KEY, "none", 5)
     assert not quota_manager.reserve(job(1.0), [0])
@@ -60,7 +60,7 @@
     assert script.written == [] and len(errors) == 1
 
 
-def test_shares_above_the_limit_stop_their_team(errors: list[str]) -> None:
+def test_allocations_above_the_quota_block_their_team(errors: list[str]) -> None:
     quota_manager, registration, script = make(ConflictError([KEY]), ConflictError([KEY]))
     registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
     registration.mirror.observe(KEY, {"rig-0.1": [8.0, 0.0], "rig-1.1": [6.0, 0.0]}, 5)
@@ -72,27 +72,27 @@
     assert script.written[0][1] == {"rig-0.1": [4.0, 0.0], "rig-1.1": [6.0, 0.0]}, "we give back"
 
 
-def test_an_unknown_partitions_share_counts(errors: list[str]) -> None:
+def test_the_allocation_of_an_unknown_partition_counts(errors: list[str]) -> None:
     quota_manager, registration, _ = make(ConflictError([KEY]), ConflictError([KEY]))
     registration.mirror.observe(KEY, {"rig-0.1": [4.0, 0.0], "rig-9.9": [6.0, 0.0]}, 5)
     assert quota_manager.reserve(job(4.0), [0])
-    held = job(1.0, tasks=4)
+    bound_job = job(1.0, tasks=4)
     for _ in range(4):
-        held.quota_usage.bind(0)
-    quota_manager.recount(held)
+        bound_job.quota_usage.bind(0)
+    quota_manager.recount(bound_job)
     assert not quota_manager.reserve(job(1.0), [0])
     quota_manager.tick()
     assert len(errors) == 1 and "rig-9.9" in errors[0]
 
 
-def test_use_above_a_share_is_never_written_above_what_is_left(errors: list[str]) -> None:
+def test_an_allocation_is_never_written_above_what_is_left(errors: list[str]) -> None:
     quota_manager, registration, script = make(6)
     registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
     registration.mirror.observe(KEY, {"rig-0.1": [3.0, 0.0], "rig-1.1": [5.0, 0.0]}, 5)
-    held = job(1.0, tasks=8)
+    bound_job = job(1.0, tasks=8)
     for _ in range(8):
-        held.quota_usage.bind(0)
-    quota_manager.recount(held)
+        bound_job.quota_usage.bind(0)
+    quota_manager.recount(bound_job)
     assert quota_manager.excess("rig-0.1", "red") == (5.0, 0.0)
     assert not quota_manager.may_start("rig-0.1", "red")
     quota_manager.tick()
@@ -102,8 +102,8 @@
     assert len(errors) == 2 and all("rig-0.1" in line for line in errors)
 
 
-def test_a_share_counts_from_a_mirror_as_new_as_the_takeover() -> None:
-    """Else a share is read that the former owner has given back since."""
+def test_an_allocation_counts_from_a_mirror_as_new_as_the_failover() -> None:
+    """Else an allocation is read that the former owner has given back since."""
     quota_manager, registration, _ = make()
     quota_manager.loaded = lambda: {"rig-0.1", "rig-1.1"}
     registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 3)
@@ -111,7 +111,7 @@
     registration.mirror._caught_up(5)
     moved = job(4.0)
     moved.partition = "rig-1.1"
-    # Our own write is known before the watch has told what came between.
+    # Our own write is known before the watch has delivered what came between.
     registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 9)
     assert not quota_manager.reserve(moved, [0])
     registration.mirror.observe(KEY, {"rig-1.1": [2.0, 0.0], "rig-2.1": [8.0, 0.0]}, 7)
@@ -125,12 +125,12 @@
     "stored", [[1.0, 0.0], [1.0, 0.0, 2, 4.0, 0.0], [1.0, 0.0, 2, 4.0, 0.0, 17]]
 )
 def test_entries_of_all_releases_keep_their_form(stored: list[Any]) -> None:
-    share = read_share(stored)
-    assert share is not None and share.stored() == stored
+    allocation = parse_allocation(stored)
+    assert allocation is not None and allocation.to_stored() == stored
 
 
-def test_an_entry_says_what_it_means() -> None:
-    assert read_share([1.0, 2.0, 3, 4.0, 5.0, 6]) == Allocation(1.0, 2.0, 3, 4.0, 5.0, 6)
+def test_an_entry_is_parsed_by_position() -> None:
+    assert parse_allocation([1.0, 2.0, 3, 4.0, 5.0, 6]) == Allocation(1.0, 2.0, 3, 4.0, 5.0, 6)
 
 
 def test_a_team_with_a_broken_record_waits_while_others_go_on() -> None:
--- a/tests/test_budget.py
+++ b/tests/test_quota_manager.py
@@ -1,4 +1,4 @@
-"""Shares of a team's limit while writes get no answer, with the state service's part scripted."""
+"""Allocations of a team's quota while writes get no answer, with the state service scripted."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 KEY = "c/budget/red"
 
 
-class Script:
-    """Answers writes as told, one after the other, and keeps what was asked."""
+class ScriptedState:
+    """Answers writes with the given answers, one after the other, and keeps what was written."""
 
     def __init__(self, *answers: int | Exception) -> None:
         self.answers = list(answers)
@@ -43,16 +43,16 @@
 
 
 def settings() -> Settings:
-    facts = PlatformSettings(
+    platform = PlatformSettings(
         WorkerSettings(3.0, 15.0, 45.0),
         StateServiceLimits(200.0, 60.0, 4.0, 8), CloudLimits(3.0, 8.0), 1,
         teams=[Team("red", cpus_max=10.0)],
     )  # fmt: skip
-    return Settings("rig-0", "rig-0:80", "rig-0:81", Services("cloud:1", "state:1"), facts)
+    return Settings("rig-0", "rig-0:80", "rig-0:81", Services("cloud:1", "state:1"), platform)
 
 
-def make(*answers: int | Exception) -> tuple[QuotaManager, Registration, Script]:
-    clock, script = SimClock(), Script(*answers)
+def make(*answers: int | Exception) -> tuple[QuotaManager, Registration, ScriptedState]:
+    clock, script = SimClock(), ScriptedState(*answers)
     timeouts = Timeouts(settings(), OperatorSettings())
     registration = Registration(clock, script, settings(), timeouts)  # type: ignore[arg-type]
     registration.started, registration.partition = True, "rig-0.1"
@@ -68,18 +68,18 @@
     return Job(spec, "rig-0.1", Layout(46), 0.0)
 
 
-def count(quota_manager: QuotaManager, held: Job, tasks: int) -> None:
+def bind_and_count(quota_manager: QuotaManager, bound_job: Job, tasks: int) -> None:
     """Bind so many more tasks of the job, or unbind them with that stored."""
     for _ in range(abs(tasks)):
         if tasks > 0:
-            held.quota_usage.bind(0)
+            bound_job.quota_usage.bind(0)
         else:
-            held.quota_usage.unbind(0)
-    held.quota_usage.written(0, 0)
-    quota_manager.recount(held)
+            bound_job.quota_usage.unbind(0)
+    bound_job.quota_usage.written(0, 0)
+    quota_manager.recount(bound_job)
 
 
-def test_what_a_write_in_doubt_gave_back_is_not_used_again() -> None:
+def test_what_an_indeterminate_write_gave_back_is_not_used_again() -> None:
     # Version 5 leaves us 10. Another wants some, so we give back down to 2, without an answer;
     # then we want more again, and that write fails for the first was carried out.
     quota_manager, registration, script = make(
@@ -88,35 +88,36 @@
     registration.mirror.observe(
         KEY, {"rig-0.1": [10.0, 0.0], "rig-1.1": [0.0, 0.0, 3, 4.0, 0.0]}, 5
     )
-    held = job(2.0)
-    count(quota_manager, held, 1)
+    bound_job = job(2.0)
+    bind_and_count(quota_manager, bound_job, 1)
     quota_manager.tick()
     assert script.written == [(5, {"rig-0.1": [2.0, 0.0], "rig-1.1": [0.0, 0.0, 3, 4.0, 0.0]})]
-    assert quota_manager.share("rig-0.1", "red") == (2.0, 0.0)
+    assert quota_manager.certain_allocation("rig-0.1", "red") == (2.0, 0.0)
     assert not quota_manager.reserve(job(4.0), [0])
     quota_manager.tick()
     assert len(script.written) == 2
-    assert quota_manager.share("rig-0.1", "red") == (2.0, 0.0), (
+    assert quota_manager.certain_allocation("rig-0.1", "red") == (2.0, 0.0), (
         "the conflict proves the first write"
     )
     assert not quota_manager.reserve(job(4.0), [0])
-    # The mirror tells at last: what it says holds again.
+    # The watch catches up: what the mirror has holds again.
     registration.mirror.observe(KEY, {"rig-0.1": [2.0, 0.0], "rig-1.1": [8.0, 0.0]}, 6)
-    assert quota_manager.share("rig-0.1", "red") == (2.0, 0.0)
+    assert quota_manager.certain_allocation("rig-0.1", "red") == (2.0, 0.0)
     registration.mirror.observe(KEY, {"rig-0.1": [7.0, 0.0]}, 7)
-    assert quota_manager.share("rig-0.1", "red") == (7.0, 0.0)
+    assert quota_manager.certain_allocation("rig-0.1", "red") == (7.0, 0.0)
 
 
-def test_a_share_in_doubt_is_settled_by_another_write() -> None:
+def test_an_indeterminate_allocation_is_settled_by_another_write() -> None:
     quota_manager, registration, script = make(OutcomeUnknownError("lost"), 9)
     registration.mirror.observe(KEY, {"rig-0.1": [6.0, 0.0], "rig-1.1": [0.0, 0.0, 3, 4.0, 0.0]}, 5)
-    held = job(2.0, tasks=3)
-    count(quota_manager, held, 3)
-    count(quota_manager, held, -2)
+    bound_job = job(2.0, tasks=3)
+    bind_and_count(quota_manager, bound_job, 3)
+    bind_and_count(quota_manager, bound_job, -2)
     quota_manager.tick()
-    assert quota_manager.share("rig-0.1", "red") == (2.0, 0.0)
-    # What is used again by now is what the mirror says: only the doubt calls for a write.
-    count(quota_manager, held, 2)
+    assert quota_manager.certain_allocation("rig-0.1", "red") == (2.0, 0.0)
+    # What is used again by now is what the mirror says: only the indeterminate write calls
+    # for another.
+    bind_and_count(quota_manager, bound_job, 2)
     quota_manager.tick()
     assert len(script.written) == 2
-    assert quota_manager.share("rig-0.1", "red") == (6.0, 0.0)
+    assert quota_manager.certain_allocation("rig-0.1", "red") == (6.0, 0.0)
--- a/tests/test_limit_use.py
+++ b/tests/test_quota_usage.py
@@ -1,4 +1,4 @@
-"""What counts against a team's limit: the most that a stored record may bind, chunk by chunk."""
+"""What counts against a team's quota: the most that a stored record may bind, chunk by chunk."""
 
 from __future__ import annotations
 
@@ -10,42 +10,42 @@
 
 def bound(tasks: int, chunk: int = 0) -> QuotaUsage:
     """Tasks that are bound in one chunk, and stored."""
-    use = QuotaUsage()
+    usage = QuotaUsage()
     for _ in range(tasks):
-        use.bind(chunk)
-    use.written(chunk, use.writing(chunk))
-    return use
+        usage.bind(chunk)
+    usage.written(chunk, usage.writing(chunk))
+    return usage
 
 
 def test_a_task_counts_until_its_release_is_stored() -> None:
-    use = bound(3)
-    use.unbind(0)
-    assert use.tasks == 3
-    binding = use.writing(0)
-    assert use.tasks == 3, "the write may not have been carried out"
-    use.written(0, binding)
-    assert use.tasks == 2
+    usage = bound(3)
+    usage.unbind(0)
+    assert usage.tasks == 3
+    binding = usage.writing(0)
+    assert usage.tasks == 3, "the write may not have been carried out"
+    usage.written(0, binding)
+    assert usage.tasks == 2
 
 
 def test_a_task_takes_the_place_of_another_in_the_same_record() -> None:
-    use = bound(3)
-    use.unbind(0)
-    assert use.extra([0]) == 0
-    assert use.extra([0, 0]) == 1
-    assert use.extra([1]) == 1, "another chunk may be stored first"
-    use.bind(0)
-    assert use.tasks == 3
+    usage = bound(3)
+    usage.unbind(0)
+    assert usage.extra([0]) == 0
+    assert usage.extra([0, 0]) == 1
+    assert usage.extra([1]) == 1, "another chunk may be stored first"
+    usage.bind(0)
+    assert usage.tasks == 3
 
 
 def test_a_write_without_an_answer_counts_until_one_is_stored() -> None:
-    use = bound(1)
-    use.bind(0)
-    use.writing(0)
-    # Refused by its holder: bound no more, but the write may have been carried out.
-    use.unbind(0)
-    assert use.tasks == 2
-    use.written(0, use.writing(0))
-    assert use.tasks == 1
+    usage = bound(1)
+    usage.bind(0)
+    usage.writing(0)
+    # Refused by its machine controller: bound no more, but the write may have been carried out.
+    usage.unbind(0)
+    assert usage.tasks == 2
+    usage.written(0, usage.writing(0))
+    assert usage.tasks == 1
 
 
 def test_both_layouts_count_until_all_chunks_are_written() -> None:
--- a/tests/test_random_limits.py
+++ b/tests/test_random_quotas.py
@@ -1,7 +1,7 @@
-"""Seeded random faults with every team at its limit; more seeds by BEAMSPAR_SEEDS.
+"""Seeded random faults with every team at its quota; more seeds by BEAMSPAR_SEEDS.
 
-Shares move between controllers all the time, and what moves them meets ends of owners and
-holders together, machines lost and back, writes carried out late and changes heard of late.
+Allocations move between controllers all the time, and what moves them meets crashes of job and
+machine controllers together, machines lost and back, writes applied late and late watch events.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 ]
 
 
-def load(world: World, rng: random.Random, job: str, size: int) -> None:
-    """A job of a team whose limit its jobs exceed together."""
+def submit_job(world: World, rng: random.Random, job: str, size: int) -> None:
+    """Submit a job of a team whose quota its jobs exceed together."""
     shape = rng.choice(["standing", "sweep", "sweep", "ensemble"])
     owner = rng.choice(["red", "blue", "green"])
     world.submit(
@@ -43,8 +43,8 @@
     )
 
 
-def end_with_holders(world: World, rng: random.Random) -> None:
-    """Controllers end as machines that were out of reach come back."""
+def crash_as_machines_return(world: World, rng: random.Random) -> None:
+    """Controllers crash as machines that were unreachable come back."""
     later = world.clock.callLater
     machines = [n for n, w in world.cloud.workers.items() if not w.dead]
     lost = rng.sample(machines, max(len(machines) // 4, 1))
@@ -63,19 +63,19 @@
     world.state.late_keys = rng.choice(["", "job/"])
     later(span, setattr, world.state, "late_share", 0.0)
     later(span, setattr, world.state, "late_keys", "")
-    ends = rng.sample(world.names, rng.choice([2, 3]))
-    for name in ends:
+    crashing = rng.sample(world.names, rng.choice([2, 3]))
+    for name in crashing:
         later(span - 1.0 + rng.random(), world.crash, name, rng.choice([0.2, 1.0, 25.0]))
 
 
-def hear_late(world: World, rng: random.Random) -> None:
-    """Some controllers hear of changes late, and one ends meanwhile."""
+def delay_watches(world: World, rng: random.Random) -> None:
+    """Some controllers get watch events late, and one crashes meanwhile."""
     for name in rng.sample(world.names, rng.choice([1, 2])):
         world.state.late_watches[name] = rng.choice([0.3, 1.5])
         world.clock.callLater(20.0, world.state.late_watches.pop, name, None)
     if rng.random() < 0.7:
-        end = rng.choice(world.names)
-        world.clock.callLater(5.0 * rng.random(), world.crash, end, rng.choice([0.3, 30.0]))
+        crashing = rng.choice(world.names)
+        world.clock.callLater(5.0 * rng.random(), world.crash, crashing, rng.choice([0.3, 30.0]))
 
 
 def play(seed: int, size: int, rounds: int = ROUNDS) -> World:
@@ -95,8 +95,10 @@
     for _ in range(rounds):
         for _ in range(4 * size):
             jobs += 1
-            load(world, rng, f"j-{jobs}", min(size, 3))
-        trouble = rng.choice([end_with_holders, end_with_holders, hear_late, fault, None])
+            submit_job(world, rng, f"j-{jobs}", min(size, 3))
+        trouble = rng.choice(
+            [crash_as_machines_return, crash_as_machines_return, delay_watches, fault, None]
+        )
         if trouble is not None:
             trouble(world, rng)
         for job in [f"j-{rng.randint(1, jobs)}" for _ in range(size)]:
@@ -114,15 +116,15 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_teams_at_their_limits(seed: int) -> None:
+def test_teams_at_their_quotas(seed: int) -> None:
     world = play(seed, 1)
     world.run(world.clock.seconds() + 30)
     check(world)
-    give_back(world)
+    check_all_released(world)
 
 
-def give_back(world: World) -> None:
-    """Once all jobs are over nothing is in use, and each team can fill its limit again."""
+def check_all_released(world: World) -> None:
+    """Once all jobs are over nothing is in use, and each team can fill its quota again."""
     for job in world.checker.accepted:
         if job not in world.checker.told:
             world.cancel(job)
@@ -145,6 +147,6 @@
     check(world)
 
 
-def test_teams_of_several_hundred_machines_at_their_limits() -> None:
+def test_teams_of_several_hundred_machines_at_their_quotas() -> None:
     world = play(3900, 14, rounds=3)
     check(world)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -25,7 +25,7 @@
 from beamspar.state import keys
 from beamspar.state.control_records import Machine, shard_record
 from tests.standins.clock import SimClock
-from tests.test_budget import settings
+from tests.test_quota_manager import settings
 
 LARGEST_FLEET = 6000
 TASKS_EACH = 8
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -13,7 +13,7 @@
 from beamspar.state.client import KeyValue
 from beamspar.state.control_records import Machine, shard_record
 from tests.standins.clock import SimClock
-from tests.test_budget import settings
+from tests.test_quota_manager import settings
 
 FENCE = "c/fence/rig-0"
 
