--- a/src/beamspar/quota/__init__.py
+++ b/src/beamspar/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Team quotas: allocations by partition, their use, and preemption at the limit."""
+"""Team quotas: allocations by partition, their use, and preemption at the quota."""
--- a/src/beamspar/quota/allocation_planner.py
+++ b/src/beamspar/quota/allocation_planner.py
@@ -40,7 +40,7 @@
 
     def needs_write(self, team: str) -> bool:
         """Is the team's record to be written, and may it be?"""
-        quota = self._records.quota_of(team)
+        quota = self._records.read(team)
         if not self._is_writable(quota):
             return False
         return self.is_indeterminate(team) or any(
@@ -49,7 +49,7 @@
 
     def partitions_of(self, team: str) -> list[str]:
         """Our partitions that have or want an allocation of the team's quota."""
-        allocated = self._records.quota_of(team).raw
+        allocated = self._records.read(team).raw
         partitions = {*allocated, *self._requests.partitions_of(team)}
         return sorted(partition for partition in partitions if self._owns(partition))
 
--- a/src/beamspar/quota/allocation_writer.py
+++ b/src/beamspar/quota/allocation_writer.py
@@ -113,7 +113,7 @@
             self._on_written(team)
 
     def _propose(self, team: str) -> ProposedWrite:
-        before = after = self._records.quota_of(team)
+        before = after = self._records.read(team)
         registration = self._registration
         conditions = {**registration.fence_condition(), keys.team_quota(team): before.version}
         must_settle = self._planner.is_indeterminate(team)
--- a/src/beamspar/quota/quota_manager.py
+++ b/src/beamspar/quota/quota_manager.py
@@ -82,11 +82,11 @@
     def certain_allocation(self, partition: str, team: str) -> Amounts:
         """What the partition may use for certain, whatever became of indeterminate writes."""
         key = AllocationKey(partition, team)
-        return self._indeterminate_writes.certain_amounts(key, self._records.quota_of(team))
+        return self._indeterminate_writes.certain_amounts(key, self._records.read(team))
 
     def holds_none(self, partition: str) -> bool:
         """Is the partition in no team's record, so that it may be forgotten?"""
-        return not any(partition in self._records.quota_of(team).raw for team in self.teams)
+        return not any(partition in self._records.read(team).raw for team in self.teams)
 
     # -- use
 
@@ -115,14 +115,14 @@
         It never should: every write that binds is covered. Old records of a release that freed
         allocations too early may do it; then nothing of them is started that does not run yet.
         """
-        limits = self.teams.get(team)
-        if limits is None or not self._owns(partition):
+        settings = self.teams.get(team)
+        if settings is None or not self._owns(partition):
             return NOTHING
         used = self._usage.used_by(AllocationKey(partition, team))
         allocated = self.certain_allocation(partition, team)
         excess = Amounts(
-            max(used.cpus - allocated.cpus, 0.0) if limits.cpus_max else 0.0,
-            max(used.gpus - allocated.gpus, 0.0) if limits.gpus_max else 0.0,
+            max(used.cpus - allocated.cpus, 0.0) if settings.cpus_max else 0.0,
+            max(used.gpus - allocated.gpus, 0.0) if settings.gpus_max else 0.0,
         )
         is_over = max(excess) > EPS
         fault = f"jobs of {partition} use {used} of an allocation of {allocated}" if is_over else ""
@@ -145,7 +145,7 @@
         team = self.teams.get(job.spec.team)
         if team is None:
             return True
-        quota = self._records.quota_of(team.name)
+        quota = self._records.read(team.name)
         if team.name in self._records.blocked_teams or not self._owns(job.partition):
             return False
         if self._fits(job, team, quota, job.extra_use(indexes if whole else indexes[:1])):
@@ -211,7 +211,7 @@
             return False
         now = self._registration.clock.seconds()
         if now - job.quota_served_at >= self._registration.timeouts.report:
-            # Not for each task: every step is told in the team's record.
+            # Not for each task: every step is written into the team's record.
             job.quota_served_revision, job.quota_served_at = self._mirror.revision, now
         key = AllocationKey(job.partition, job.spec.team)
         self._requests.served(key, job.id, len(indexes))
@@ -226,7 +226,7 @@
         team = job.spec.team
         if team not in self.teams:
             return False
-        if self._records.quota_of(team).waiting_elsewhere(job.partition):
+        if self._records.read(team).waiting_elsewhere(job.partition):
             return True
         return self._requests.other_job_waits(team, job.id)
 
@@ -239,7 +239,7 @@
         team = self.teams.get(name)
         if team is None:
             return NOTHING
-        quota = self._records.quota_of(name)
+        quota = self._records.read(name)
         lacking = [0.0, 0.0]
         for allocation in quota.allocations.values():
             if allocation.waiting_rank and allocation.waiting_rank - 1 < rank:
@@ -264,7 +264,7 @@
         """Another controller wrote: what we lack may be there, or others may wait for ours."""
         team = key.removeprefix(keys.TEAM_QUOTA_PREFIX)
         if key != team and team in self.teams:
-            version = self._records.quota_of(team).version
+            version = self._records.read(team).version
             self._indeterminate_writes.resolve_older(team, version)
             self._writer.schedule_check(team)
 
--- a/src/beamspar/quota/quota_records.py
+++ b/src/beamspar/quota/quota_records.py
@@ -21,16 +21,16 @@
         self.blocked_teams: set[str] = set()
         self._mirror = mirror
         self._teams = teams
-        self._read: dict[str, TeamQuota] = {}
+        self._newest: dict[str, TeamQuota] = {}
         # What was reported last of each record, and of use above each allocation.
         self._reported: dict[AllocationKey, str] = {}
 
-    def quota_of(self, team: str) -> TeamQuota:
+    def read(self, team: str) -> TeamQuota:
         """The team's record as the mirror has it."""
         value, version = self._mirror.values.get(keys.team_quota(team), ({}, 0))
-        known = self._read.get(team)
+        known = self._newest.get(team)
         if known is None or known.version != version:
-            known = self._read[team] = TeamQuota(value, version)
+            known = self._newest[team] = TeamQuota(value, version)
             if self._is_invalid(known, team):
                 self.blocked_teams.add(team)
             else:
@@ -39,12 +39,12 @@
 
     def blocks_starts(self, team: str) -> bool:
         """Does the present record let nothing more of the team start?"""
-        self.quota_of(team)
+        self.read(team)
         return team in self.blocked_teams
 
     def check_health(self, team: str) -> None:
         """Log what is wrong with the team's record."""
-        quota = self.quota_of(team)
+        quota = self.read(team)
         unknown = sorted(quota.allocations.keys() - self._mirror.partitions.keys())
         fault = ""
         if unknown or self._is_invalid(quota, team):
--- a/src/beamspar/standby/decisions.py
+++ b/src/beamspar/standby/decisions.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-# A machine type, a zone, and whether the machine is a spot machine.
+# Where capacity is rented: a machine type, a zone, and whether the machines are spot machines.
 Place = tuple[str, str, bool]
 
 
--- a/src/beamspar/standby/failover_history.py
+++ b/src/beamspar/standby/failover_history.py
@@ -10,7 +10,7 @@
 
 
 class FailoverHistory:
-    """Owns the times at which one leader replaced another, as far as this controller saw."""
+    """Owns the times at which one leader replaced another, as far as this controller knows."""
 
     def __init__(self, timeouts: Timeouts) -> None:
         self.times: list[float] = []
--- a/src/beamspar/standby/hand_over.py
+++ b/src/beamspar/standby/hand_over.py
@@ -18,8 +18,8 @@
 
 log = Logger(namespace="standby")
 
-# Request time-outs: nothing is decided for three, long enough for the followers to catch up, which
-# has one, and for one of them to be elected, which has two.
+# In time-outs of a request: how long nothing is decided, and of that how long the followers may
+# take to catch up, and one of them to be elected.
 PAUSE_REQUESTS, CATCH_UP_REQUESTS, ELECTION_REQUESTS = 3, 1, 2
 
 
--- a/src/beamspar/standby/standby.py
+++ b/src/beamspar/standby/standby.py
@@ -142,12 +142,12 @@
     def _log_ready(self) -> None:
         """The first decision may be made: say what it will be based on."""
         log.info(
-            "{me} decides in term {term}: copied up to {index} of {was}, lag {lag}, "
-            "confirmed by {heard}",
+            "{me} decides in term {term}: copied up to {index} of {copied_term}, lag {lag}, "
+            "confirmed by {members}",
             me=self.registration.me,
             term=self.log.term,
             index=self.replica.index,
-            was=self.replica.term,
+            copied_term=self.replica.term,
             lag=self.replica.lag,
-            heard=sorted(self._leader.confirmed()),
+            members=sorted(self._leader.confirmed()),
         )
--- a/tests/kill_leader.py
+++ b/tests/kill_leader.py
@@ -1,4 +1,4 @@
-"""Kills the leader of a loopback deployment again and again, and tells how soon another decides.
+"""Kills the leader of a loopback deployment repeatedly, and measures when a successor decides.
 
     PYTHONPATH=src:. python -m tests.kill_leader --kills 50 --report target/takeovers
 
@@ -26,9 +26,14 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 POLL_S = 0.05
-# How long a deployment may take to decide, at the start and after a kill.
-PATIENCE_S = 60.0
+# How long a deployment may take until a leader decides, at the start and after a kill.
+DECISION_TIMEOUT_S = 60.0
 HAND_OVER_TRIES = 5
+# How long all controllers may take to follow again after a kill.
+SETTLING_TIMEOUT_S = 25.0
+# How long the deployment runs on without new jobs, for the arrays to finish.
+FINISHING_S = 40.0
+PERCENTILES = [10, 25, 50, 75, 90, 95, 99, 100]
 ZONES = ["east", "west", "south"]
 
 
@@ -51,7 +56,7 @@
 
 
 class Result(msgspec.Struct):
-    """What a run shows; the rules are judged by the stand-ins' checker."""
+    """The outcome of a run; the stand-ins' checker says which rules were broken."""
 
     takeovers: list[Takeover]
     broken: list[str]
@@ -72,7 +77,7 @@
     return CommandRun(list(words), done.returncode, done.stdout + done.stderr)
 
 
-class Killer:
+class LeaderKiller:
     """Drives one run on a deployment."""
 
     def __init__(self, world: Any, kills: int, rng: random.Random) -> None:
@@ -83,7 +88,7 @@
         self.submitting = True
 
     async def status(self, name: str) -> dict[str, Any] | None:
-        """What the controller's standby says of itself; None when it does not answer."""
+        """The status of the controller's standby; None when it does not answer."""
         try:
             answer = await self.world.network.request(
                 "tool", "POST", f"{name}:81", "/peer/standby", b"{}", 0.5
@@ -93,11 +98,11 @@
         found: dict[str, Any] | None = orjson.loads(answer.body) if answer.status == 200 else None
         return found
 
-    async def deciding(self, term: int = 0) -> dict[str, Any]:
-        """Wait for a controller that decides in a later term."""
+    async def wait_for_decider(self, term: int = 0) -> dict[str, Any]:
+        """Wait for a controller that decides in a later term, and return its status."""
         clock = self.world.clock
         since = clock.seconds()
-        while clock.seconds() - since < PATIENCE_S:
+        while clock.seconds() - since < DECISION_TIMEOUT_S:
             asked = [ensureDeferred(self.status(name)) for name in self.world.names]
             for waiting in asked:
                 status = await waiting
@@ -120,29 +125,29 @@
         self.world.clock.callLater(self.rng.uniform(0.3, 1.2), self.submit)
 
     async def kill_once(self) -> Takeover:
-        """Kill the one that decides, at a random moment, and wait for the next."""
+        """Kill the leader at a random moment, and wait for its successor."""
         clock = self.world.clock
         await sleep(clock, self.rng.uniform(0.0, 2.0))
-        status = await self.deciding()
+        status = await self.wait_for_decider()
         name = status["member"]
         followers = status["succession"]
-        held = followers[0] if followers and self.rng.random() < 0.25 else ""
-        if held:
-            # It falls behind, and wakes as the leader is gone.
-            self.world.hold(held, True)
+        paused = followers[0] if followers and self.rng.random() < 0.25 else ""
+        if paused:
+            # It falls behind, and resumes as the leader is gone.
+            self.world.hold(paused, True)
             await sleep(clock, 1.0)
         killed_at = clock.seconds()
         self.world.crash(name, self.rng.choice([0.5, 3.0, 6.0]))
-        if held:
-            self.world.hold(held, False)
-        after = await self.deciding(status["term"])
+        if paused:
+            self.world.hold(paused, False)
+        after = await self.wait_for_decider(status["term"])
         seconds = clock.seconds() - killed_at
-        return Takeover(name, after["member"], seconds, bool(held), after["lag"])
+        return Takeover(name, after["member"], seconds, bool(paused), after["lag"])
 
-    async def settled(self) -> None:
-        """All controllers answer and follow again, or one and a half leases are over."""
+    async def wait_until_settled(self) -> None:
+        """Wait until all controllers answer and follow again, at most one and a half leases."""
         since = self.world.clock.seconds()
-        while self.world.clock.seconds() - since < 25.0:
+        while self.world.clock.seconds() - since < SETTLING_TIMEOUT_S:
             statuses = [await self.status(name) for name in self.world.names]
             leading = [s for s in statuses if s is not None and s["deciding"]]
             if all(statuses) and leading and len(leading[0]["succession"]) == len(statuses) - 1:
@@ -163,16 +168,16 @@
         return done
 
     async def run(self) -> Result:
-        """The whole run: kills, then quiet, then judgement."""
+        """The whole run: kills, then commands, then time for the arrays to finish."""
         load_before = os.getloadavg()[0]
         takeovers = []
-        await self.deciding()
+        await self.wait_for_decider()
         self.submit()
         for number in range(self.kills):
-            await self.settled()
+            await self.wait_until_settled()
             takeovers.append(await self.kill_once())
             click.echo(f"kill {number + 1}: {takeovers[-1]}", err=True)
-        await self.settled()
+        await self.wait_until_settled()
         commands = [
             await self.command("status"),
             await self.hand_over(),
@@ -180,7 +185,7 @@
         ]
         self.submitting = False
         load_after = os.getloadavg()[0]
-        await sleep(self.world.clock, 40.0)
+        await sleep(self.world.clock, FINISHING_S)
         unfinished = [
             job
             for job, spec in self.world.checker.jobs.items()
@@ -198,22 +203,22 @@
 
 
 def write_report(result: Result, folder: Path) -> None:
-    """The distribution as a page with a plot."""
+    """Write the distribution as a page with a plot."""
     import pygal
     from hdrh.histogram import HdrHistogram
 
     histogram = HdrHistogram(1, 120_000, 3)
     for takeover in result.takeovers:
         histogram.record_value(int(takeover.seconds * 1000))
-    shares = [10, 25, 50, 75, 90, 95, 99, 100]
-    values = [histogram.get_value_at_percentile(share) for share in shares]
+    values = [histogram.get_value_at_percentile(percentile) for percentile in PERCENTILES]
     chart = pygal.Line(title="Kill of the leader to the next one that decides (ms)")
-    chart.x_labels = [f"{share} %" for share in shares]
+    chart.x_labels = [f"{percentile} %" for percentile in PERCENTILES]
     chart.add("milliseconds", values)
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "result.json").write_bytes(orjson.dumps(msgspec.to_builtins(result)))
     rows = "".join(
-        f"<tr><td>{s} %</td><td>{v} ms</td></tr>" for s, v in zip(shares, values, strict=True)
+        f"<tr><td>{percentile} %</td><td>{value} ms</td></tr>"
+        for percentile, value in zip(PERCENTILES, values, strict=True)
     )
     (folder / "index.html").write_text(
         f"<!doctype html><title>Takeovers</title><h1>{len(result.takeovers)} kills</h1>"
@@ -242,7 +247,7 @@
         capacity=[{"kind": "small", "zone": zone, "count": 4} for zone in ZONES],
         machines=[{"kind": "small", "zone": zone, "count": 4} for zone in ZONES],
     )
-    result = drive(reactor, world, Killer(world, kills, rng).run())
+    result = drive(reactor, world, LeaderKiller(world, kills, rng).run())
     if report is not None:
         write_report(result, report)
     click.echo(orjson.dumps(msgspec.to_builtins(result)).decode())
