--- a/src/beamspar/quota/quota_manager.py
+++ b/src/beamspar/quota/quota_manager.py
@@ -2,8 +2,8 @@
 
 The allocations in a team's record never sum up to more than the quota, whoever fails or lags,
 because every change of the record is a compare-and-swap. An allocation moves with its partition.
-What a partition uses is what its stored job records may bind (`quota_usage`), so whoever takes it
-over finds nothing bound beyond its allocation.
+What a partition uses is what its stored job records may bind (`quota_usage`), so a new
+owner finds nothing bound beyond the allocation.
 """
 
 from __future__ import annotations
@@ -44,8 +44,8 @@
         platform = settings.platform
         # Teams with a quota, by name.
         self.teams = {team.name: team for team in platform.teams if any(quota_of(team))}
-        # The partitions whose jobs are all in memory, and what to call when a write of a record
-        # that our jobs wait for has been carried out or has failed. Both are set from outside.
+        # Set from outside: the partitions whose jobs are all in memory, and what to call when a
+        # write of a record that our jobs wait for has been applied or has failed.
         self.loaded: Callable[[], set[str]] = set
         self.on_share: Callable[[], None] = lambda: None
         self._registration = registration
@@ -118,15 +118,16 @@
         settings = self.teams.get(team)
         if settings is None or not self._owns(partition):
             return NOTHING
-        used = self._usage.used_by(AllocationKey(partition, team))
-        allocated = self.certain_allocation(partition, team)
+        key = AllocationKey(partition, team)
+        used = self._usage.used_by(key)
+        allocated = self._indeterminate_writes.certain_amounts(key, self._records.read(team))
         excess = Amounts(
             max(used.cpus - allocated.cpus, 0.0) if settings.cpus_max else 0.0,
             max(used.gpus - allocated.gpus, 0.0) if settings.gpus_max else 0.0,
         )
         is_over = max(excess) > EPS
         fault = f"jobs of {partition} use {used} of an allocation of {allocated}" if is_over else ""
-        self._records.report_fault(AllocationKey(partition, team), fault)
+        self._records.report_fault(key, fault)
         return excess if is_over else NOTHING
 
     def may_start(self, partition: str, team: str) -> bool:
@@ -137,7 +138,7 @@
 
     # -- requests
 
-    def covers(self, job: Job, indexes: Sequence[int], whole: bool = False) -> bool:
+    def covers(self, job: Job, indexes: Sequence[int], is_all_or_nothing: bool = False) -> bool:
         """Does the allocation cover the first of these tasks, or all that start together?
 
         If not, an allocation for all of them is requested.
@@ -148,9 +149,11 @@
         quota = self._records.read(team.name)
         if team.name in self._records.blocked_teams or not self._owns(job.partition):
             return False
-        if self._fits(job, team, quota, job.extra_use(indexes if whole else indexes[:1])):
+        if self._fits(
+            job, team, quota, job.extra_use(indexes if is_all_or_nothing else indexes[:1])
+        ):
             return True
-        self._request(job, job.extra_use(indexes), whole and len(indexes) > 1)
+        self._request(job, job.extra_use(indexes), is_all_or_nothing and len(indexes) > 1)
         return False
 
     def _fits(self, job: Job, team: Team, quota: TeamQuota, tasks: int) -> bool:
@@ -207,7 +210,7 @@
 
     def reserve(self, job: Job, indexes: Sequence[int]) -> bool:
         """May all of these tasks be bound now? Then the job's request is less by so many."""
-        if not self.covers(job, indexes, whole=True):
+        if not self.covers(job, indexes, is_all_or_nothing=True):
             return False
         now = self._registration.clock.seconds()
         if now - job.quota_served_at >= self._registration.timeouts.report:
