--- a/tests/test_attempt_statuses.py
+++ b/tests/test_attempt_statuses.py
@@ -19,7 +19,7 @@
 from beamspar.state.control_records import Machine, shard_record
 from beamspar.state.job_records import JobStatus, Layout
 from tests.standins.clock import SimClock
-from tests.test_budget import settings
+from tests.test_quota_manager import settings
 
 TOKEN = 7
 SPEC = JobSpec("j-1", "front", "red", "sweep", "normal", 2, 1.0, 0.0, 1.0, "img", 1.0)
