--- /dev/null
+++ b/src/beamspar/jobs/chunk_removal.py
@@ -0,0 +1,35 @@
+"""Removes chunks of jobs' records that no record names any more."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from beamspar.settings import StateServiceLimits, Timeouts
+from beamspar.state.client import RequestPriority, StateClient, StateUnavailableError, drop
+from beamspar.state.job_records import Layout
+from beamspar.transport.http import Clock, sleep
+
+
+class ChunkRemover:
+    """Removes chunks in the background, as many at a time as a transaction takes."""
+
+    def __init__(
+        self, clock: Clock, state: StateClient, limits: StateServiceLimits, timeouts: Timeouts
+    ) -> None:
+        self._clock = clock
+        self._state = state
+        self._limits = limits
+        self._timeouts = timeouts
+
+    async def remove(self, job_id: str, layout: Layout, chunks: Iterable[int]) -> None:
+        """Remove these chunks, retrying for as long as the state service is unavailable."""
+        remaining = sorted(chunks)
+        most = self._limits.smallest.txn_ops
+        while remaining:
+            changes = [drop(layout.key(job_id, chunk)) for chunk in remaining[:most]]
+            try:
+                await self._state.transact({}, changes, RequestPriority.BACKGROUND)
+            except StateUnavailableError:
+                await sleep(self._clock, self._timeouts.retry)
+            else:
+                del remaining[:most]
--- a/src/beamspar/jobs/failure_backoff.py
+++ b/src/beamspar/jobs/failure_backoff.py
@@ -1,8 +1,8 @@
 """Holds back a job whose tasks fail wherever they run.
 
 A job that was submitted with a mistake fails on every machine until its user cancels it. A pause
-for each of its tasks does not bound what it costs: an array of thousands goes on taking machines,
-image fetches, writes and its team's limit. So failures are counted for the job as a whole. While
+for each of its tasks does not bound what it costs: an array of thousands goes on using machines,
+image fetches, writes and its team's quota. So failures are counted for the job as a whole. While
 nothing of it has ever succeeded, it has failed on several machines and more often than tasks of it
 are running, only a few of its tasks run at a time, as probes, with a pause that doubles with each
 round of failures. One success ends that: a job that only met faulty machines goes on at once.
@@ -10,55 +10,56 @@
 
 from __future__ import annotations
 
-# On so many different machines a job fails before the job, and not the machines, is to blame.
+# On so many different machines a job fails before its failures are attributed to the job itself,
+# and not to the machines.
 MACHINES_TO_BLAME = 3
-# Tasks of a job to blame that run at a time.
-PROBES = 2
+# Tasks that run at a time of a job to which its failures are attributed.
+CONCURRENT_PROBES = 2
 # The longest pause between probes, in retry intervals.
-LONGEST_PAUSE = 64.0
+MAX_PROBE_PAUSE = 64.0
 
 
 class FailureBackoff:
-    """What one job's failures say; kept in memory by its owner."""
+    """What one job's failures say; kept in memory by its controller."""
 
     def __init__(self) -> None:
-        self.succeeded = False
-        self.failures = 0
-        # Machines that it failed on, no more of them than it takes to blame the job.
-        self._machines: set[str] = set()
+        self._has_succeeded = False
+        self._failures = 0
+        # Machines that it failed on, no more of them than it takes to attribute that to the job.
+        self._failed_machines: set[str] = set()
         self._rounds = 0
         self._not_before = 0.0
 
     @property
     def to_blame(self) -> bool:
         """Is the job itself at fault, as far as can be told?"""
-        return not self.succeeded and len(self._machines) >= MACHINES_TO_BLAME
+        return not self._has_succeeded and len(self._failed_machines) >= MACHINES_TO_BLAME
 
     def failed(self, machine: str, now: float, retry_s: float) -> bool:
-        """A task failed there; True when that is what makes the job to blame."""
-        if self.succeeded:
+        """A task failed there; True if from this failure on they are attributed to the job."""
+        if self._has_succeeded:
             return False
-        self.failures += 1
-        blamed = self.to_blame
-        if not blamed:
-            self._machines.add(machine)
+        self._failures += 1
+        was_at_fault = self.to_blame
+        if not was_at_fault:
+            self._failed_machines.add(machine)
         if not self.to_blame:
             return False
         if now >= self._not_before:
             # Failures of tasks that were bound together count as one.
-            self._not_before = now + retry_s * min(2.0**self._rounds, LONGEST_PAUSE)
+            self._not_before = now + retry_s * min(2.0**self._rounds, MAX_PROBE_PAUSE)
             self._rounds += 1
-        return not blamed
+        return not was_at_fault
 
     def succeed(self) -> None:
-        """A task of the job has done what it should."""
-        self.succeeded = True
-        self._machines.clear()
+        """A task of the job has completed."""
+        self._has_succeeded = True
+        self._failed_machines.clear()
 
     def may_start(self, most: int, bound: int, running: int, now: float) -> int:
         """How many more of its tasks may be bound now, of so many that wait."""
-        if not self.to_blame or running >= self.failures:
+        if not self.to_blame or running >= self._failures:
             return most
         if now < self._not_before:
             return 0
-        return max(min(most, PROBES - bound), 0)
+        return max(min(most, CONCURRENT_PROBES - bound), 0)
--- a/src/beamspar/jobs/gang.py
+++ b/src/beamspar/jobs/gang.py
@@ -12,16 +12,16 @@
 
 import msgspec
 
-# Of the time that a task waits for its gang, what looking for a replacement may take. Then the
-# gang lets go of its machines, or two gangs could hold what each other needs.
-REPLACE_SHARE = 0.25
-# The longest pause before a gang that could not be completed is placed anew, in retries.
-LONGEST_PAUSE = 32
+from beamspar.jobs.task import TaskState
 
-GATHERING, RUNNING, SAVING = "gathering", "running", "saving"
+# Of the time that a task waits for its gang, what looking for a replacement may take. Then the
+# gang releases its machines, or two gangs could hold what each other needs.
+REPLACEMENT_WAIT_SHARE = 0.25
+# The longest delay before a gang that could not be completed is placed anew, in retry intervals.
+MAX_RETRY_DELAY = 32
 
 
-class Phase(Enum):
+class GangPhase(Enum):
     """What a gang's attempt needs now."""
 
     # No task is bound: all are placed together, under the next attempt number.
@@ -36,16 +36,20 @@
     STOPPING = "stopping"
 
 
+# Its name in the modules that are not renamed yet.
+Phase = GangPhase
+
+
 class Gang(msgspec.Struct):
-    """What is known of the present attempt."""
+    """What is known of a gang's present attempt."""
 
     # A task was seen running or saving: it can't be completed any more.
-    started: bool = False
-    # It was bound by this process, or a holder has told the state of one of its tasks.
+    has_started: bool = False
+    # It was bound by this process, or a machine's controller has reported one of its tasks.
     known: bool = False
     # It is to stop as a whole.
     stopping: bool = False
-    # A task of it is over, so that nothing more can be saved.
+    # An attempt of one of its tasks has ended, so that no checkpoint can be saved any more.
     broken: bool = False
     # Since when a task is missing.
     missing_since: float | None = None
@@ -56,23 +60,23 @@
 
     def begin(self) -> None:
         """A new attempt is bound."""
-        self.started = self.stopping = self.broken = False
+        self.has_started = self.stopping = self.broken = False
         self.known = True
         self.missing_since = None
         self.left.clear()
 
     def saw(self, state: str) -> None:
-        """A holder tells the state of one of its tasks."""
+        """A machine's controller has reported this state of one of its tasks."""
         self.known = True
-        if state in (RUNNING, SAVING):
-            self.started = True
+        if state in (TaskState.RUNNING, TaskState.SAVING):
+            self.has_started = True
             self.failures = 0
-        if state == SAVING:
-            # One that stops alone saves nothing: all are to be told at once.
+        if state == TaskState.SAVING:
+            # One that stops alone saves nothing: all are to be stopped at once.
             self.stopping = True
 
     def lose(self, machine: str, now: float, may_replace: bool) -> None:
-        """One of its tasks is over, and was not done."""
+        """An attempt of one of its tasks has ended without completing the task."""
         self.broken = True
         self.left.add(machine)
         if self.missing_since is None:
@@ -80,29 +84,32 @@
         if not may_replace:
             self.stopping = True
 
-    def phase(self, tasks: int, bound: int, now: float, gang_wait_s: float) -> Phase:
+    def phase(
+        self, unfinished_count: int, bound_count: int, now: float, gang_wait_s: float
+    ) -> GangPhase:
         """What it needs, with so many of its unfinished tasks bound."""
-        if not bound:
-            return Phase.WAITING
-        if self.stopping or (bound < tasks and self.started):
-            return Phase.STOPPING
-        if bound == tasks:
-            return Phase.WHOLE
+        if not bound_count:
+            return GangPhase.WAITING
+        if self.stopping or (bound_count < unfinished_count and self.has_started):
+            return GangPhase.STOPPING
+        if bound_count == unfinished_count:
+            return GangPhase.WHOLE
         if not self.known:
-            return Phase.UNKNOWN
-        since = now if self.missing_since is None else self.missing_since
-        if now - since > gang_wait_s * REPLACE_SHARE:
-            return Phase.STOPPING
-        return Phase.INCOMPLETE
+            return GangPhase.UNKNOWN
+        missing_since = now if self.missing_since is None else self.missing_since
+        if now - missing_since > gang_wait_s * REPLACEMENT_WAIT_SHARE:
+            return GangPhase.STOPPING
+        return GangPhase.INCOMPLETE
 
     def completed(self) -> None:
         """All tasks are bound again."""
         self.broken = False
         self.missing_since = None
 
-    def pause(self, job: str, retry_s: float) -> float:
-        """How long it waits before it is placed anew; others of its kind wait otherwise."""
+    def pause(self, job_id: str, retry_s: float) -> float:
+        """How long it waits before it is placed anew; the jitter differs from job to job."""
         if not self.failures:
             return retry_s
-        turns = min(2.0**self.failures, LONGEST_PAUSE)
-        return retry_s * turns * (0.5 + crc32(job.encode()) / 2**32)
+        retries = min(2.0**self.failures, MAX_RETRY_DELAY)
+        jitter = 0.5 + crc32(job_id.encode()) / 2**32
+        return retry_s * retries * jitter
--- a/tests/test_failure_backoff.py
+++ b/tests/test_failure_backoff.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from beamspar.jobs.failure_backoff import LONGEST_PAUSE, PROBES, FailureBackoff
+from beamspar.jobs.failure_backoff import CONCURRENT_PROBES, MAX_PROBE_PAUSE, FailureBackoff
 from beamspar.machines.fault_evidence import MOST_JOBS, FaultEvidence
 from beamspar.machines.managed_machine import ManagedMachine
 from beamspar.settings import OperatorSettings, Settings, Timeouts
@@ -41,16 +41,16 @@
     backoff = failing(3)
     assert backoff.to_blame
     assert backoff.may_start(200, 0, 0, RETRY_S * 0.9) == 0
-    assert backoff.may_start(200, 0, 0, RETRY_S) == PROBES
-    assert backoff.may_start(200, PROBES, 0, RETRY_S) == 0
+    assert backoff.may_start(200, 0, 0, RETRY_S) == CONCURRENT_PROBES
+    assert backoff.may_start(200, CONCURRENT_PROBES, 0, RETRY_S) == 0
     backoff.failed("host-9", RETRY_S, RETRY_S)
     assert backoff.may_start(200, 0, 0, RETRY_S * 2.9) == 0
-    assert backoff.may_start(200, 0, 0, RETRY_S * 3) == PROBES
+    assert backoff.may_start(200, 0, 0, RETRY_S * 3) == CONCURRENT_PROBES
     now = 1000.0
     for _ in range(20):
         backoff.failed("host-9", now, RETRY_S)
-        now += RETRY_S * LONGEST_PAUSE
-    assert backoff.may_start(200, 0, 0, now) == PROBES
+        now += RETRY_S * MAX_PROBE_PAUSE
+    assert backoff.may_start(200, 0, 0, now) == CONCURRENT_PROBES
 
 
 def test_a_job_that_mostly_runs_is_not_held_back() -> None:
--- a/tests/test_gang.py
+++ b/tests/test_gang.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from beamspar.jobs.gang import LONGEST_PAUSE, Gang, Phase
+from beamspar.jobs.gang import MAX_RETRY_DELAY, Gang, GangPhase
 from beamspar.jobs.job import Job
 from beamspar.protocol.jobs import JobSpec
 from beamspar.quota import quota_preemption as limit_yield
@@ -20,66 +20,66 @@
     return gang
 
 
-def phase(gang: Gang, left: int, now: float = 0.0) -> Phase:
+def phase(gang: Gang, left: int, now: float = 0.0) -> GangPhase:
     return gang.phase(4, left, now, WAIT)
 
 
 def test_with_none_bound_it_waits_to_be_placed_whole() -> None:
-    assert phase(Gang(), 0) is Phase.WAITING
-    assert phase(bound(), 4) is Phase.WHOLE
+    assert phase(Gang(), 0) is GangPhase.WAITING
+    assert phase(bound(), 4) is GangPhase.WHOLE
 
 
 def test_a_task_lost_before_the_start_is_replaced_elsewhere() -> None:
     gang = bound()
     gang.saw("gathering")
     gang.lose("host-1", 5.0, may_replace=True)
-    assert phase(gang, 3, 5.0) is Phase.INCOMPLETE
+    assert phase(gang, 3, 5.0) is GangPhase.INCOMPLETE
     assert gang.left == {"host-1"}
 
 
 def test_a_replacement_is_not_looked_for_for_ever() -> None:
     gang = bound()
     gang.lose("host-1", 5.0, may_replace=True)
-    assert phase(gang, 3, 14.0) is Phase.INCOMPLETE
-    assert phase(gang, 3, 16.0) is Phase.STOPPING
+    assert phase(gang, 3, 14.0) is GangPhase.INCOMPLETE
+    assert phase(gang, 3, 16.0) is GangPhase.STOPPING
     # Completed in time, the next loss has its own.
     gang.completed()
     gang.lose("host-2", 30.0, may_replace=True)
-    assert phase(gang, 3, 31.0) is Phase.INCOMPLETE
+    assert phase(gang, 3, 31.0) is GangPhase.INCOMPLETE
 
 
 def test_a_task_lost_after_the_start_stops_all() -> None:
     gang = bound()
     gang.saw("running")
     gang.lose("host-1", 5.0, may_replace=True)
-    assert phase(gang, 3, 5.0) is Phase.STOPPING
-    assert phase(gang, 0, 5.0) is Phase.WAITING
+    assert phase(gang, 3, 5.0) is GangPhase.STOPPING
+    assert phase(gang, 0, 5.0) is GangPhase.WAITING
 
 
 def test_peers_that_are_gone_stop_all_though_no_start_was_seen() -> None:
     gang = bound()
     gang.saw("gathering")
     gang.lose("host-1", 5.0, may_replace=False)
-    assert phase(gang, 3, 5.0) is Phase.STOPPING
+    assert phase(gang, 3, 5.0) is GangPhase.STOPPING
 
 
 def test_one_that_saves_stops_all() -> None:
     gang = bound()
     gang.saw("running")
-    assert phase(gang, 4) is Phase.WHOLE
+    assert phase(gang, 4) is GangPhase.WHOLE
     gang.saw("saving")
-    assert phase(gang, 4) is Phase.STOPPING
+    assert phase(gang, 4) is GangPhase.STOPPING
     gang.begin()
-    assert phase(gang, 4) is Phase.WHOLE
+    assert phase(gang, 4) is GangPhase.WHOLE
 
 
 def test_restored_with_a_loss_it_waits_until_its_state_is_told() -> None:
     gang = Gang()
-    assert phase(gang, 3) is Phase.UNKNOWN
+    assert phase(gang, 3) is GangPhase.UNKNOWN
     gang.saw("gathering")
-    assert phase(gang, 3) is Phase.INCOMPLETE
+    assert phase(gang, 3) is GangPhase.INCOMPLETE
     gang.saw("running")
-    assert phase(gang, 3) is Phase.STOPPING
+    assert phase(gang, 3) is GangPhase.STOPPING
 
 
 def test_pauses_grow_and_differ_between_jobs() -> None:
@@ -90,7 +90,7 @@
         gang.failures += 1
         pauses.append(gang.pause("j-1", 0.5))
     assert pauses == sorted(pauses) and pauses[0] > 0.5
-    assert pauses[-1] <= 0.5 * LONGEST_PAUSE * 1.5
+    assert pauses[-1] <= 0.5 * MAX_RETRY_DELAY * 1.5
     assert gang.pause("j-1", 0.5) != gang.pause("j-2", 0.5)
     gang.saw("running")
     assert gang.pause("j-1", 0.5) == 0.5
--- a/tests/test_job_writer.py
+++ b/tests/test_job_writer.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from tests.test_acceptor import SPEC, make
+from tests.test_job_acceptor import SPEC, make
 
 
 def test_a_write_acknowledged_after_the_job_was_given_up_counts_nothing() -> None:
--- a/tests/test_limit_use.py
+++ b/tests/test_limit_use.py
@@ -58,7 +58,7 @@
     for index in (0, 1):
         job.unbind(index)
         job.retry_queue.append(index)
-    job.relayout(Layout(2))
+    job.change_layout(Layout(2))
     assert job.quota_usage.tasks == 8
     for chunk in range(4):
         job.quota_usage.written(chunk, job.quota_usage.writing(chunk))
--- a/tests/test_many_tasks.py
+++ b/tests/test_many_tasks.py
@@ -53,7 +53,7 @@
         zones, machines = job.places(lambda machine: machine[-1:])
         assert (job.bound, job.running, machines) == plain_counts(job)
         assert sum(zones.values()) == job.bound
-        assert job.done_count == sum(len(done) for done in job.done.values())
+        assert job.done_count == sum(len(done) for done in job.completed.values())
     assert job.done_count > 0
 
 
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -66,7 +66,7 @@
     owner.forget(owner.jobs["j-1"], ended=True)
     first.callback(None)
     assert "j-1" not in owner.jobs
-    assert not owner.loader.reading and not owner.loader.ended
+    assert not owner.loader.load_count and not owner.loader.finished_meanwhile
 
 
 def test_a_withdrawal_stored_after_the_read_is_heeded_as_the_job_is_kept() -> None:
