--- a/tests/reshuffle.py
+++ b/tests/reshuffle.py
@@ -205,7 +205,7 @@
             if jobs[job]["shape"] == "sweep" and world.status(job) != "done"
         ]
         again = [
-            world.checker.starts.get(job, 0) - jobs[job]["parcels"]
+            world.checker.start_counts.get(job, 0) - jobs[job]["parcels"]
             for job in world.checker.accepted
             if jobs[job]["shape"] == "sweep"
         ]
--- a/tests/standins/clock.py
+++ b/tests/standins/clock.py
@@ -10,35 +10,38 @@
 
 
 class SimClock:
-    """Steady time that moves only when told to; timers fire in the order of their times."""
+    """Monotonic time that advances only on request; timers fire in the order of their times."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.count = 0
-        self.heap: list[tuple[float, int, DelayedCall]] = []
+        self.scheduled_count = 0
+        self.timers: list[tuple[float, int, DelayedCall]] = []
 
     def seconds(self) -> float:
+        """The time now."""
         return self.now
 
     def callLater(  # noqa: N802
         self, delay: float, f: Callable[..., Any], *args: Any, **kw: Any
     ) -> DelayedCall:
+        """Call the function after the delay; the result can be cancelled or put off."""
         call = DelayedCall(
             self.now + delay, f, args, kw, lambda _: None, lambda _: None, self.seconds
         )
-        self.count += 1
-        heapq.heappush(self.heap, (call.getTime(), self.count, call))
+        self.scheduled_count += 1
+        heapq.heappush(self.timers, (call.getTime(), self.scheduled_count, call))
         return call
 
     def advance_to(self, until: float) -> None:
-        while self.heap and self.heap[0][0] <= until:
-            at, _, call = heapq.heappop(self.heap)
+        """Run all timers that are due up to then."""
+        while self.timers and self.timers[0][0] <= until:
+            at, _, call = heapq.heappop(self.timers)
             if not call.active():
                 continue
             if call.getTime() > at:
                 # It was put off meanwhile.
-                self.count += 1
-                heapq.heappush(self.heap, (call.getTime(), self.count, call))
+                self.scheduled_count += 1
+                heapq.heappush(self.timers, (call.getTime(), self.scheduled_count, call))
                 continue
             self.now = max(self.now, at)
             call.called = 1
--- a/tests/standins/history.py
+++ b/tests/standins/history.py
@@ -1,4 +1,4 @@
-"""Checks the history of leaders: their logs, the copies of these, and what they stored."""
+"""Checks the history of leaders: their decision logs, replicas of these, and stored records."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 BLOCK, LEADER = "c/block/", "c/leader"
 
 
-class LeadHistory:
-    """Collects what is decided and copied; a contradiction is an entry in `faults`."""
+class LeaderHistory:
+    """Collects what is decided and replicated; a contradiction is an entry in `faults`."""
 
     def __init__(self) -> None:
         self.entries: dict[tuple[int, int], Decision] = {}
@@ -23,13 +23,13 @@
         self.faults: list[str] = []
 
     def decided(self, term: int, index: int, decision: Decision) -> None:
-        """A leader has numbered a decision: nobody else may use that number."""
+        """A leader has logged a decision: no other decision may have that term and index."""
         if (term, index) in self.entries:
             self.faults.append(f"two decisions are {term}.{index}")
         self.entries[(term, index)] = decision
 
-    def copied(self, replica: int, term: int, index: int, decision: Decision) -> None:
-        """A follower has applied an entry: the leader's, in order, once."""
+    def replicated(self, replica: int, term: int, index: int, decision: Decision) -> None:
+        """A follower has applied an entry: the one that was decided, in order, once."""
         if self.entries.get((term, index)) != decision:
             self.faults.append(f"{term}.{index} is not what was decided")
         before = self.applied.get(replica)
@@ -45,8 +45,8 @@
         self.applied[replica] = (term, index)
 
     def stored(self, history: list[tuple[int, dict[str, Any]]]) -> None:
-        """Blocks change only in writes that renew the lead's record, one leader at a time,
-        and no machine is ever in two blocks."""
+        """Shards change only in writes that also renew the leader's record, by one leader at a
+        time, and no machine is ever in two shards."""
         by_revision: dict[int, list[dict[str, Any]]] = {}
         for revision, event in history:
             by_revision.setdefault(revision, []).append(event)
@@ -64,9 +64,9 @@
 
 
 @contextmanager
-def watched() -> Iterator[LeadHistory]:
-    """All logs and copies made meanwhile are checked."""
-    history = LeadHistory()
+def watched() -> Iterator[LeaderHistory]:
+    """All decision logs and replicas that are written meanwhile are checked."""
+    history = LeaderHistory()
     decide, take = DecisionLog.decide, Replica.take
 
     def watched_decide(log: DecisionLog, decision: Decision) -> None:
@@ -81,7 +81,7 @@
             history.restored(id(replica), reply.term, reply.snapshot_index)
         for entry in [] if reply.snapshot else reply.entries:
             if entry.index > before:
-                history.copied(id(replica), reply.term, entry.index, entry.decision)
+                history.replicated(id(replica), reply.term, entry.index, entry.decision)
         return more
 
     with (
--- a/tests/standins/loopback.py
+++ b/tests/standins/loopback.py
@@ -59,14 +59,14 @@
 
 
 class LoopbackClock:
-    """The reactor's steady time, from the start of the deployment."""
+    """The reactor's monotonic time, from the start of the deployment."""
 
     def __init__(self, reactor: Any) -> None:
         self.reactor = reactor
-        self.began = reactor.seconds()
+        self.started_at = reactor.seconds()
 
     def seconds(self) -> float:
-        return float(self.reactor.seconds() - self.began)
+        return float(self.reactor.seconds() - self.started_at)
 
     def callLater(self, delay: float, f: Any, *args: Any, **kw: Any) -> Any:  # noqa: N802
         return self.reactor.callLater(max(delay, 0.0), f, *args, **kw)
@@ -81,7 +81,7 @@
         self.ports: dict[str, int] = {}
         self.net = RealNet(reactor, 1.5, 15.0, Sockets.of(10_000, 3))
 
-    def real(self, address: str) -> str:
+    def real_address(self, address: str) -> str:
         """Where the address is served."""
         if address not in self.ports:
             with socket.socket() as probe:
@@ -91,7 +91,7 @@
 
     def serve(self, host: str, address: str, handler: Handler) -> None:
         self.alive.add(host)
-        self.real(address)
+        self.real_address(address)
         site = Site(self.reactor, handler, BODY_LIMIT, 1000, 60.0)
         self.reactor.listenTCP(self.ports[address], site, 256, HOST)
 
@@ -104,15 +104,15 @@
         body: bytes | None,
         limit_s: float,
     ) -> Deferred[Answer]:
-        return self.net.request(method, self.real(address), path, body, limit_s)
+        return self.net.request(method, self.real_address(address), path, body, limit_s)
 
 
 class LoopbackWorker(Worker):
-    """A worker that tells the port at which it takes orders."""
+    """A worker that reports the port at which it takes commands."""
 
     def message(self) -> dict[str, Any]:
         network: Any = self.network
-        return {**super().message(), "address": network.real(self.address)}
+        return {**super().message(), "address": network.real_address(self.address)}
 
 
 class LoopbackWorld(World):
@@ -134,7 +134,7 @@
     def _new_worker(self, machine: dict[str, Any], kind: dict[str, Any]) -> Worker:
         return LoopbackWorker(
             self.clock, self.network, self.checker, self.rng, machine["id"], kind,
-            machine["yard"], machine["standby"], self.workers_facts, self.addresses, self.gangs,
+            machine["yard"], machine["standby"], self.worker_settings, self.addresses, self.gangs,
         )  # fmt: skip
 
     def settings_file(self, name: str) -> Path:
@@ -144,23 +144,23 @@
         text = SETTINGS.format(
             member=name,
             site=raw["site"],
-            public_addr=network.real(raw["public_addr"]),
-            peer_bind=network.real(raw["peer_bind"]),
+            public_addr=network.real_address(raw["public_addr"]),
+            peer_bind=network.real_address(raw["peer_bind"]),
             siblings="".join(
                 SIBLING.format(
                     member=sibling["member"],
                     site=sibling["site"],
-                    peer_addr=network.real(sibling["peer_addr"]),
+                    peer_addr=network.real_address(sibling["peer_addr"]),
                 )
                 for sibling in raw["siblings"]
             ),
-            cloud=network.real("cloud:1"),
-            state=network.real("state:1"),
+            cloud=network.real_address("cloud:1"),
+            state=network.real_address("state:1"),
             nodes=raw["facts"]["nodes"],
             zones=raw["facts"]["zones"],
-            report_s=float(self.workers_facts["report_s"]),
-            lease_s=float(self.workers_facts["lease_s"]),
-            cancel_s=float(self.workers_facts["cancel_s"]),
+            report_s=float(self.worker_settings["report_s"]),
+            lease_s=float(self.worker_settings["lease_s"]),
+            cancel_s=float(self.worker_settings["cancel_s"]),
             **{key: raw["facts"]["state"][key] for key in ("value_kb", "txn_ops")},
             **{key: raw["facts"]["state"][key] for key in ("rps", "write_rps")},
         )
@@ -179,17 +179,17 @@
             )
 
     def crash(self, name: str, back_s: float | None = 6.0) -> None:
-        """Kill the process without a signal that it could heed."""
+        """Kill the process without a signal that it could handle."""
         self.processes[name].kill()
         self.processes[name].wait()
         super().crash(name, back_s)
 
     def hold(self, name: str, on: bool) -> None:
-        """Stop the process in its tracks, or let it go on."""
+        """Suspend the process, or resume it."""
         self.processes[name].send_signal(signal.SIGSTOP if on else signal.SIGCONT)
 
     def wake(self, process: subprocess.Popen[bytes]) -> None:
-        """Let a process go on that was stopped, if it is still there."""
+        """Resume a process that was suspended, if it is still there."""
         if process.poll() is None:
             process.send_signal(signal.SIGCONT)
 
--- a/tests/standins/net.py
+++ b/tests/standins/net.py
@@ -1,4 +1,4 @@
-"""A simulated network: delivery on a test clock, with cuts, holds and dead hosts."""
+"""A simulated network: delivery on a test clock, with partitions, held messages and dead hosts."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
 
 
 class Network:
-    """Carries calls between named hosts. A cut drops, or holds until it ends."""
+    """Carries calls between named hosts. A cut drops messages, or holds them until it is healed.
+
+    It also counts connections, and refuses those beyond an address's or a host's limit.
+    """
 
     def __init__(self, clock: SimClock, rng: random.Random, latency: float = 0.003) -> None:
         self.clock = clock
@@ -29,32 +32,33 @@
         self.handlers: dict[str, tuple[str, Handler]] = {}
         self.generation: dict[str, int] = {}
         self.cuts: dict[tuple[str, str], str] = {}
-        self.held: list[tuple[str, str, Callable[[], None]]] = []
+        self.held_messages: list[tuple[str, str, Callable[[], None]]] = []
         self.alive: set[str] = set()
-        # Until when a host stands still while its clock runs on.
+        # Until when a host is frozen while its clock runs on.
         self.frozen: dict[str, float] = {}
         # What each message and timer takes of a host's processor, and until when it is busy.
         self.cost_s: dict[str, float] = {}
         self.busy: dict[str, float] = {}
-        # Bytes that controllers told each other.
+        # Bytes of the calls between controllers.
         self.peer_bytes = 0
-        # Per address that bounds them: the most connections, and those open, by who came.
-        self.most: dict[str, int] = {}
-        self.doors: dict[str, dict[str, bool]] = {}
-        self.bounded: dict[str, set[str]] = {}
+        # Per limited address: the most connections, and those open, by the caller's name.
+        self.most_connections: dict[str, int] = {}
+        self.connections: dict[str, dict[str, bool]] = {}
+        self.limited_addresses: dict[str, set[str]] = {}
         # Calls of a host that are under way, what a host may have open, and had at most.
-        self.calling: dict[str, int] = {}
-        self.limits: dict[str, int] = {}
-        self.peaks: dict[str, int] = {}
-        self.turned_away = 0
-        self.visitors = 0
-        # Who sent the call that is being handed over; and who can't open connections to whom.
+        self.calls_under_way: dict[str, int] = {}
+        self.socket_limits: dict[str, int] = {}
+        self.peak_sockets: dict[str, int] = {}
+        self.rejected_connections = 0
+        self.user_connections = 0
+        # Who sent the call that is being handed over.
         self.caller = ""
         # Which process of that name it was: each start of one counts.
         self.caller_generation = 0
-        self.barred: set[tuple[str, str]] = set()
-        # What controllers order, as it leaves them.
-        self.ordering: Callable[[str, bytes], None] = lambda source, body: None
+        # Pairs of which the first can't open connections to the second.
+        self.blocked_pairs: set[tuple[str, str]] = set()
+        # Called with commands as they leave a controller.
+        self.on_commands: Callable[[str, bytes], None] = lambda source, body: None
 
     def wait(self, host: str) -> float:
         """How long until the host does something more; nothing or less: it may do so now."""
@@ -68,61 +72,70 @@
             self.busy[host] = self.clock.seconds() + cost_s
 
     def serve(self, host: str, address: str, handler: Handler) -> None:
+        """Deliver calls to the address to this handler, in place of any before."""
         self.handlers[address] = (host, handler)
         self.alive.add(host)
 
     def cut(self, one: str, other: str, mode: str, both: bool = True) -> None:
+        """Cut the way from one host to the other; the mode is `drop` or `hold`."""
         self.cuts[(one, other)] = mode
         if both:
             self.cuts[(other, one)] = mode
 
     def heal(self, one: str, other: str) -> None:
+        """End the cuts between the two, and deliver what was held."""
         for pair in ((one, other), (other, one)):
             self.cuts.pop(pair, None)
-        ready = [h for h in self.held if self.cuts.get((h[0], h[1])) is None]
-        self.held = [h for h in self.held if self.cuts.get((h[0], h[1])) is not None]
+        ready = [h for h in self.held_messages if self.cuts.get((h[0], h[1])) is None]
+        self.held_messages = [
+            h for h in self.held_messages if self.cuts.get((h[0], h[1])) is not None
+        ]
         for _, _, deliver in ready:
             self.clock.callLater(self._delay(), deliver)
 
     def sockets(self, host: str) -> int:
         """What is open at a host: connections that came in, and calls under way."""
-        came = sum(len(self.doors[address]) for address in self.bounded.get(host, ()))
-        return came + self.calling.get(host, 0)
-
-    def bound(self, host: str, address: str, most: int) -> None:
-        """From now on so many connections may be open at the address."""
-        self.most[address], self.doors[address] = most, {}
-        self.bounded.setdefault(host, set()).add(address)
-
-    def _enter(self, source: str, address: str) -> str | None:
-        """The connection to use: an open one or a new one; None when turned away."""
-        most, doors = self.most.get(address), self.doors.setdefault(address, {})
+        came = sum(
+            len(self.connections[address]) for address in self.limited_addresses.get(host, ())
+        )
+        return came + self.calls_under_way.get(host, 0)
+
+    def limit_connections(self, host: str, address: str, most: int) -> None:
+        """From now on so many connections at most may be open at the address."""
+        self.most_connections[address], self.connections[address] = most, {}
+        self.limited_addresses.setdefault(host, set()).add(address)
+
+    def _open_connection(self, source: str, address: str) -> str | None:
+        """The connection to use: an open one or a new one; None when it is rejected."""
+        most = self.most_connections.get(address)
+        connections = self.connections.setdefault(address, {})
         if most is None:
             return ""
-        # Users are many and each has a connection of its own.
-        self.visitors += 1
-        name = source if source != "users" else f"users {self.visitors}"
-        if name in doors:
+        # There are many users, and each has a connection of its own.
+        self.user_connections += 1
+        name = source if source != "users" else f"users {self.user_connections}"
+        if name in connections:
             return name
         host = self.handlers[address][0]
-        if len(doors) >= most or self.sockets(host) >= self.limits.get(host, 1 << 30):
-            self.turned_away += 1
+        if len(connections) >= most or self.sockets(host) >= self.socket_limits.get(host, 1 << 30):
+            self.rejected_connections += 1
             return None
-        doors[name] = source != "users" and lasting(len(doors), most)
-        self.peaks[host] = max(self.peaks.get(host, 0), self.sockets(host))
+        connections[name] = source != "users" and lasting(len(connections), most)
+        self.peak_sockets[host] = max(self.peak_sockets.get(host, 0), self.sockets(host))
         return name
 
-    def _leave(self, name: str, address: str) -> None:
-        if not self.doors.get(address, {}).get(name, True):
-            del self.doors[address][name]
+    def _close_connection(self, name: str, address: str) -> None:
+        if not self.connections.get(address, {}).get(name, True):
+            del self.connections[address][name]
 
     def _delay(self) -> float:
         return self.latency * (0.5 + self.rng.random())
 
     def carry(self, source: str, target: str, deliver: Callable[[], None]) -> None:
+        """Deliver one message after a random delay, unless the way is cut."""
         mode = self.cuts.get((source, target))
         if mode == "hold":
-            self.held.append((source, target, deliver))
+            self.held_messages.append((source, target, deliver))
         elif mode is None:
             self.clock.callLater(self._delay(), deliver)
 
@@ -135,27 +148,28 @@
         body: bytes | None,
         limit_s: float,
     ) -> Deferred[Answer]:
+        """Make a call; fails with CallFailedError, at the latest when the limit is over."""
         if path == "/orders" and body:
-            self.ordering(source, body)
+            self.on_commands(source, body)
         if path.startswith("/peer/"):
             self.peer_bytes += len(body or b"")
         result: Deferred[Answer] = Deferred()
         settled: list[bool] = []
-        born = self.generation.get(source, 0)
-        self.calling[source] = self.calling.get(source, 0) + 1
-        self.peaks[source] = max(self.peaks.get(source, 0), self.sockets(source))
+        generation = self.generation.get(source, 0)
+        self.calls_under_way[source] = self.calls_under_way.get(source, 0) + 1
+        self.peak_sockets[source] = max(self.peak_sockets.get(source, 0), self.sockets(source))
 
         def settle(answer: Answer | None) -> None:
-            still = self.wait(source)
-            if still > 0:
+            wait_s = self.wait(source)
+            if wait_s > 0:
                 # What came meanwhile is read when it goes on, the time-out as well.
-                self.clock.callLater(still, settle, answer)
+                self.clock.callLater(wait_s, settle, answer)
                 return
-            if settled or self.generation.get(source, 0) != born:
+            if settled or self.generation.get(source, 0) != generation:
                 return
             self.spend(source)
             settled.append(True)
-            self.calling[source] -= 1
+            self.calls_under_way[source] -= 1
             if timer.active():
                 timer.cancel()
             if answer is None:
@@ -165,7 +179,7 @@
 
         timer = self.clock.callLater(limit_s, settle, None)
         found = self.handlers.get(address)
-        if found is not None and (source, found[0]) in self.barred:
+        if found is not None and (source, found[0]) in self.blocked_pairs:
             return result
         if found is None or found[0] not in self.alive:
             self.clock.callLater(self._delay(), settle, None)
@@ -173,23 +187,25 @@
         target, _ = found
 
         def arrive() -> None:
-            still = self.wait(target)
-            if still > 0:
-                self.clock.callLater(still, arrive)
+            wait_s = self.wait(target)
+            if wait_s > 0:
+                self.clock.callLater(wait_s, arrive)
                 return
             entry = self.handlers.get(address)
             if entry is None or target not in self.alive:
                 return
             self.spend(target)
-            door = self._enter(source, address)
-            if door is None:
+            connection = self._open_connection(source, address)
+            if connection is None:
                 self.carry(target, source, lambda: settle(None))
                 return
             name, _, query_text = path.partition("?")
             query = dict(p.partition("=")[::2] for p in query_text.split("&") if p)
-            self.caller, self.caller_generation = source, born
+            self.caller, self.caller_generation = source, generation
             answered = ensureDeferred(_await(entry[1], Call(method, name, query, body or b"")))
-            answered.addBoth(lambda result: (self._leave(door, address), result)[1])
+            answered.addBoth(
+                lambda result: (self._close_connection(connection, address), result)[1]
+            )
             answered.addCallback(lambda answer: self.carry(target, source, lambda: settle(answer)))
             answered.addErrback(lambda _: self.carry(target, source, lambda: settle(None)))
 
@@ -202,26 +218,26 @@
 
 
 class HostNet:
-    """Net as one process sees it; a restarted process gets a new one."""
+    """The network as one process sees it; a restarted process gets a new one."""
 
     def __init__(
         self,
         network: Network,
         host: str,
-        gates: ConnectionLimits,
+        connection_limits: ConnectionLimits,
         failure: type[Exception] = CallFailedError,
     ) -> None:
         self.network = network
         # What a failed call raises in the release that this process runs.
         self.failure = failure
         self.host = host
-        self.gates = gates
-        self.born = network.generation.get(host, 0)
+        self.connection_limits = connection_limits
+        self.generation = network.generation.get(host, 0)
 
     def request(
         self, method: str, address: str, path: str, body: bytes | None, limit_s: float
     ) -> Deferred[Answer]:
-        if self.network.generation.get(self.host, 0) != self.born:
+        if self.network.generation.get(self.host, 0) != self.generation:
             return Deferred()
 
         async def call() -> Answer:
@@ -230,7 +246,7 @@
             except CallFailedError as error:
                 raise self.failure(str(error), error.refused) from error
 
-        return ensureDeferred(self.gates.through(path, call))
+        return ensureDeferred(self.connection_limits.through(path, call))
 
     def listen(self, address: str, handler: Handler, most: int, limit: int) -> Deferred[Any]:
         assert most > 0
@@ -239,7 +255,7 @@
             return Answer(400) if len(call.body) > limit else await handler(call)
 
         self.network.serve(self.host, address, limited)
-        self.network.bound(self.host, address, most)
+        self.network.limit_connections(self.host, address, most)
         done: Deferred[Any] = Deferred()
         done.callback(None)
         return done
@@ -252,7 +268,7 @@
         self.network = network
         self.host = host
         self.rate = 1.0 + drift
-        self.born = network.generation.get(host, 0)
+        self.generation = network.generation.get(host, 0)
 
     def seconds(self) -> float:
         return float(self.network.clock.seconds()) * self.rate
@@ -261,11 +277,11 @@
         return self.network.clock.callLater(max(delay, 0.0) / self.rate, self._run, f, args)
 
     def _run(self, f: Callable[..., Any], args: tuple[Any, ...]) -> None:
-        if self.network.generation.get(self.host, 0) != self.born:
+        if self.network.generation.get(self.host, 0) != self.generation:
             return
-        still = self.network.wait(self.host)
-        if still > 0:
-            self.network.clock.callLater(still, self._run, f, args)
+        wait_s = self.network.wait(self.host)
+        if wait_s > 0:
+            self.network.clock.callLater(wait_s, self._run, f, args)
         else:
             self.network.spend(self.host)
             f(*args)
--- a/tests/standins/releases.py
+++ b/tests/standins/releases.py
@@ -32,7 +32,7 @@
 
 
 class Release:
-    """One set of the service's modules."""
+    """One set of the service's modules, and what a deployment needs of it."""
 
     def __init__(self, modules: dict[str, ModuleType], node_module: str) -> None:
         self.modules = modules
@@ -48,12 +48,16 @@
         found: type[Exception] = getattr(http, "CallFailedError", None) or http.CallFailed
         return found
 
-    def node(self, clock: Any, net: Any, facts: dict[str, Any], tuning: Any, rng: Any) -> Any:
+    def node(
+        self, clock: Any, net: Any, raw_settings: dict[str, Any], operator_settings: Any, rng: Any
+    ) -> Any:
         """A controller; settings that it does not know are ignored, as from the file."""
         settings_module = self.module("settings")
-        settings = msgspec.convert(facts, settings_module.Settings)
+        settings = msgspec.convert(raw_settings, settings_module.Settings)
         name = "Tuning" if hasattr(settings_module, "Tuning") else "OperatorSettings"
-        own = msgspec.convert(msgspec.to_builtins(tuning), getattr(settings_module, name))
+        own = msgspec.convert(
+            msgspec.to_builtins(operator_settings), getattr(settings_module, name)
+        )
         return self.module(self.node_module).Node(clock, net, settings, own, rng)
 
 
@@ -105,6 +109,7 @@
 
 
 def production_commit() -> str:
+    """The commit that runs in production, by the deploy file."""
     deploy = tomllib.loads((ROOT / "deploy" / "service.toml").read_text())
     return str(deploy["production"])
 
--- a/tests/standins/state.py
+++ b/tests/standins/state.py
@@ -1,4 +1,4 @@
-"""A stand-in of the state service."""
+"""A stand-in of the state service: keys with revisions, leases, watches, limits and faults."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from beamspar.transport.http import Answer, Call
 from tests.standins.clock import SimClock
 
-# Changes that a watch can still ask for.
-KEPT = 10_000
+# Changes that a watch can still ask for; older ones are compacted.
+KEPT_CHANGES = 10_000
 
 
 class Writer(NamedTuple):
@@ -24,13 +24,13 @@
     generation: int
 
 
-class Rate:
-    """So many a second, with bursts of one second's worth."""
+class RateLimit:
+    """A token bucket: so many a second, with bursts of one second's worth."""
 
     def __init__(self, clock: SimClock, rate: float) -> None:
         self.clock, self.rate, self.level, self.at = clock, rate, rate, clock.seconds()
 
-    def take(self, amount: float) -> bool:
+    def acquire(self, amount: float) -> bool:
         now = self.clock.seconds()
         self.level = min(self.rate, self.level + (now - self.at) * self.rate)
         self.at = now
@@ -41,66 +41,70 @@
 
 
 class StateStandin:
+    """Owns the stored keys, and executes, refuses, delays or loses requests as it is told to."""
+
     def __init__(
         self,
         clock: SimClock,
-        facts: dict[str, Any],
+        limits: dict[str, Any],
         caller: Callable[[], Writer] = lambda: Writer("", 0),
     ) -> None:
         self.clock = clock
-        self.txn_ops: int = facts["txn_ops"]
-        self.value_kb: float = facts["value_kb"]
+        self.txn_ops: int = limits["txn_ops"]
+        self.value_kb: float = limits["value_kb"]
         # What it serves may be more than what the settings say, to slow down our side alone.
-        self.requests = Rate(clock, facts.pop("served_rps", facts["rps"]))
-        self.changes = Rate(clock, facts.pop("served_write_rps", facts["write_rps"]))
-        self.crowded = 0
-        # Who asks; and whom the service refuses though it serves the others.
+        self.requests = RateLimit(clock, limits.pop("served_rps", limits["rps"]))
+        self.changes = RateLimit(clock, limits.pop("served_write_rps", limits["write_rps"]))
+        self.throttled_count = 0
+        # Which process calls; and hosts that the service refuses though it serves the others.
         self.caller = caller
-        self.refused: set[str] = set()
+        self.refused_hosts: set[str] = set()
         self.revision = 1
         self.items: dict[str, tuple[Any, int, int | None]] = {}
-        self.grants: dict[int, tuple[float, float]] = {}
-        self.next_grant = 1
+        self.leases: dict[int, tuple[float, float]] = {}
+        self.next_lease_id = 1
         self.history: list[tuple[int, dict[str, Any]]] = []
-        self.forgotten = 0
+        self.compacted_revision = 0
         self.watches: list[tuple[str, int, Deferred[Answer], str]] = []
         self.down = False
         # What was larger than a limit, and the largest value that was not.
         self.oversized: list[str] = []
         self.largest = 0
         # The share of transactions that get no answer and are carried out late, after newer
-        # ones, or (`at_once`) lose only their answer; and how slowly all others are answered.
+        # ones, or (`loses_answer_only`) lose only their answer.
         self.late_share = 0.0
-        self.at_once = False
-        # Or are never carried out.
-        self.lost = False
+        self.loses_answer_only = False
+        # Or they are never carried out.
+        self.never_applies_late = False
         # Only transactions that touch a key like this; and how many are still to be lost.
         self.late_keys = ""
-        self.late_left = -1
+        self.late_count_left = -1
+        # How slowly all others are answered.
         self.slow_s = 0.0
-        # Hosts that hear of changes late, and by how much: all else is answered at once.
+        # Hosts whose watches are answered late, and by how much: all else is answered at once.
         self.late_watches: dict[str, float] = {}
-        # Told of each transaction's keys, once it is carried out, and of who sent it.
+        # Called with each transaction's keys, once it is carried out, and the process that sent it.
         self.on_commit: Callable[[list[str], Writer | None], None] = lambda keys, writer: None
         self.rng = random.Random(1)
-        self._expire()
+        self._expire_leases()
 
     def outage(self, on: bool) -> None:
+        """Begin or end an outage; leases don't run out meanwhile, and start anew after it."""
         self.down = on
         if not on:
             now = self.clock.seconds()
-            self.grants = {g: (life, now + life) for g, (life, _) in self.grants.items()}
+            self.leases = {g: (life, now + life) for g, (life, _) in self.leases.items()}
 
-    def _expire(self) -> None:
+    def _expire_leases(self) -> None:
         now = self.clock.seconds()
         if not self.down:
-            for grant in [g for g, (_, until) in self.grants.items() if until < now]:
-                self._end(grant)
-        self.clock.callLater(0.05, self._expire)
+            for lease_id in [g for g, (_, until) in self.leases.items() if until < now]:
+                self._end_lease(lease_id)
+        self.clock.callLater(0.05, self._expire_leases)
 
-    def _end(self, grant: int) -> None:
-        del self.grants[grant]
-        keys = [k for k, item in self.items.items() if item[2] == grant]
+    def _end_lease(self, lease_id: int) -> None:
+        del self.leases[lease_id]
+        keys = [k for k, item in self.items.items() if item[2] == lease_id]
         if keys:
             self._commit([{"drop": k} for k in keys])
 
@@ -118,17 +122,17 @@
                     continue
                 event = {"drop": key, "entry_rev": self.revision}
             self.history.append((self.revision, event))
-        if len(self.history) > KEPT:
-            self.forgotten = self.history[len(self.history) - KEPT - 1][0]
-            del self.history[: len(self.history) - KEPT]
+        if len(self.history) > KEPT_CHANGES:
+            self.compacted_revision = self.history[len(self.history) - KEPT_CHANGES - 1][0]
+            del self.history[: len(self.history) - KEPT_CHANGES]
         self.on_commit([change.get("put") or change["drop"] for change in changes], writer)
         waiting, self.watches = self.watches, []
-        for prefix, since, done, who in waiting:
+        for prefix, since, done, host in waiting:
             events = self._events(prefix, since)
-            if events and not self.down and who not in self.refused:
-                done.callback(self._watched(events))
+            if events and not self.down and host not in self.refused_hosts:
+                done.callback(self._watch_answer(events))
             else:
-                self.watches.append((prefix, since, done, who))
+                self.watches.append((prefix, since, done, host))
 
     def _events(self, prefix: str, since: int) -> list[dict[str, Any]]:
         return [
@@ -137,25 +141,26 @@
             if rev > since and (e.get("put") or e["drop"]).startswith(prefix)
         ]
 
-    def _watched(self, events: list[dict[str, Any]]) -> Answer:
+    def _watch_answer(self, events: list[dict[str, Any]]) -> Answer:
         return Answer(200, pack({"ledger_rev": self.revision, "events": events}))
 
     async def handle(self, call: Call) -> Answer:
+        """Serve one request."""
         writer = self.caller()
-        who = writer.host
-        if self.down or who in self.refused:
+        host = writer.host
+        if self.down or host in self.refused_hosts:
             return Answer(503)
         body = unpack(call.body) if call.body else {}
-        if not self.requests.take(1) or (
-            call.path == "/multi" and not self.changes.take(len(body.get("apply", [])))
+        if not self.requests.acquire(1) or (
+            call.path == "/multi" and not self.changes.acquire(len(body.get("apply", [])))
         ):
-            self.crowded += 1
+            self.throttled_count += 1
             return Answer(429)
-        if call.path == "/multi" and self._lost(body):
-            if self.at_once:
-                self._multi(body, writer)
-            elif not self.lost:
-                self.clock.callLater(2 + 10 * self.rng.random(), self._late, body, writer)
+        if call.path == "/multi" and self._loses_answer(body):
+            if self.loses_answer_only:
+                self._transact(body, writer)
+            elif not self.never_applies_late:
+                self.clock.callLater(2 + 10 * self.rng.random(), self._apply_late, body, writer)
             return await Deferred()
         if self.slow_s:
             slow: Deferred[None] = Deferred()
@@ -179,44 +184,44 @@
                 pack({"rows": rows, "truncated": len(keys) > 1000, "ledger_rev": self.revision}),
             )
         if call.path == "/multi":
-            return self._multi(body, writer)
+            return self._transact(body, writer)
         if call.path == "/grants":
-            grant, self.next_grant = self.next_grant, self.next_grant + 1
+            lease_id, self.next_lease_id = self.next_lease_id, self.next_lease_id + 1
             life = body["life_ms"] / 1000
-            self.grants[grant] = (life, self.clock.seconds() + life)
-            return Answer(200, pack({"permit": grant}))
+            self.leases[lease_id] = (life, self.clock.seconds() + life)
+            return Answer(200, pack({"permit": lease_id}))
         if call.path.startswith("/grants/"):
-            grant = int(call.path.split("/")[2])
-            if grant not in self.grants:
+            lease_id = int(call.path.split("/")[2])
+            if lease_id not in self.leases:
                 return Answer(404)
             if call.method == "DELETE":
-                self._end(grant)
+                self._end_lease(lease_id)
                 return Answer(200, pack({}))
-            life = self.grants[grant][0]
-            self.grants[grant] = (life, self.clock.seconds() + life)
+            life = self.leases[lease_id][0]
+            self.leases[lease_id] = (life, self.clock.seconds() + life)
             return Answer(200, pack({}))
         if call.path == "/watch":
-            answer = await self._watch(call.query, who)
-            if who in self.late_watches:
+            answer = await self._watch(call.query, host)
+            if host in self.late_watches:
                 late: Deferred[None] = Deferred()
-                self.clock.callLater(self.late_watches[who], late.callback, None)
+                self.clock.callLater(self.late_watches[host], late.callback, None)
                 await late
             return answer
         return Answer(400)
 
-    def _lost(self, body: Any) -> bool:
+    def _loses_answer(self, body: Any) -> bool:
         """Does this transaction get no answer?"""
         changes = body.get("apply", [])
         keys = [change.get("put") or change["drop"] for change in changes]
-        if not self.late_left or not any(key.startswith(self.late_keys) for key in keys):
+        if not self.late_count_left or not any(key.startswith(self.late_keys) for key in keys):
             return False
         if self.rng.random() >= self.late_share:
             return False
-        self.late_left -= 1
+        self.late_count_left -= 1
         return True
 
     def lower(self, limits: dict[str, Any]) -> None:
-        """From now on, without notice; what is stored stays readable."""
+        """Lower these limits from now on, without notice; what is stored stays readable."""
         self.txn_ops = limits.get("txn_ops", self.txn_ops)
         self.value_kb = limits.get("value_kb", self.value_kb)
         self.requests.rate = limits.get("rps", self.requests.rate)
@@ -226,35 +231,35 @@
         self.oversized.append(what)
         return Answer(400, pack({"error": "too large"}))
 
-    def _late(self, body: Any, writer: Writer) -> None:
+    def _apply_late(self, body: Any, writer: Writer) -> None:
         if self.down:
-            self.clock.callLater(1.0, self._late, body, writer)
+            self.clock.callLater(1.0, self._apply_late, body, writer)
         else:
-            self._multi(body, writer)
+            self._transact(body, writer)
 
-    async def _watch(self, query: dict[str, str], who: str) -> Answer:
+    async def _watch(self, query: dict[str, str], host: str) -> Answer:
         prefix, since = query["under"], int(query["since"])
-        if since < self.forgotten:
+        if since < self.compacted_revision:
             return Answer(410)
         events = self._events(prefix, since)
         if events and not self.down:
-            return self._watched(events)
+            return self._watch_answer(events)
         done: Deferred[Answer] = Deferred()
-        entry = (prefix, since, done, who)
+        entry = (prefix, since, done, host)
         self.watches.append(entry)
 
         def over() -> None:
             if entry in self.watches:
-                if self.down or who in self.refused:
+                if self.down or host in self.refused_hosts:
                     self.clock.callLater(0.5, over)
                     return
                 self.watches.remove(entry)
-                done.callback(self._watched(self._events(prefix, since)))
+                done.callback(self._watch_answer(self._events(prefix, since)))
 
         self.clock.callLater(int(query.get("hold_ms", "0")) / 1000, over)
         return await done
 
-    def _multi(self, body: Any, writer: Writer) -> Answer:
+    def _transact(self, body: Any, writer: Writer) -> Answer:
         changes = body.get("apply", [])
         if len(changes) > self.txn_ops or len(body["if"]) > self.txn_ops * 4:
             return self._reject(f"a transaction of {len(changes)} on {len(body['if'])}")
@@ -271,7 +276,7 @@
             if self.items.get(c["key"], (None, 0, None))[1] != c["entry_rev"]
         ]
         for change in changes:
-            if change.get("permit") is not None and change["permit"] not in self.grants:
+            if change.get("permit") is not None and change["permit"] not in self.leases:
                 return Answer(400, pack({"error": "no such lease"}))
         if failed:
             return Answer(409, pack({"failed": failed, "ledger_rev": self.revision}))
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -1,4 +1,4 @@
-"""Stand-ins of workers and the cloud."""
+"""Stand-ins of workers and of the cloud."""
 
 from __future__ import annotations
 
@@ -17,75 +17,83 @@
 
 
 class Worker:
-    """One machine's worker: keeps the token rules, the lease and its tasks."""
+    """One machine's worker: keeps the rules of fencing tokens and its lease, and runs tasks."""
 
     def __init__(
         self, clock: SimClock, network: Network, checker: Checker, rng: random.Random,
-        name: str, kind: dict[str, Any], zone: str, spot: bool, facts: dict[str, Any],
-        nodes: dict[str, str], gangs: Gangs,
+        name: str, kind: dict[str, Any], zone: str, spot: bool, settings: dict[str, Any],
+        controllers: dict[str, str], gangs: Gangs,
     ) -> None:  # fmt: skip
         self.clock, self.network, self.checker, self.rng = clock, network, checker, rng
         self.name, self.kind, self.zone, self.spot = name, kind, zone, spot
-        self.facts, self.nodes, self.gangs = facts, nodes, gangs
+        self.settings, self.controllers, self.gangs = settings, controllers, gangs
         self.address = f"{name}:9000"
-        self.token, self.agent_epoch, self.seq = 0, 1, 0
+        self.fencing_token, self.agent_epoch, self.seq = 0, 1, 0
         self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
         self.images: set[str] = set()
         self.leased_at = clock.seconds()
-        self.target = rng.choice(sorted(nodes))
-        self.reporting = self.due = self.dead = self.sick = self._hung = False
-        self.notice: float | None = None
+        self.target = rng.choice(sorted(controllers))
+        self.is_heartbeat_under_way = self.is_heartbeat_due = False
+        # Every task that runs there ends with an error.
+        self.is_faulty = False
+        self.dead = self._hung = False
+        self.termination_notice_s: float | None = None
         self.last_sent = -1e9
-        self.copies: list[bytes] = []
-        # Called with each report as it leaves, for copies that arrive again.
-        self.copied: Callable[[bytes], None] = lambda body: None
-        # Called with each token that an answer or orders are taken under, and whose they were.
-        self.acted: Callable[[str, int, str], None] = lambda machine, token, controller: None
-        checker.where[name] = (kind["label"], zone, spot)
+        self.sent_heartbeats: list[bytes] = []
+        # Called with each heartbeat as it leaves, for copies that arrive again.
+        self.on_heartbeat: Callable[[bytes], None] = lambda body: None
+        # Called with the fencing token of each answer or command that is taken, and its sender.
+        self.on_fencing_token: Callable[[str, int, str], None] = (
+            lambda machine, fencing_token, controller: None
+        )
+        checker.machines[name] = (kind["label"], zone, spot)
         network.serve(name, self.address, self.handle)
-        clock.callLater(rng.random(), self._beat)
-        self._lease()
+        clock.callLater(rng.random(), self._heartbeat_loop)
+        self._lease_loop()
 
     @property
     def hung(self) -> bool:
+        """Does the machine hang? It answers nothing, and its clock runs on."""
         return self._hung
 
     @hung.setter
     def hung(self, on: bool) -> None:
         if on and not self._hung:
-            self.gangs.hung(self)
+            self.gangs.machine_hung(self)
         self._hung = on
 
     def die(self) -> None:
+        """The machine is gone for good."""
         self.dead = True
         self.network.alive.discard(self.name)
-        self._forget()
+        self._drop_tasks()
 
-    def _forget(self) -> None:
+    def _drop_tasks(self) -> None:
         for (task, attempt), state in self.tasks.items():
             self.checker.stop(task, attempt, self.name)
             state["status"] = "ended"
-            self.gangs.gone((task, attempt))
+            self.gangs.lose_task((task, attempt))
         self.tasks.clear()
 
-    def _lease(self) -> None:
+    def _lease_loop(self) -> None:
         if self.dead:
             return
         # A hanging machine runs nothing, and may resume within its lease only: past it
         # its tasks are gone, whenever it wakes to notice.
-        if self.clock.seconds() > self.leased_at + self.facts["lease_s"]:
-            self._forget()
+        if self.clock.seconds() > self.leased_at + self.settings["lease_s"]:
+            self._drop_tasks()
             self.agent_epoch += 1
             self.leased_at = self.clock.seconds()
             self.changed()
-        self.clock.callLater(0.1, self._lease)
+        self.clock.callLater(0.1, self._lease_loop)
 
     def message(self) -> dict[str, Any]:
+        """The next heartbeat."""
         self.seq += 1
         return {
             "rig": self.name, "address": self.address, "rig_kind": self.kind["label"],
             "yard": self.zone, "standby": self.spot, "shift": self.agent_epoch, "tally": self.seq,
-            "baton": self.token, "recall_s": self.notice,
+            "baton": self.fencing_token, "recall_s": self.termination_notice_s,
             "parcels": [
                 {"parcel": t, "try": a, "status": s["status"], "exit_cause": s.get("why"),
                  "saved": s.get("saved")}
@@ -93,69 +101,72 @@
             ],
         }  # fmt: skip
 
-    def _beat(self) -> None:
+    def _heartbeat_loop(self) -> None:
         if self.dead:
             return
         if not self.hung:
-            self._report()
-        wait = self.facts["report_s"] * (0.75 + 0.5 * self.rng.random())
-        self.clock.callLater(wait, self._beat)
+            self._send_heartbeat()
+        wait = self.settings["report_s"] * (0.75 + 0.5 * self.rng.random())
+        self.clock.callLater(wait, self._heartbeat_loop)
 
     def changed(self) -> None:
-        """Report soon."""
-        if not self.due:
-            self.due = True
+        """Send a heartbeat soon."""
+        if not self.is_heartbeat_due:
+            self.is_heartbeat_due = True
             wait = max(self.last_sent + 0.5 - self.clock.seconds(), 0.01)
-            self.clock.callLater(wait, self._report)
+            self.clock.callLater(wait, self._send_heartbeat)
 
-    def _report(self) -> None:
-        if self.dead or self.hung or self.reporting:
+    def _send_heartbeat(self) -> None:
+        if self.dead or self.hung or self.is_heartbeat_under_way:
             return
-        self.due, self.reporting = False, True
+        self.is_heartbeat_due, self.is_heartbeat_under_way = False, True
         sent, agent_epoch = self.clock.seconds(), self.agent_epoch
         self.last_sent = sent
         body = pack(self.message())
-        self.copies.append(body)
-        self.copied(body)
+        self.sent_heartbeats.append(body)
+        self.on_heartbeat(body)
         call = self.network.request(
-            self.name, "POST", self.nodes[self.target], "/v1/report", body, 4.0
+            self.name, "POST", self.controllers[self.target], "/v1/report", body, 4.0
+        )
+        call.addCallbacks(
+            lambda a: self._answered(a, sent, agent_epoch), lambda _: self._try_next_controller()
         )
-        call.addCallbacks(lambda a: self._answered(a, sent, agent_epoch), lambda _: self._next())
 
-    def _next(self) -> None:
-        self.reporting = False
-        names = sorted(self.nodes)
+    def _try_next_controller(self) -> None:
+        self.is_heartbeat_under_way = False
+        names = sorted(self.controllers)
         self.target = names[(names.index(self.target) + 1) % len(names)]
-        self.clock.callLater(1.0, self._report)
+        self.clock.callLater(1.0, self._send_heartbeat)
 
     def _answered(self, answer: Answer, sent: float, agent_epoch: int) -> None:
-        self.reporting = False
+        self.is_heartbeat_under_way = False
         data = unpack(answer.body) if answer.body else {}
         if (
             answer.status == 421
-            and data.get("dispatcher") in self.nodes
+            and data.get("dispatcher") in self.controllers
             and (data["dispatcher"] != self.target)
         ):
             self.target = data["dispatcher"]
-            self.clock.callLater(0.2, self._report)
+            self.clock.callLater(0.2, self._send_heartbeat)
         elif answer.status != 200:
-            self._next()
+            self._try_next_controller()
         elif (
-            data.get("baton", -1) >= self.token
+            data.get("baton", -1) >= self.fencing_token
             and agent_epoch == self.agent_epoch
             and not self.dead
         ):
-            self.acted(self.name, data["baton"], self.target)
-            self._learn(data["baton"])
+            self.on_fencing_token(self.name, data["baton"], self.target)
+            self._observe_fencing_token(data["baton"])
             self.leased_at = max(self.leased_at, sent)
             self._execute(data["orders"])
 
-    def _learn(self, token: int) -> None:
-        if token > self.token:
-            self.token = token
+    def _observe_fencing_token(self, fencing_token: int) -> None:
+        if fencing_token > self.fencing_token:
+            self.fencing_token = fencing_token
             self.changed()
 
     async def handle(self, call: Call) -> Answer:
+        """Take commands from a controller."""
         caller = self.network.caller
         while self.hung:
             resumed: Deferred[None] = Deferred()
@@ -165,10 +176,10 @@
             return Answer(500)
         if call.path == "/orders":
             body = unpack(call.body)
-            if body["baton"] < self.token or body["shift"] != self.agent_epoch:
+            if body["baton"] < self.fencing_token or body["shift"] != self.agent_epoch:
                 return Answer(409, pack(self.message()))
-            self.acted(self.name, body["baton"], caller)
-            self._learn(body["baton"])
+            self.on_fencing_token(self.name, body["baton"], caller)
+            self._observe_fencing_token(body["baton"])
             self._execute(body["orders"])
         return Answer(200, pack(self.message()))
 
@@ -223,7 +234,7 @@
         spec = self.checker.jobs[job]
         self.images.add(spec["crate"])
         task["status"] = "running"
-        if self.sick or spec.get("faulty"):
+        if self.is_faulty or spec.get("faulty"):
             self._end(key, task, "error")
         elif spec["shape"] == "ensemble" and self.checker.done.get(job):
             # The result of the whole gang is kept.
@@ -249,64 +260,68 @@
         saved = task["status"] == "saving" and why == "stopped"
         task.update(status="ended", why=why, saved=saved)
         self.checker.stop(key[0], key[1], self.name)
-        self.gangs.gone(key)
+        self.gangs.lose_task(key)
         if why == "done":
             self.checker.finish(key[0])
         self.changed()
 
 
 class CloudStandin:
+    """Owns the instances that are up or booting, and makes their workers."""
+
     # Machines that one page of the list holds at most (PROTOCOL).
     PAGE = 500
 
     def __init__(
-        self, clock: SimClock, types: list[dict[str, Any]], make: Any, rps: float = 3.0
+        self, clock: SimClock, types: list[dict[str, Any]], make_worker: Any, rps: float = 3.0
     ) -> None:
         self.clock = clock
         self.rps = rps
         # Bursts are worth two seconds.
         self.allowance, self.allowed_at = rps * 2, clock.seconds()
-        self.refused = 0
+        self.refused_requests = 0
         self.types = types
-        self.make = make
+        self.make_worker = make_worker
         self.machines: dict[str, dict[str, Any]] = {}
         self.workers: dict[str, Worker] = {}
         self.capacity: dict[tuple[str, str, bool], int] = {}
-        self.names: dict[str, list[str]] = {}
+        self.instances_by_request: dict[str, list[str]] = {}
         self.count = 0
         self.down = False
-        self.boots = True
-        # Set: machines are up within so many seconds, whatever their type says.
+        self.is_booting_enabled = True
+        # If set, machines are up within so many seconds, whatever their type says.
         self.boot_s: float | None = None
 
     def add(self, kind: str, zone: str, spot: bool, boot_s: float) -> str:
+        """Start an instance; its name."""
         self.count += 1
         name = f"host-{self.count:06d}"
         self.machines[name] = {
             "id": name, "address": f"{name}:9000", "rig_kind": kind, "yard": zone,
             "standby": spot, "status": "starting", "born": self.clock.seconds(),
         }  # fmt: skip
-        if self.boots:
-            self.clock.callLater(boot_s, self._up, name)
+        if self.is_booting_enabled:
+            self.clock.callLater(boot_s, self._boot, name)
         return name
 
-    def _up(self, name: str) -> None:
+    def _boot(self, name: str) -> None:
         machine = self.machines.get(name)
         if machine is not None and name not in self.workers:
             machine["status"] = "running"
-            self.workers[name] = self.make(machine)
+            self.workers[name] = self.make_worker(machine)
 
     async def handle(self, call: Call) -> Answer:
+        """Serve one request."""
         if self.down:
             return Answer(503, pack({"error": "trouble"}))
         if not self._admitted():
-            self.refused += 1
+            self.refused_requests += 1
             return Answer(429)
         if call.path == "/machine_types":
             return Answer(200, pack({"rig_kinds": self.types}))
         body = unpack(call.body) if call.body else {}
         if call.path == "/rentals" and call.method == "POST":
-            return self._rent(body)
+            return self._scale_out(body)
         if call.path == "/rentals/return":
             for name in body["rigs"]:
                 machine = self.machines.pop(name, None)
@@ -340,9 +355,9 @@
             rigs.append({**shown, "held_s": now - machine["born"]})
         return Answer(200, pack({"rigs": rigs, "truncated": len(page) < len(names)}))
 
-    def _rent(self, body: dict[str, Any]) -> Answer:
-        if body["hire"] in self.names:
-            return Answer(200, pack({"rigs": self.names[body["hire"]]}))
+    def _scale_out(self, body: dict[str, Any]) -> Answer:
+        if body["hire"] in self.instances_by_request:
+            return Answer(200, pack({"rigs": self.instances_by_request[body["hire"]]}))
         place = (body["rig_kind"], body["yard"], body["standby"])
         count = min(body["how_many"], self.capacity.get(place, 0))
         if not count:
@@ -351,5 +366,5 @@
         boot = next(t["boot_s"] for t in self.types if t["label"] == body["rig_kind"])
         boot = boot if self.boot_s is None else self.boot_s
         rigs = [self.add(*place, boot) for _ in range(count)]
-        self.names[body["hire"]] = rigs
+        self.instances_by_request[body["hire"]] = rigs
         return Answer(200, pack({"rigs": rigs}))
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -37,21 +37,23 @@
 
 
 class World:
+    """Owns all parts of the deployment, plays its users and causes its faults."""
+
     def __init__(self, seed: int = 1, **options: Any) -> None:
         self.clock = self.make_clock()
         self.rng = random.Random(seed)
         self.network = self.make_network()
-        self.workers_facts = {
+        self.worker_settings = {
             "report_s": 3.0, "lease_s": 15.0, "cancel_s": 45.0,
             "gang_wait_s": 30.0, "gang_peer_s": 4.0, **options.get("workers", {})
         }  # fmt: skip
         teams = options.get("teams", [{"name": "red"}, {"name": "blue"}])
         self.checker = Checker(
             self.clock,
-            self.workers_facts["cancel_s"],
+            self.worker_settings["cancel_s"],
             {t["name"]: (t.get("cpus_max", 0.0), t.get("gpus_max", 0.0)) for t in teams},
         )
-        self.gangs = Gangs(self.clock, self.checker, self.rng, self.workers_facts)
+        self.gangs = Gangs(self.clock, self.checker, self.rng, self.worker_settings)
         state = {"rps": 200.0, "write_rps": 60.0, "value_kb": 4.0, "txn_ops": 8}
         state.update(options.get("state", {}))
         next_limits = state.pop("next", {})
@@ -67,14 +69,14 @@
             self.clock, lambda machine: machine not in self.cloud.machines
         )
         self.network.serve("state", "state:1", self.state.handle)
-        self.cloud = CloudStandin(self.clock, TYPES, self._worker)
+        self.cloud = CloudStandin(self.clock, TYPES, self._make_worker)
         self.network.serve("cloud", "cloud:1", self.cloud.handle)
         count = options.get("nodes", 3)
         sites = options.get("sites", ZONES)
         self.names = [f"rig-{i}" for i in range(count)]
         self.addresses = {n: f"{n}:80" for n in self.names}
-        facts = {
-            "workers": self.workers_facts, "state": state,
+        platform_settings = {
+            "workers": self.worker_settings, "state": state,
             "cloud": {"rps": 3.0, "list_lag_s": 8.0}, "nodes": count, "zones": ZONES,
             "teams": teams,
             "objectives": [
@@ -87,7 +89,7 @@
         self.raw_settings = {
             name: {
                 "member": name, "public_addr": f"{name}:80", "peer_bind": f"{name}:81",
-                "services": {"cloud": "cloud:1", "state": "state:1"}, "facts": facts,
+                "services": {"cloud": "cloud:1", "state": "state:1"}, "facts": platform_settings,
                 "site": sites[i % len(sites)],
                 "siblings": [
                     {"member": n, "peer_addr": f"{n}:81", "site": sites[j % len(sites)]}
@@ -104,7 +106,7 @@
         self.old = set(self.names if old == "all" else old)
         # Processes of production's release; what they sent may be carried out late.
         self.old_processes: set[Writer | None] = set()
-        self.tuning = OperatorSettings(**options.get("tuning", {}))
+        self.operator_settings = OperatorSettings(**options.get("tuning", {}))
         self.nodes: dict[str, Any] = {}
         for place in options.get("capacity", []):
             self.cloud.capacity[(place["kind"], place["zone"], place.get("spot", False))] = place[
@@ -117,21 +119,21 @@
             for _ in range(m.get("count", 1)):
                 self.cloud.add(m["kind"], m["zone"], m.get("spot", False), 0.0)
         for name in self.names:
-            self.network.limits[name] = self.settings[name].platform.limits.sockets
+            self.network.socket_limits[name] = self.settings[name].platform.limits.sockets
             self.boot(name)
-        self.network.ordering = self._ordered
-        self.checker.finished = self._finished
-        # Troubles on the users' side: until when, and how often.
-        self.looking: tuple[float, float] = (-1.0, 0.0)
-        self.ending: tuple[float, float] = (-1.0, 0.0)
-        # Copies of reports: until when, which share, and whether they wait for a new leader.
-        self.copying: tuple[float, float, bool] = (-1.0, 0.0, False)
-        self.kept: list[bytes] = []
-        self.led_by = ""
-        # Since when all troubles are over.
-        self.quiet: float | None = None
-        self._sweep()
-        self._lead()
+        self.network.on_commands = self._commands_sent
+        self.checker.on_finished = self._job_finished
+        # Users that repeat queries, or cancel jobs as they end: until when, and for which share.
+        self.repeating_queries: tuple[float, float] = (-1.0, 0.0)
+        self.cancelling_at_end: tuple[float, float] = (-1.0, 0.0)
+        # Copies of heartbeats: until when, which share, and whether they wait for a new leader.
+        self.duplicating_heartbeats: tuple[float, float, bool] = (-1.0, 0.0, False)
+        self.delayed_heartbeats: list[bytes] = []
+        self.last_leader = ""
+        # Since when all faults are over.
+        self.faults_over_at: float | None = None
+        self._check_each_second()
+        self._watch_leader()
 
     def make_clock(self) -> Any:
         """The clock of everything outside the controllers."""
@@ -149,56 +151,57 @@
         self.ownership.committed(keys, self.state.items)
         self.stored_use.written(keys, str(writer), reported=writer not in self.old_processes)
 
-    def _worker(self, machine: dict[str, Any]) -> Worker:
+    def _make_worker(self, machine: dict[str, Any]) -> Worker:
         kind = next(t for t in TYPES if t["label"] == machine["rig_kind"])
         worker = self._new_worker(machine, kind)
-        worker.copied = self._copied
-        worker.acted = self.ownership.acted
+        worker.on_heartbeat = self._heartbeat_sent
+        worker.on_fencing_token = self.ownership.acted
         return worker
 
     def _new_worker(self, machine: dict[str, Any], kind: dict[str, Any]) -> Worker:
         return Worker(
             self.clock, self.network, self.checker, self.rng, machine["id"], kind,
-            machine["yard"], machine["standby"], self.workers_facts, self.addresses, self.gangs,
+            machine["yard"], machine["standby"], self.worker_settings, self.addresses, self.gangs,
         )  # fmt: skip
 
-    def _sweep(self) -> None:
-        self.checker.sweep()
-        if self.quiet is not None:
-            self.checker.unanswered(self.quiet)
+    def _check_each_second(self) -> None:
+        self.checker.check_cancelled()
+        if self.faults_over_at is not None:
+            self.checker.check_answers(self.faults_over_at)
             for job in self.checker.accepted:
-                waits = self.waits(job)
-                self.checker.waits(job, waits and self.could_run(job))
-        self.clock.callLater(1.0, self._sweep)
+                waits = self.has_waiting_tasks(job)
+                self.checker.check_waiting(job, waits and self.may_run(job))
+        self.clock.callLater(1.0, self._check_each_second)
 
-    def waits(self, job: str) -> bool:
+    def has_waiting_tasks(self, job: str) -> bool:
         """Has the job tasks that are neither done nor on a machine?"""
-        if job in self.checker.told or self.checker.jobs[job].get("faulty"):
+        if job in self.checker.final_answers or self.checker.jobs[job].get("faulty"):
             return False
         there = sum(
-            1 for task, places in self.checker.on.items()
+            1 for task, places in self.checker.placements.items()
             if places and task.partition("/")[0] == job
         )  # fmt: skip
         done = len(self.checker.done.get(job, ()))
         return there + done < self.checker.jobs[job]["parcels"]
 
-    def could_run(self, job: str) -> bool:
+    def may_run(self, job: str) -> bool:
         """Would one more task of it fit some machine and its team's limit? Gangs aside."""
         spec = self.checker.jobs[job]
         if spec["shape"] == "ensemble" or (spec["together"] and spec["parcels"] > 1):
             return False
-        used = self.checker.use(spec["owner"])
+        used = self.checker.team_usage(spec["owner"])
         for have, limit, more in zip(
             used, self.checker.limits[spec["owner"]], (spec["cpus"], spec["accelerators"]),
             strict=True,
         ):  # fmt: skip
             if limit and have + more > limit + 1e-6:
                 return False
-        zones = [self.checker.where[m][1] for m in self.machines_of(job)]
+        zones = [self.checker.machines[m][1] for m in self.machines_of(job)]
         return any(self._fits(spec, worker, zones) for worker in self.cloud.workers.values())
 
     def _fits(self, spec: dict[str, Any], worker: Worker, zones: list[str]) -> bool:
-        if worker.dead or worker.hung or worker.sick or worker.notice is not None:
+        is_ending = worker.termination_notice_s is not None
+        if worker.dead or worker.hung or worker.is_faulty or is_ending:
             return False
         if spec["rig_kinds"] and worker.kind["label"] not in spec["rig_kinds"]:
             return False
@@ -216,53 +219,53 @@
             for field in ("cpus", "accelerators", "memory_gb")
         )
 
-    # -- troubles
+    # -- faults
 
-    def _ordered(self, source: str, body: bytes) -> None:
-        """Nobody who can be told starts what is cancelled; who is cut off has its lease.
+    def _commands_sent(self, source: str, body: bytes) -> None:
+        """No controller starts what it can know to be cancelled; one cut off has its lease.
 
-        It can't be told while it stood still, or is without the state service and a sibling,
-        who may be the one that confirmed it. A machine that it can't reach is no excuse.
+        It can't know while it is frozen, or is without the state service and a peer, which
+        may be the one that confirmed it. A machine that it can't reach is no excuse.
         """
         frozen = self.network.frozen.get(source, -10.0) > self.clock.seconds() - 1.0
         cut = {other for pair in self.network.cuts if source in pair for other in pair} - {source}
-        unserved = "state" in cut or source in self.state.refused or self.state.slow_s > 0
+        unserved = "state" in cut or source in self.state.refused_hosts or self.state.slow_s > 0
         if not frozen and not (unserved and cut & set(self.names)):
-            self.checker.ordered(body)
+            self.checker.commands_sent(body)
 
     def leader(self) -> str:
-        """Who leads; the stored record decides, for a process may not know yet."""
+        """The leader by the stored record, for a process may not know yet."""
         item = self.state.items.get("c/leader")
         return str(item[0]["name"]) if item else ""
 
-    def _lead(self) -> None:
-        """Reports that were kept for the next leader arrive as it begins, at everybody's."""
+    def _watch_leader(self) -> None:
+        """Heartbeats that were delayed until the next leader arrive as it begins, at all nodes."""
         name = self.leader()
-        if name and name != self.led_by:
-            self.led_by = name
-            for body in self.kept:
+        if name and name != self.last_leader:
+            self.last_leader = name
+            for body in self.delayed_heartbeats:
                 for node in self.names:
                     self.call(node, "POST", "/v1/report", body)
-            self.kept.clear()
-        self.clock.callLater(0.05, self._lead)
+            self.delayed_heartbeats.clear()
+        self.clock.callLater(0.05, self._watch_leader)
 
-    def _copied(self, body: bytes) -> None:
-        until, share, for_next = self.copying
+    def _heartbeat_sent(self, body: bytes) -> None:
+        until, share, for_next = self.duplicating_heartbeats
         if self.clock.seconds() > until or self.rng.random() >= share:
             return
         if for_next:
-            self.kept.append(body)
+            self.delayed_heartbeats.append(body)
             return
-        wait = 2.0 + 2 * self.workers_facts["lease_s"] * self.rng.random()
+        wait = 2.0 + 2 * self.worker_settings["lease_s"] * self.rng.random()
         node = self.rng.choice(self.names)
         self.clock.callLater(wait, self.call, node, "POST", "/v1/report", body)
 
-    def mute(self, machine: str) -> None:
-        """It opens no connection to any controller; orders reach it, and their answers us."""
-        self.network.barred.update((machine, node) for node in self.names)
+    def block_heartbeats(self, machine: str) -> None:
+        """The machine opens no connection to any controller; commands and their answers pass."""
+        self.network.blocked_pairs.update((machine, node) for node in self.names)
 
     def cancel_now(self, jobs: list[str], hang_s: float = 0.0) -> None:
-        """Users call these off at once; up to eight of their machines hang so long."""
+        """Users cancel these jobs at once; up to eight of their machines hang so long."""
         machines = sorted({m for job in jobs for m in self.machines_of(job)})[:8]
         for machine in machines if hang_s else ():
             worker = self.cloud.workers[machine]
@@ -271,29 +274,29 @@
         for job in jobs:
             self.clock.callLater(0.2 * self.rng.random(), self.cancel, job)
 
-    def _finished(self, job: str) -> None:
-        until, share = self.ending
+    def _job_finished(self, job: str) -> None:
+        until, share = self.cancelling_at_end
         if self.clock.seconds() <= until and self.rng.random() < share:
             self.clock.callLater(0.01 * self.rng.random(), self.cancel, job)
 
-    def _look(self, job: str) -> None:
-        """Users ask everybody, again and again, and repeat what they asked for."""
-        until, share = self.looking
+    def _repeat_queries(self, job: str) -> None:
+        """Users query every controller again and again, and repeat their submission."""
+        until, share = self.repeating_queries
         if self.clock.seconds() > until:
             return
         for node in self.names:
             for n in range(3):
-                self.clock.callLater(0.004 * n, self._poll, job, True, node)
+                self.clock.callLater(0.004 * n, self._query, job, True, node)
             self.clock.callLater(0.003, self._submit, job, node, 0)
         if self.rng.random() < share:
             self.clock.callLater(0.002, self.cancel, job)
 
-    def odd(self, until: float) -> None:
-        """Repeats of unfinished jobs, cancellations of done ones, and what can't be taken."""
+    def send_invalid_requests(self, until: float) -> None:
+        """Repeat unfinished jobs, cancel finished ones, and submit jobs that are invalid."""
         if self.clock.seconds() > until:
             return
-        going = [j for j in self.checker.accepted if j not in self.checker.told]
-        done = [j for j, (state, _) in self.checker.told.items() if state == "done"]
+        going = [j for j in self.checker.accepted if j not in self.checker.final_answers]
+        done = [j for j, (state, _) in self.checker.final_answers.items() if state == "done"]
         if going:
             job = self.rng.choice(going)
             less = dict(self.checker.jobs[job], cpus=1e6)
@@ -308,37 +311,39 @@
             spec["id"] = name
             if name.endswith("b"):
                 del spec["owner"]
-            self.checker.bad.add(name)
-            self.checker.asked.add(name)
+            self.checker.invalid.add(name)
+            self.checker.requested.add(name)
             node = self.rng.choice(self.names)
             self.call(node, "POST", "/submissions", spec).addCallback(
                 lambda result, name=name: self.checker.submitted(name, result[0])
             )
-        self.clock.callLater(0.5, self.odd, until)
+        self.clock.callLater(0.5, self.send_invalid_requests, until)
 
     # -- controllers
 
     def boot(self, name: str) -> None:
+        """Start a controller's process."""
         self.network.alive.add(name)
-        facts = self.settings[name].platform
-        gates = ConnectionLimits(Sockets.of(facts.limits.sockets, facts.nodes))
+        platform = self.settings[name].platform
+        connection_limits = ConnectionLimits(Sockets.of(platform.limits.sockets, platform.nodes))
         release = releases.production() if name in self.old else releases.present()
         if name in self.old:
             self.old_processes.add(Writer(name, self.network.generation.get(name, 0)))
-        net = HostNet(self.network, name, gates, release.call_failed)
+        net = HostNet(self.network, name, connection_limits, release.call_failed)
         drift = 0.0005 * (2 * self.names.index(name) / max(len(self.names) - 1, 1) - 1)
         clock = HostClock(self.network, name, drift)
         rng = random.Random(self.rng.random())
-        node = release.node(clock, net, self.raw_settings[name], self.tuning, rng)
+        node = release.node(clock, net, self.raw_settings[name], self.operator_settings, rng)
         self.nodes[name] = node
         ensureDeferred(node.start())
 
     def crash(self, name: str, back_s: float | None = 6.0) -> None:
+        """Kill a controller's process; it restarts after so long, or never."""
         self.network.generation[name] = self.network.generation.get(name, 0) + 1
         self.network.alive.discard(name)
-        self.network.calling[name] = 0
+        self.network.calls_under_way[name] = 0
         for address in (self.addresses[name], self.settings[name].peer_bind):
-            self.network.doors[address] = {}
+            self.network.connections[address] = {}
         self.network.busy.pop(name, None)
         if back_s is not None:
             self.clock.callLater(back_s, self._back, name, self.network.generation[name])
@@ -354,11 +359,13 @@
             self.boot(name)
 
     def run(self, until: float) -> None:
+        """Advance the simulation to that time."""
         self.clock.advance_to(until)
 
     # -- users
 
     def call(self, node: str, method: str, path: str, body: Any = None) -> Deferred[Any]:
+        """A user's call: its status and answer, or 0 and nothing when it failed."""
         raw = body if isinstance(body, bytes) else pack(body) if body is not None else None
         done = self.network.request("users", method, self.addresses[node], path, raw, 5.0)
         done.addCallbacks(
@@ -368,11 +375,12 @@
         return done
 
     def submit(self, job: str, node: str | None = None, **fields: Any) -> None:
+        """A user submits a job, and queries its state until it is final."""
         spec = {**JOB, **fields, "id": job}
         if spec["shape"] != "standing" and "eta_s" not in fields:
             spec["eta_s"] = 5.0
         self.checker.jobs[job] = spec
-        self.checker.asked.add(job)
+        self.checker.requested.add(job)
         self._submit(job, node, 60)
 
     def _submit(self, job: str, node: str | None, tries: int) -> None:
@@ -386,46 +394,48 @@
             if status in (200, 201):
                 self.checker.answered(job, 200, data, asked)
                 if new:
-                    self.clock.callLater(5.0, self._poll, job)
-                    self._look(job)
+                    self.clock.callLater(5.0, self._query, job)
+                    self._repeat_queries(job)
             elif status not in (400, 422) and tries:
                 self.clock.callLater(1.0, self._submit, job, None, tries - 1)
 
         body = {k: v for k, v in self.checker.jobs[job].items() if k not in ("run_s", "faulty")}
         self.call(target, "POST", "/submissions", body).addCallback(answered)
 
-    def _poll(self, job: str, once: bool = False, node: str | None = None) -> None:
+    def _query(self, job: str, once: bool = False, node: str | None = None) -> None:
         node = node or self.rng.choice(self.names)
         asked = self.clock.seconds()
 
         def answered(result: tuple[int, Any]) -> None:
-            old = job in self.checker.told
+            old = job in self.checker.final_answers
             self.checker.answered(job, *result, asked)
-            told = self.checker.told.get(job, ("", 0))[0]
-            if told and not old:
-                self._look(job)
-            if not once and told not in FINAL:
-                self.clock.callLater(5.0, self._poll, job)
+            final = self.checker.final_answers.get(job, ("", 0))[0]
+            if final and not old:
+                self._repeat_queries(job)
+            if not once and final not in FINAL:
+                self.clock.callLater(5.0, self._query, job)
 
         self.call(node, "GET", f"/submissions/{job}").addCallback(answered)
 
     def cancel(self, job: str, node: str | None = None) -> None:
+        """A user cancels a job, and repeats that until it is answered."""
         target = node or self.rng.choice(self.names)
         asked = self.clock.seconds()
 
         def answered(result: tuple[int, Any]) -> None:
-            old = job in self.checker.told
+            old = job in self.checker.final_answers
             self.checker.answered(job, *result, asked)
-            if job in self.checker.told and not old:
-                self._look(job)
+            if job in self.checker.final_answers and not old:
+                self._repeat_queries(job)
             if result[0] not in (200, 404):
                 self.clock.callLater(1.0, self.cancel, job)
 
         self.call(target, "POST", f"/submissions/{job}/withdraw").addCallback(answered)
 
-    # -- what is so
+    # -- state of the deployment
 
     def running(self, job: str) -> int:
+        """How many of the job's tasks run on live machines."""
         return sum(
             1
             for worker in self.cloud.workers.values()
@@ -434,12 +444,14 @@
         )
 
     def machines_of(self, job: str) -> set[str]:
+        """The machines that tasks of the job are on."""
         return {
             m
-            for task, places in self.checker.on.items()
+            for task, places in self.checker.placements.items()
             if task.startswith(job + "/")
             for m, _ in places
         }
 
     def status(self, job: str) -> str:
-        return self.checker.told.get(job, ("live", 0.0))[0]
+        """The final state that users were answered, or `live`."""
+        return self.checker.final_answers.get(job, ("live", 0.0))[0]
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -17,10 +17,10 @@
     checker = Checker(SimClock(), 45.0, {"red": (3.0, 0.0)})
     for name in ("j-1", "j-2"):
         checker.jobs[name] = {**JOB, "parcels": 2, **job, "id": name}
-        checker.asked.add(name)
-    checker.where["m-1"] = ("small", "east", False)
-    checker.where["m-2"] = ("small", "west", True)
-    checker.where["m-3"] = ("big", "east", False)
+        checker.requested.add(name)
+    checker.machines["m-1"] = ("small", "east", False)
+    checker.machines["m-2"] = ("small", "west", True)
+    checker.machines["m-3"] = ("big", "east", False)
     return checker
 
 
@@ -79,7 +79,7 @@
     checker.start("j-1/0", 1, "m-1")
     cancelled(checker)
     at(checker, 46.0)
-    checker.sweep()
+    checker.check_cancelled()
 
 
 def starts_late(checker: Checker) -> None:
@@ -90,7 +90,7 @@
 
 def started_cancelled(checker: Checker) -> None:
     cancelled(checker)
-    checker.ordered(encode_commands(7, 1, [StartCommand("j-1/0", 1)]))
+    checker.commands_sent(encode_commands(7, 1, [StartCommand("j-1/0", 1)]))
 
 
 def forgotten(checker: Checker) -> None:
@@ -107,17 +107,17 @@
 def no_answers(checker: Checker) -> None:
     accepted(checker)
     at(checker, 30.0)
-    checker.unanswered(10.0)
+    checker.check_answers(10.0)
     assert not checker.broken
     at(checker, 86.0)
-    checker.unanswered(10.0)
+    checker.check_answers(10.0)
 
 
 def left_waiting(checker: Checker) -> None:
     accepted(checker)
-    checker.waits("j-1", True)
+    checker.check_waiting("j-1", True)
     at(checker, 91.0)
-    checker.waits("j-1", True)
+    checker.check_waiting("j-1", True)
 
 
 def invented(checker: Checker) -> None:
@@ -149,7 +149,7 @@
 
 
 def took_bad(checker: Checker) -> None:
-    checker.bad.add("j-2")
+    checker.invalid.add("j-2")
     checker.submitted("j-2", 201)
 
 
@@ -193,12 +193,12 @@
     checker.answered("j-1", 200, {"status": "withdrawn"}, 0.9)
     # Asked before the user was told, and a stop for what is cancelled.
     checker.answered("j-1", 200, {"status": "running"}, 0.8)
-    checker.ordered(encode_commands(7, 1, [StopCommand("j-1/0", 1, 0.0)]))
+    checker.commands_sent(encode_commands(7, 1, [StopCommand("j-1/0", 1, 0.0)]))
     at(checker, 44.0)
-    checker.sweep()
+    checker.check_cancelled()
     checker.stop("j-1/0", 1, "m-1")
     at(checker, 50.0)
-    checker.sweep()
-    checker.unanswered(0.0)
-    checker.waits("j-2", False)
+    checker.check_cancelled()
+    checker.check_answers(0.0)
+    checker.check_waiting("j-2", False)
     assert checker.broken == []
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -7,7 +7,7 @@
 import pytest
 
 from beamspar.standby.decisions import MachinesUp, RentalAbandoned
-from tests.standins.history import LeadHistory
+from tests.standins.history import LeaderHistory
 
 ONE, OTHER = MachinesUp(["host-1"]), RentalAbandoned("r-1")
 
@@ -21,12 +21,12 @@
 
 
 def test_a_sound_history_has_no_faults() -> None:
-    history = LeadHistory()
+    history = LeaderHistory()
     history.decided(5, 1, ONE)
     history.decided(5, 2, OTHER)
     history.restored(1, 5, 0)
-    history.copied(1, 5, 1, ONE)
-    history.copied(1, 5, 2, OTHER)
+    history.replicated(1, 5, 1, ONE)
+    history.replicated(1, 5, 2, OTHER)
     history.restored(1, 9, 0)
     history.stored(shard(3, "a", "host-1") + shard(4, "a", "host-1", "host-2"))
     assert history.faults == []
@@ -36,18 +36,18 @@
     ("says", "steps"),
     [
         ("two decisions", [("decided", 5, 1, ONE), ("decided", 5, 1, OTHER)]),
-        ("not what was decided", [("decided", 5, 1, ONE), ("copied", 1, 5, 1, OTHER)]),
+        ("not what was decided", [("decided", 5, 1, ONE), ("replicated", 1, 5, 1, OTHER)]),
         (
             "is applied after",
-            [("decided", 5, 1, ONE), ("copied", 1, 5, 1, ONE), ("copied", 1, 5, 1, ONE)],
+            [("decided", 5, 1, ONE), ("replicated", 1, 5, 1, ONE), ("replicated", 1, 5, 1, ONE)],
         ),
         (
             "is applied after",
-            [("decided", 5, 2, ONE), ("restored", 1, 5, 0), ("copied", 1, 5, 2, ONE)],
+            [("decided", 5, 2, ONE), ("restored", 1, 5, 0), ("replicated", 1, 5, 2, ONE)],
         ),
         (
             "is applied after",
-            [("decided", 4, 1, ONE), ("restored", 1, 5, 0), ("copied", 1, 4, 1, ONE)],
+            [("decided", 4, 1, ONE), ("restored", 1, 5, 0), ("replicated", 1, 4, 1, ONE)],
         ),
         ("replaces", [("restored", 1, 5, 7), ("restored", 1, 5, 6)]),
         ("replaces", [("restored", 1, 5, 0), ("restored", 1, 4, 9)]),
@@ -56,7 +56,7 @@
     ],
 )
 def test_a_fault_is_found(says: str, steps: list[tuple[Any, ...]]) -> None:
-    history = LeadHistory()
+    history = LeaderHistory()
     for name, *arguments in steps:
         assert history.faults == [], "found before the step that is wrong"
         getattr(history, name)(*arguments)
--- a/tests/test_many_tasks.py
+++ b/tests/test_many_tasks.py
@@ -171,8 +171,8 @@
     world.submit("j-mid", urgency="normal", **shape)
     world.run(24.0)
     assert max(node.job_controller.placer.late_s for node in world.nodes.values()) > 0.05
-    assert world.checker.starts.get("j-mid") == 6
-    assert "j-low" not in world.checker.starts
+    assert world.checker.start_counts.get("j-mid") == 6
+    assert "j-low" not in world.checker.start_counts
     for name in world.names:
         world.network.cost_s[name] = 0.0
     world.run(40.0)
--- a/tests/test_moving_machines.py
+++ b/tests/test_moving_machines.py
@@ -34,14 +34,14 @@
 
 def mute(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
     for name in machines:
-        world.mute(name)
-    world.clock.callLater(LATER_S, world.network.barred.clear)
+        world.block_heartbeats(name)
+    world.clock.callLater(LATER_S, world.network.blocked_pairs.clear)
 
 
 def old_reports(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
     """Copies of all that the machines ever reported arrive on either side."""
     for name in machines:
-        for number, body in enumerate(world.cloud.workers[name].copies):
+        for number, body in enumerate(world.cloud.workers[name].sent_heartbeats):
             for node in (source, target):
                 world.clock.callLater(0.01 * number, world.call, node, "POST", "/v1/report", body)
 
@@ -69,11 +69,11 @@
     """Users call off what runs there, and then both holders end."""
     jobs = {
         task.partition("/")[0]
-        for task, places in world.checker.on.items()
+        for task, places in world.checker.placements.items()
         if any(machine in machines for machine, _ in places)
     }
     assert jobs
-    world.cancel_now(sorted(jobs - world.checker.told.keys()))
+    world.cancel_now(sorted(jobs - world.checker.final_answers.keys()))
     for name in (source, target):
         world.clock.callLater(0.5, world.crash, name, 40.0)
 
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -46,7 +46,7 @@
             world.network.cut(node, other, mode)
             later(span, world.network.heal, node, other)
     elif kind == 6 and machine:
-        for body in world.cloud.workers[machine].copies[-20:]:
+        for body in world.cloud.workers[machine].sent_heartbeats[-20:]:
             later(rng.random() * span, world.call, rng.choice(names), "POST", "/v1/report", body)
     elif kind == 7:
         node = rng.choice(names)
@@ -56,7 +56,7 @@
                 world.network.cut(node, other, mode)
                 later(span, world.network.heal, node, other)
     elif kind == 8 and machine:
-        world.cloud.workers[machine].sick = rng.random() < 0.7
+        world.cloud.workers[machine].is_faulty = rng.random() < 0.7
     elif kind == 9:
         world.cloud.down = not world.cloud.down
     elif kind == 10:
@@ -70,33 +70,33 @@
             world.network.frozen[name] = world.clock.seconds() + min(span, 25.0)
     elif kind == 14:
         node = rng.choice([world.leader() or names[0], rng.choice(names)])
-        world.state.refused.add(node)
-        later(span, world.state.refused.discard, node)
+        world.state.refused_hosts.add(node)
+        later(span, world.state.refused_hosts.discard, node)
         if rng.random() < 0.5:
             # Then out for everybody, for longer than a cancellation has.
             later(1.0, world.state.outage, True)
             later(1.0 + 59.0, world.state.outage, False)
     elif kind == 15:
-        world.state.late_share, world.state.at_once = rng.choice([0.1, 0.4]), True
+        world.state.late_share, world.state.loses_answer_only = rng.choice([0.1, 0.4]), True
         later(span, setattr, world.state, "late_share", 0.0)
-        later(span, setattr, world.state, "at_once", False)
+        later(span, setattr, world.state, "loses_answer_only", False)
     elif kind == 16:
-        world.copying = (world.clock.seconds() + span, 0.4, rng.random() < 0.5)
-        if world.copying[2]:
+        world.duplicating_heartbeats = (world.clock.seconds() + span, 0.4, rng.random() < 0.5)
+        if world.duplicating_heartbeats[2]:
             later(span, world.crash, world.leader() or names[0], rng.choice([0.2, 6.0, 45.0]))
     elif kind == 17 and machines:
         for name in rng.sample(machines, min(len(machines), rng.choice([1, 4]))):
-            world.mute(name)
-        later(span, world.network.barred.clear)
+            world.block_heartbeats(name)
+        later(span, world.network.blocked_pairs.clear)
     elif kind == 18:
-        jobs = [j for j in world.checker.accepted if j not in world.checker.told]
+        jobs = [j for j in world.checker.accepted if j not in world.checker.final_answers]
         jobs = [j for j in jobs if world.machines_of(j)]
         world.cancel_now(rng.sample(jobs, min(len(jobs), 6)), rng.choice([0.0, 9.0, 14.0, 25.0]))
     elif kind == 19:
-        world.looking = (world.clock.seconds() + span, 0.2)
-        world.ending = (world.clock.seconds() + span, 0.5)
+        world.repeating_queries = (world.clock.seconds() + span, 0.2)
+        world.cancelling_at_end = (world.clock.seconds() + span, 0.5)
     elif kind == 20:
-        world.odd(world.clock.seconds() + span)
+        world.send_invalid_requests(world.clock.seconds() + span)
     elif kind == 21:
         # A controller without state service and siblings, but with its workers and users.
         node = rng.choice([world.leader() or names[0], rng.choice(names)])
@@ -202,19 +202,19 @@
     world.cloud.down = False
     world.state.outage(False)
     world.state.late_share = world.state.slow_s = 0.0
-    world.state.refused.clear()
+    world.state.refused_hosts.clear()
     world.state.late_watches.clear()
-    world.network.barred.clear()
+    world.network.blocked_pairs.clear()
     world.network.cost_s.clear()
-    world.copying = (-1.0, 0.0, False)
+    world.duplicating_heartbeats = (-1.0, 0.0, False)
     for pair in list(world.network.cuts):
         world.network.heal(*pair)
     for worker in world.cloud.workers.values():
-        worker.hung = worker.sick = False
+        worker.hung = worker.is_faulty = False
     world.run(world.clock.seconds() + 30)
     # Outages and hangs that began late are over, too.
     world.run(world.clock.seconds() + 62)
-    world.quiet = world.clock.seconds()
+    world.faults_over_at = world.clock.seconds()
     world.run(world.clock.seconds() + 30)
     for job, spec in world.checker.jobs.items():
         if spec["shape"] == "standing" and job in world.checker.accepted:
--- a/tests/test_random_limits.py
+++ b/tests/test_random_limits.py
@@ -48,7 +48,7 @@
     later = world.clock.callLater
     machines = [n for n, w in world.cloud.workers.items() if not w.dead]
     lost = rng.sample(machines, max(len(machines) // 4, 1))
-    span = world.workers_facts["lease_s"] + rng.choice([1.0, 4.0, 9.0])
+    span = world.worker_settings["lease_s"] + rng.choice([1.0, 4.0, 9.0])
     world.cloud.down = True
     later(span + 20.0, setattr, world.cloud, "down", False)
     hangs = rng.random() < 0.5
@@ -124,7 +124,7 @@
 def give_back(world: World) -> None:
     """Once all jobs are over nothing is in use, and each team can fill its limit again."""
     for job in world.checker.accepted:
-        if job not in world.checker.told:
+        if job not in world.checker.final_answers:
             world.cancel(job)
     world.run(world.clock.seconds() + 60)
     used = {
@@ -141,7 +141,7 @@
             world.submit(job, node, owner=team["name"], shape="sweep", parcels=20, run_s=300.0)
     world.run(world.clock.seconds() + 60)
     for team in TEAMS:
-        assert world.checker.use(team["name"])[0] == team["cpus_max"], team
+        assert world.checker.team_usage(team["name"])[0] == team["cpus_max"], team
     check(world)
 
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -78,12 +78,12 @@
             world.network.cost_s[name] = step["cost_ms"] / 1000
     elif do == "state" and "down" not in step:
         world.state.late_share = step.get("late_share", 0.0)
-        world.state.at_once = step.get("at_once", False)
-        world.state.lost = step.get("lost", False)
+        world.state.loses_answer_only = step.get("at_once", False)
+        world.state.never_applies_late = step.get("lost", False)
         world.state.late_keys = step.get("late_keys", "")
-        world.state.late_left = step.get("late_left", -1)
+        world.state.late_count_left = step.get("late_left", -1)
         world.state.slow_s = step.get("slow_s", 0.0)
-        world.state.refused = set(nodes_of(world, step.get("refuse", [])))
+        world.state.refused_hosts = set(nodes_of(world, step.get("refuse", [])))
     elif do == "state":
         world.state.outage(step["down"])
     elif do == "cloud":
@@ -106,43 +106,43 @@
             if do == "die":
                 worker.die()
             elif do == "notice":
-                worker.notice = 20.0
+                worker.termination_notice_s = 20.0
                 worker.changed()
             elif do == "replay":
                 # Late copies of what the worker once reported, to every controller.
-                for body in worker.copies[:: step.get("every", 1)]:
+                for body in worker.sent_heartbeats[:: step.get("every", 1)]:
                     for node in world.names:
                         world.call(node, "POST", "/v1/report", body)
             else:
                 worker.hung = do == "hang"
-                worker.sick = do == "sick"
+                worker.is_faulty = do == "sick"
     elif do == "mute":
         for name in victims(world, step):
-            world.mute(name)
+            world.block_heartbeats(name)
     elif do == "unmute":
-        world.network.barred.clear()
+        world.network.blocked_pairs.clear()
     elif do == "hear":
         for name in victims(world, step):
             for node in world.names:
                 world.network.heal(node, name)
     elif do == "copies":
         until = world.clock.seconds() + step["for_s"]
-        world.copying = (until, step["share"], step.get("for_next", False))
+        world.duplicating_heartbeats = (until, step["share"], step.get("for_next", False))
     elif do == "cancel":
         jobs = [j for j in world.checker.accepted if j.startswith(step["job"])]
-        jobs = [j for j in jobs if world.machines_of(j) and j not in world.checker.told]
+        jobs = [j for j in jobs if world.machines_of(j) and j not in world.checker.final_answers]
         assert len(jobs) >= step.get("at_least", 1), (step, jobs)
         world.cancel_now(jobs, step.get("hang_s", 0.0))
     elif do == "close-looks":
-        world.looking = (world.clock.seconds() + step["for_s"], step.get("cancel", 0.0))
+        world.repeating_queries = (world.clock.seconds() + step["for_s"], step.get("cancel", 0.0))
     elif do == "cancel-at-end":
-        world.ending = (world.clock.seconds() + step["for_s"], step["share"])
+        world.cancelling_at_end = (world.clock.seconds() + step["for_s"], step["share"])
     elif do == "odd":
-        world.odd(world.clock.seconds() + step["for_s"])
+        world.send_invalid_requests(world.clock.seconds() + step["for_s"])
     elif do == "boots":
         world.cloud.boot_s = step["in_s"]
     elif do == "quiet":
-        world.quiet = world.clock.seconds()
+        world.faults_over_at = world.clock.seconds()
     elif do == "blind":
         # Reports arrive; answers and orders do not reach the machine.
         for name in victims(world, step):
@@ -179,12 +179,12 @@
         record = world.state.items[f"job/{step['job']}"][0]
         assert len(record["t"]["b"]) == step["bound"], (where, step, record["t"])
     if "started" in step:
-        assert world.checker.starts.get(step["job"]) == step["started"], (where, step)
+        assert world.checker.start_counts.get(step["job"]) == step["started"], (where, step)
     if "started_at_most" in step:
-        assert world.checker.starts.get(step["job"], 0) <= step["started_at_most"], (
+        assert world.checker.start_counts.get(step["job"], 0) <= step["started_at_most"], (
             where,
             step,
-            world.checker.starts.get(step["job"], 0),
+            world.checker.start_counts.get(step["job"], 0),
         )
     if "largest_kb" in step:
         assert world.state.largest <= step["largest_kb"] * 1024, (where, world.state.largest)
@@ -194,10 +194,13 @@
         assert len(found) >= step["keys"], (where, step, found)
     if "gang_saved" in step:
         # Orderly stops of the whole that saved, and none that did not.
-        assert world.gangs.saved.get(step["job"], 0) >= step["gang_saved"], (where, step)
-        assert world.gangs.failed.get(step["job"], 0) == 0, (where, step)
+        assert world.gangs.saved_stops.get(step["job"], 0) >= step["gang_saved"], (where, step)
+        assert world.gangs.failed_saves.get(step["job"], 0) == 0, (where, step)
     if "kept_s" in step:
-        assert world.gangs.kept.get(step["job"], 0.0) >= step["kept_s"], (where, world.gangs.kept)
+        assert world.gangs.checkpointed_s.get(step["job"], 0.0) >= step["kept_s"], (
+            where,
+            world.gangs.checkpointed_s,
+        )
     if "attempt" in step:
         attempts = [a for (job, a) in world.gangs.attempts if job == step["job"]]
         assert max(attempts, default=0) == step["attempt"], (where, step, attempts)
@@ -219,7 +222,10 @@
     if "writes" in step:
         assert len(world.state.history) <= step["writes"], (where, len(world.state.history))
     if "cloud_refusals" in step:
-        assert world.cloud.refused <= step["cloud_refusals"], (where, world.cloud.refused)
+        assert world.cloud.refused_requests <= step["cloud_refusals"], (
+            where,
+            world.cloud.refused_requests,
+        )
     if "peer_kb" in step:
         assert world.network.peer_bytes <= step["peer_kb"] * 1024, (
             where,
@@ -238,16 +244,19 @@
         assert len(short) <= step.get("but", 0), (where, len(short), sorted(short)[:5])
     if step.get("started_once"):
         jobs = [j for j in world.checker.accepted if j.startswith(step["job"])]
-        again = {j: world.checker.starts.get(j) for j in jobs}
+        again = {j: world.checker.start_counts.get(j) for j in jobs}
         wrong = {j: n for j, n in again.items() if n != world.checker.jobs[j]["parcels"]}
         assert not wrong, (where, wrong)
     if "sockets" in step:
-        assert max(world.network.peaks[n] for n in world.names) <= step["sockets"], (
+        assert max(world.network.peak_sockets[n] for n in world.names) <= step["sockets"], (
             where,
-            world.network.peaks,
+            world.network.peak_sockets,
         )
     if "turned_away" in step:
-        assert world.network.turned_away <= step["turned_away"], (where, world.network.turned_away)
+        assert world.network.rejected_connections <= step["turned_away"], (
+            where,
+            world.network.rejected_connections,
+        )
     if "sessions" in step:
         # Machines whose lease ran out: nobody answered them in time.
         late = sorted(
@@ -259,7 +268,7 @@
         assert holder is not None and len(holder.machines) >= step["holds"], (where, step)
     if "withdrawn" in step:
         # So many of that name's beginning were told to be, and none of them is anywhere.
-        jobs = [j for j, t in world.checker.told.items() if t[0] == "withdrawn"]
+        jobs = [j for j, t in world.checker.final_answers.items() if t[0] == "withdrawn"]
         jobs = [j for j in jobs if j.startswith(step["job"])]
         left = {j: sorted(m) for j in jobs if (m := world.machines_of(j))}
         assert len(jobs) >= step["withdrawn"], (where, len(jobs))
@@ -269,7 +278,7 @@
         assert sum(map(world.running, jobs)) >= step["live_tasks"], (where, step)
     if "ended" in step:
         jobs = [j for j in world.checker.accepted if j.startswith(step["job"])]
-        open_ = [j for j in jobs if j not in world.checker.told]
+        open_ = [j for j in jobs if j not in world.checker.final_answers]
         assert len(jobs) - len(open_) >= step["ended"], (where, len(jobs), len(open_), open_[:5])
     if "in_two_blocks" in step:
         names = [m["name"] for k, item in world.state.items.items() if k.startswith("c/block/")
@@ -291,19 +300,19 @@
     if "not_on" in step:
         assert step["not_on"] not in world.machines_of(step["job"]), (where, step)
     if "kinds" in step:
-        kinds = {world.checker.where[m][0] for m in world.machines_of(step["job"])}
+        kinds = {world.checker.machines[m][0] for m in world.machines_of(step["job"])}
         assert kinds == set(step["kinds"]), (where, step, kinds)
     if "most_in_zone" in step:
         places = [
-            world.checker.where[machine][1]
-            for task, there in world.checker.on.items()
+            world.checker.machines[machine][1]
+            for task, there in world.checker.placements.items()
             if task.startswith(step["job"])
             for machine, _ in there
         ]
         assert places, (where, step)
         assert max(places.count(z) for z in places) <= step["most_in_zone"], (where, places)
     if "zones" in step:
-        zones = {world.checker.where[m][1] for m in world.machines_of(step["job"])}
+        zones = {world.checker.machines[m][1] for m in world.machines_of(step["job"])}
         assert len(zones) == step["zones"], (where, step, zones)
     if "rented" in step:
         assert len(world.cloud.machines) >= step["rented"], (where, len(world.cloud.machines))
@@ -314,7 +323,10 @@
         spoken = {folio for record in budgets for folio in record}
         assert {f"c/folio/{f}" for f in spoken} <= set(folios), (where, spoken, folios)
     if "rentals" in step:
-        assert len(world.cloud.names) <= step["rentals"], (where, len(world.cloud.names))
+        assert len(world.cloud.instances_by_request) <= step["rentals"], (
+            where,
+            len(world.cloud.instances_by_request),
+        )
     if "at_most" in step:
         assert len(world.cloud.machines) <= step["at_most"], (where, len(world.cloud.machines))
     if "gone" in step:
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -32,7 +32,9 @@
     check_whole(world)
     gaps = world.ownership.gaps
     assert len(gaps) > 50 and statistics.median(gaps) < 0.1, (len(gaps), statistics.median(gaps))
-    again = {j: n for j, n in world.checker.starts.items() if n != world.checker.jobs[j]["parcels"]}
+    again = {
+        j: n for j, n in world.checker.start_counts.items() if n != world.checker.jobs[j]["parcels"]
+    }
     assert again == {}, "a task was started anew for a move"
 
 
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -169,18 +169,18 @@
     world.submit("j-1", parcels=4, cpus=8.0, accelerators=2.0, memory_gb=30.0, shape="sweep")
     for _ in range(200):
         world.run(world.clock.seconds() + 0.05)
-        if world.cloud.names:
+        if world.cloud.instances_by_request:
             break
     world.run(world.clock.seconds() + 0.5)
     old = world.leader()
     rented = len(world.cloud.machines)
-    first = set(world.cloud.names)
+    first = set(world.cloud.instances_by_request)
     world.crash(old, None)
     takeover_s(world, old)
     world.run(world.clock.seconds() + 6.0)
     # What is kept free beside the job may be rented still, but not its machines once more.
     more = len(world.cloud.machines) - rented
-    assert more <= 2, (rented, more, set(world.cloud.names) - first)
+    assert more <= 2, (rented, more, set(world.cloud.instances_by_request) - first)
 
 
 def test_a_rental_in_doubt_is_repeated_under_its_name() -> None:
@@ -195,15 +195,15 @@
     world.submit("j-1", parcels=4, cpus=8.0, accelerators=2.0, memory_gb=30.0, shape="sweep")
     for _ in range(200):
         world.run(world.clock.seconds() + 0.05)
-        if world.cloud.names:
+        if world.cloud.instances_by_request:
             break
-    asked = set(world.cloud.names)
+    asked = set(world.cloud.instances_by_request)
     assert len(asked) == 1
     world.run(world.clock.seconds() + 0.6)
     world.crash(old, None)
     new_requests: list[str] = []
-    rent = world.cloud._rent
-    world.cloud._rent = lambda body: (new_requests.append(body["hire"]), rent(body))[1]  # type: ignore
+    rent = world.cloud._scale_out
+    world.cloud._scale_out = lambda body: (new_requests.append(body["hire"]), rent(body))[1]  # type: ignore
     takeover_s(world, old)
     world.run(world.clock.seconds() + 3.0)
     assert new_requests[:1] == sorted(asked)
@@ -423,7 +423,7 @@
     offers = leader.offer_capacity(
         first, [CapacityRequest(msgspec.to_builtins(spec), 9, {}, {}, [])]
     ).offers
-    zones = {world.checker.where[offer.machine][1] for offer in offers}
+    zones = {world.checker.machines[offer.machine][1] for offer in offers}
     assert offers and zones <= leader.confirmed_zones()
     # With the time to speak over, or the third back, everything is lent again.
     world.run(world.clock.seconds() + 10.0)
