--- a/tests/test_gang.py
+++ b/tests/test_gang.py
@@ -5,7 +5,7 @@
 from beamspar.jobs.gang import MAX_RETRY_DELAY, Gang, GangPhase
 from beamspar.jobs.job import Job
 from beamspar.protocol.jobs import JobSpec
-from beamspar.quota import quota_preemption as limit_yield
+from beamspar.quota import quota_preemption
 from beamspar.state.job_records import Layout
 
 WAIT = 40.0
@@ -20,8 +20,8 @@
     return gang
 
 
-def phase(gang: Gang, left: int, now: float = 0.0) -> GangPhase:
-    return gang.phase(4, left, now, WAIT)
+def phase(gang: Gang, bound_count: int, now: float = 0.0) -> GangPhase:
+    return gang.phase(4, bound_count, now, WAIT)
 
 
 def test_with_none_bound_it_waits_to_be_placed_whole() -> None:
@@ -73,7 +73,7 @@
     assert phase(gang, 4) is GangPhase.WHOLE
 
 
-def test_restored_with_a_loss_it_waits_until_its_state_is_told() -> None:
+def test_restored_with_a_loss_it_waits_until_its_state_is_reported() -> None:
     gang = Gang()
     assert phase(gang, 3) is GangPhase.UNKNOWN
     gang.saw("gathering")
@@ -104,10 +104,10 @@
     return made
 
 
-def test_a_gang_that_yields_counts_whole() -> None:
+def test_a_gang_is_preempted_as_a_whole() -> None:
     gang = job(SPEC, since=2.0)
     array = job(JobSpec("j-2", "b", "red", "sweep", "normal", 2, 2.0, 0.0, 1.0, "img", 1.0), 1.0)
-    units = limit_yield.choose([gang, array], (), lambda rank: (3.0, 0.0))
+    units = quota_preemption.choose([gang, array], (), lambda rank: (3.0, 0.0))
     assert [(unit.job.id, len(unit.tasks), unit.cpus) for unit in units] == [("j-1", 4, 8.0)]
 
 
--- a/tests/test_job_acceptor.py
+++ b/tests/test_job_acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts without an answer, with the state service scripted: what they bind stays counted."""
+"""Indeterminate accepts, with the state service scripted: what they bind stays counted."""
 
 from __future__ import annotations
 
@@ -60,12 +60,12 @@
     owner.loaded = {"rig-0.1"}
     room = Room("m-1", "small", "east", False, 8.0, 0.0, 64.0)
     owner.placer.rooms = lambda: [room]
-    # The session is kept valid by hand.
+    # The lease counts as valid throughout.
     registration.lease_is_valid = lambda: True  # type: ignore[method-assign]
     return owner, store, clock
 
 
-def accept_in_doubt() -> tuple[JobController, Store, SimClock]:
+def indeterminate_accept() -> tuple[JobController, Store, SimClock]:
     owner, store, clock = make()
     failed: list[Any] = []
     ensureDeferred(owner.accept(SPEC)).addErrback(failed.append)
@@ -75,14 +75,14 @@
 
 
 def test_an_accept_that_is_stored_but_not_in_memory_still_counts() -> None:
-    owner, store, clock = accept_in_doubt()
+    owner, store, clock = indeterminate_accept()
     record = msgspec.convert(store.accept, JobRecord)
     assert len(record.chunk.bound) == 2
     # Carried out late; and from then on taking it into memory fails.
     store.items["job/j-1"] = KeyValue("job/j-1", store.accept, 7)
     store.failing = True
     clock.advance_to(60.0)
-    assert store.renewed, "later accepts are void by now"
+    assert store.renewed, "late accepts are fenced by now"
     assert "j-1" not in owner.jobs
     assert owner.quota_manager.used[("rig-0.1", "red")] == (4.0, 0.0)
     store.failing = False
@@ -92,7 +92,7 @@
 
 
 def test_an_accept_that_can_not_be_stored_any_more_counts_no_longer() -> None:
-    owner, store, clock = accept_in_doubt()
+    owner, store, clock = indeterminate_accept()
     clock.advance_to(60.0)
     assert store.renewed
     assert owner.doubtful == {}
--- a/tests/test_job_writer.py
+++ b/tests/test_job_writer.py
@@ -1,4 +1,4 @@
-"""Writes of jobs that are overtaken by what happens meanwhile, with the state service scripted."""
+"""Writes of jobs that are overtaken by other events, with the state service scripted."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from tests.test_job_acceptor import SPEC, make
 
 
-def test_a_write_acknowledged_after_the_job_was_given_up_counts_nothing() -> None:
-    """Use that nothing accounts for would be lost to the team for ever."""
+def test_a_write_acknowledged_after_the_job_was_forgotten_counts_nothing() -> None:
+    """Usage that nothing accounts for would be lost to the team for ever."""
     owner, store, _ = make()
     held: list[Deferred[int]] = []
 
