--- a/tests/test_job_controller.py
+++ b/tests/test_job_controller.py
@@ -66,7 +66,7 @@
     controller.forget(controller.jobs["j-1"], ended=True)
     first.callback(None)
     assert "j-1" not in controller.jobs
-    assert not controller.loader.reading and not controller.loader.ended
+    assert not controller.loader.load_count and not controller.loader.finished_meanwhile
 
 
 def test_a_cancellation_stored_after_the_read_is_applied_as_the_job_is_loaded() -> None:
