--- /dev/null
+++ b/src/beamspar/leader/capacity_needs.py
@@ -0,0 +1,113 @@
+"""How much room the fleet should have: unmet demand, and headroom for each class of jobs."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from typing import NamedTuple
+
+import msgspec
+
+from beamspar.leader.demand import CapacityNeed, UnmetDemand
+from beamspar.leader.fleet_view import FleetView
+from beamspar.leader.member_view import MemberView
+from beamspar.protocol.jobs import LOWEST_RANK, JobSpec
+from beamspar.settings import Timeouts
+from beamspar.transport.http import Clock
+
+HIGHEST_RANK = 0
+# Headroom holds so many of a class's largest jobs, which may come together.
+LARGEST_JOBS_AT_ONCE = 2
+
+
+class RunningClass(msgspec.Struct):
+    """What runs of one class of jobs, over all members."""
+
+    tasks_by_zone: dict[str, int] = msgspec.field(default_factory=dict)
+    # Tasks of the largest job.
+    largest_job: int = 0
+
+
+class LargestJob(NamedTuple):
+    """The tasks of the largest job of a class of late, and when it was seen."""
+
+    tasks: int
+    seen_at: float
+
+
+class CapacityNeeds:
+    """Owns the memory of each class's largest job; computes what room is needed."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        fleet_view: FleetView,
+        unmet_demand: UnmetDemand,
+        timeouts: Timeouts,
+        headroom_share: float,
+        zone_count: int,
+    ) -> None:
+        self.clock = clock
+        self.fleet_view = fleet_view
+        self.unmet_demand = unmet_demand
+        self.timeouts = timeouts
+        self.headroom_share = headroom_share
+        self.zone_count = zone_count
+        self._largest_jobs: dict[str, LargestJob] = {}
+
+    def current(self) -> list[CapacityNeed]:
+        """Waiting work first, then headroom for each class as it runs now, by priority."""
+        now = self.clock.seconds()
+        needs = self.unmet_demand.current(now)
+        running = count_running(member for _, member in self.fleet_view.recently_heard(now))
+        self._remember_largest_jobs(running, now)
+        templates = self.fleet_view.class_templates
+        for name, job_class in sorted(running.items(), key=lambda item: templates[item[0]].rank):
+            spec = templates[name]
+            if spec.rank == LOWEST_RANK:
+                # It uses what others leave: nothing is rented ahead for it, nor kept idle.
+                continue
+            tasks = headroom(
+                spec,
+                job_class.tasks_by_zone,
+                self._largest_jobs[name].tasks,
+                self.headroom_share,
+                self.zone_count,
+            )
+            needs.append(CapacityNeed(spec, tasks))
+        return needs
+
+    def _remember_largest_jobs(self, running: Mapping[str, RunningClass], now: float) -> None:
+        for name, job_class in running.items():
+            size = job_class.largest_job
+            known = self._largest_jobs.get(name, LargestJob(0, now))
+            if size >= known.tasks or now - known.seen_at > self.timeouts.largest_job_memory:
+                self._largest_jobs[name] = LargestJob(size, now)
+
+
+def count_running(members: Iterable[MemberView]) -> dict[str, RunningClass]:
+    """What runs of each class at these members, in the order in which they name the classes."""
+    running: dict[str, RunningClass] = {}
+    for member in members:
+        for name, job_class in member.classes.items():
+            total = running.setdefault(name, RunningClass())
+            zones = total.tasks_by_zone
+            for zone, tasks in job_class.zones.items():
+                zones[zone] = zones.get(zone, 0) + tasks
+            total.largest_job = max(total.largest_job, job_class.largest)
+    return running
+
+
+def headroom(
+    spec: JobSpec,
+    tasks_by_zone: Mapping[str, int],
+    largest_job: int,
+    headroom_share: float,
+    zone_count: int,
+) -> int:
+    """For how many tasks of a class room is kept free."""
+    share = int(sum(tasks_by_zone.values()) * headroom_share) + 1
+    tasks = max(share, LARGEST_JOBS_AT_ONCE * largest_job)
+    if spec.rank == HIGHEST_RANK and spec.is_service and zone_count > 1:
+        # Replicas that users wait for must find room elsewhere when a zone is lost.
+        tasks = max(tasks, *tasks_by_zone.values(), 0)
+    return tasks
--- /dev/null
+++ b/src/beamspar/leader/capacity_offers.py
@@ -0,0 +1,166 @@
+"""The leader's offers: on which machines of the fleet the tasks of waiting jobs may start."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Collection
+from typing import NamedTuple
+
+import msgspec
+
+from beamspar.cluster.state_mirror import StateMirror
+from beamspar.leader.demand import JobDemand, UnmetDemand
+from beamspar.leader.fleet_view import FleetView
+from beamspar.leader.gang_reservations import GangReservations
+from beamspar.placement import (
+    Preference,
+    Room,
+    choose,
+    choose_group,
+    choose_group_preemption,
+    choose_preemption,
+    has_room,
+)
+from beamspar.protocol.jobs import LOWEST_RANK, JobSpec
+from beamspar.protocol.peer_messages import CapacityRequest, PlacementOffer
+from beamspar.transport.http import Clock
+
+# Offers in one answer to one job's request; groups are offered whole.
+MAX_OFFERS_PER_REQUEST = 200
+
+
+class Placement(NamedTuple):
+    """A machine that was chosen for a task."""
+
+    room: Room
+    # Room is made by stopping work of lower priority.
+    preempt: bool
+
+
+class CapacityAllocator:
+    """Answers capacity requests; owns nothing but the order of the offers of one batch.
+
+    What it offers is reserved tentatively in the fleet view, and what it can't offer is recorded
+    as unmet demand, for scaling out.
+    """
+
+    def __init__(
+        self,
+        clock: Clock,
+        mirror: StateMirror,
+        fleet_view: FleetView,
+        gang_reservations: GangReservations,
+        unmet_demand: UnmetDemand,
+    ) -> None:
+        self.clock = clock
+        self.mirror = mirror
+        self.fleet_view = fleet_view
+        self.gang_reservations = gang_reservations
+        self.unmet_demand = unmet_demand
+        # What decides among machines that are equal for a job.
+        self.preference: Callable[[JobSpec], Preference] = lambda spec: Preference()
+
+    def offer(
+        self, member: str, requests: list[CapacityRequest], only_zones: Collection[str] | None
+    ) -> list[PlacementOffer]:
+        """Offers for a member's requests, in their order; in these zones only, if any are given.
+
+        Machines that cache the image come first, then the requesting member's own, then any.
+        """
+        now = self.clock.seconds()
+        rooms = self.fleet_view.rooms()
+        demands = [
+            JobDemand(msgspec.convert(request.spec, JobSpec), request) for request in requests
+        ]
+        if only_zones is None:
+            self.gang_reservations.update(demands, rooms, now)
+        else:
+            rooms = [room for room in rooms if room.zone in only_zones]
+        near = self._machines_of(member)
+        offers: list[PlacementOffer] = []
+        for demand in demands:
+            open_rooms = self.gang_reservations.rooms_open_to(demand.spec, rooms)
+            if demand.spec.grouped and not demand.request.zones:
+                offers += self._offer_group(demand, open_rooms, near, now)
+            else:
+                offers += self._offer_singly(demand, open_rooms, near, now)
+        return offers
+
+    def _machines_of(self, member: str) -> set[str]:
+        return {
+            machine.name
+            for shard in self.mirror.shards.values()
+            if shard.holder == member
+            for machine in shard.machines
+        }
+
+    def _offer_group(
+        self, demand: JobDemand, rooms: list[Room], near: Collection[str], now: float
+    ) -> list[PlacementOffer]:
+        """Room for all of the group's tasks, or none."""
+        spec, request = demand
+        group = choose_rooms_for_group(demand, rooms, near, self.preference(spec))
+        offers: list[PlacementOffer] = []
+        for room in group:
+            # A machine may be in the group several times: each reservation counts for the next.
+            placement = Placement(room, preempt=not has_room(spec, room))
+            offers.append(self._reserve(spec, placement, now))
+        self.unmet_demand.record(spec, 0 if group else request.count, now)
+        return offers
+
+    def _offer_singly(
+        self, demand: JobDemand, rooms: list[Room], near: Collection[str], now: float
+    ) -> list[PlacementOffer]:
+        """Room for as many of the job's tasks as possible."""
+        spec, request = demand
+        zones, machines = dict(request.zones), dict(request.machines)
+        preference = self.preference(spec)
+        offers: list[PlacementOffer] = []
+        remaining = min(request.count, MAX_OFFERS_PER_REQUEST)
+        while remaining:
+            room = choose(spec, rooms, zones, machines, request.avoid, near, preference=preference)
+            placement = (
+                Placement(room, preempt=False)
+                if room is not None
+                else choose_by_preemption(demand, rooms, zones)
+            )
+            if placement is None:
+                break
+            room = placement.room
+            offers.append(self._reserve(spec, placement, now))
+            zones[room.zone] = zones.get(room.zone, 0) + 1
+            machines[room.name] = machines.get(room.name, 0) + 1
+            remaining -= 1
+        self.unmet_demand.record(spec, remaining, now)
+        return offers
+
+    def _reserve(self, spec: JobSpec, placement: Placement, now: float) -> PlacementOffer:
+        room, preempt = placement
+        self.fleet_view.tentative_reservations.reserve(spec, room, now)
+        if preempt:
+            # What can be stopped there is reserved for this task now.
+            room.preemptible = []
+        return PlacementOffer(spec.id, room.name, preempt)
+
+
+def choose_by_preemption(
+    demand: JobDemand, rooms: list[Room], zones: dict[str, int]
+) -> Placement | None:
+    """A machine where stopping lower work makes room for one more task of the job, if any."""
+    spec, request = demand
+    if spec.rank >= LOWEST_RANK:
+        return None
+    room = choose_preemption(spec, rooms, zones, request.avoid)
+    return None if room is None else Placement(room, preempt=True)
+
+
+def choose_rooms_for_group(
+    demand: JobDemand, rooms: list[Room], near: Collection[str], preference: Preference
+) -> list[Room]:
+    """Machines for all tasks of the group, or none; only a gang may preempt lower work."""
+    spec, request = demand
+    group = choose_group(
+        spec, request.count, rooms, {}, {}, request.avoid, near, preference=preference
+    )
+    if not group and spec.is_gang and spec.rank < LOWEST_RANK:
+        return choose_group_preemption(spec, request.count, rooms, request.avoid)
+    return group
--- a/src/beamspar/leader/member_view.py
+++ b/src/beamspar/leader/member_view.py
@@ -1,22 +1,32 @@
-"""What the leader knows of one member, by its heartbeats."""
+"""What the leader knows of one member, accumulated from its heartbeats."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from beamspar.protocol.peer_messages import JobClass, MachineStatus, MemberHeartbeat
 
+NEVER = -1e9
+
+
+class ReceivedStatus(NamedTuple):
+    """A machine's status and the local time at which it was received."""
+
+    status: MachineStatus
+    received_at: float
+
 
 class MemberView:
-    """What the heartbeats of one incarnation of a member add up to."""
+    """Accumulates the heartbeats of one incarnation of a member."""
 
     def __init__(self, incarnation: int) -> None:
         self.incarnation = incarnation
-        # The count of changes up to which it has told.
+        # The member's change count up to which its changes are applied.
         self.count = 0
-        self.heard_at = -1e9
-        # Every machine of the member was told once.
+        self.heard_at = NEVER
+        # Every machine of the member was reported at least once.
         self.complete = False
-        # Each machine's view and when it came.
-        self.machines: dict[str, tuple[MachineStatus, float]] = {}
+        self.machines: dict[str, ReceivedStatus] = {}
         self.classes: dict[str, JobClass] = {}
         # Machines whose workers came to this member, for their holder does not answer them.
         self.unserved: list[str] = []
@@ -24,16 +34,19 @@
         self.demand = 0
         self.late_s = 0.0
 
-    def take(self, heartbeat: MemberHeartbeat, now: float) -> bool:
-        """Take in a heartbeat; False if it builds on one that did not come."""
+    def apply_heartbeat(self, heartbeat: MemberHeartbeat, now: float) -> bool:
+        """Apply a heartbeat; False if it builds on one that was not received."""
         if self.count != heartbeat.since:
             return False
         self.count, self.classes = heartbeat.count, heartbeat.classes
         self.complete = self.complete or not heartbeat.partial
         if self.complete:
-            # Before that it counts as not heard: room that was not told would be rented.
+            # Before that the member counts as not heard: for capacity that was not reported
+            # yet, instances would be rented.
             self.heard_at = now
         self.unserved = heartbeat.unserved_machines
         self.demand, self.late_s = heartbeat.demand, heartbeat.late_s
-        self.machines.update({view.room.name: (view, now) for view in heartbeat.machines})
+        self.machines.update(
+            {status.room.name: ReceivedStatus(status, now) for status in heartbeat.machines}
+        )
         return True
--- a/tests/test_many_tasks.py
+++ b/tests/test_many_tasks.py
@@ -210,4 +210,4 @@
     )
     world.run(20.0)
     leader = world.nodes[world.leader()].leader
-    assert {spec.priority for spec, _ in leader._needs()} == {"normal"}
+    assert {spec.priority for spec, _ in leader.capacity_needs.current()} == {"normal"}
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -296,8 +296,8 @@
     old = world.leader()
     reply = hand_over(world)
     new = world.nodes[reply.leader].leader
-    assert new.replaced == ""
-    assert new.members[old].heard_at >= new.leading_since
+    assert new.leadership.failed_leader == ""
+    assert new.fleet_view.members[old].heard_at >= new.leadership.leading_since
 
 
 def test_without_a_complete_follower_the_lead_stays() -> None:
