--- a/src/beamspar/leader/capacity_offers.py
+++ b/src/beamspar/leader/capacity_offers.py
@@ -135,7 +135,7 @@
 
     def _reserve(self, spec: JobSpec, placement: Placement, now: float) -> PlacementOffer:
         room, preempt = placement
-        self.fleet_view.tentative_reservations.reserve(spec, room, now)
+        self.fleet_view.reserve_tentatively(spec, room, now)
         if preempt:
             # What can be stopped there is reserved for this task now.
             room.preemptible = []
--- a/src/beamspar/leader/fleet_view.py
+++ b/src/beamspar/leader/fleet_view.py
@@ -44,7 +44,7 @@
         self.members: dict[str, MemberView] = {}
         # A job of each class that was ever heard of: what its tasks ask for.
         self.class_templates: dict[str, JobSpec] = {}
-        self.tentative_reservations = TentativeReservations(
+        self._tentative_reservations = TentativeReservations(
             timeouts.heartbeat * RESERVATION_HEARTBEATS
         )
 
@@ -141,6 +141,10 @@
         rooms = []
         for status in self.machine_statuses():
             room = copy(status.room)
-            self.tentative_reservations.subtract_from(room, now)
+            self._tentative_reservations.subtract_from(room, now)
             rooms.append(room)
         return rooms
+
+    def reserve_tentatively(self, spec: JobSpec, room: Room, now: float) -> None:
+        """Reserve room for one task until the holder's heartbeats show that it is used."""
+        self._tentative_reservations.reserve(spec, room, now)
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -1,4 +1,4 @@
-"""How the leader writes blocks whose records are larger than the announced limit."""
+"""How the leader writes shards whose records are larger than the announced limit."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 KEY = "c/block/host-0"
 
 
-class Recorder:
-    """Takes every transaction and keeps it."""
+class TransactionRecorder:
+    """A state service that accepts every transaction and records it."""
 
     def __init__(self) -> None:
         self.revision = 10
@@ -34,20 +34,22 @@
         return self.revision
 
 
-def make(next_limits: NextLimits) -> tuple[Leader, Recorder]:
+def make_leader(next_limits: NextLimits) -> tuple[Leader, TransactionRecorder]:
     base = settings()
     state = msgspec.structs.replace(base.platform.state, next=next_limits)
     own = msgspec.structs.replace(
         base, platform=msgspec.structs.replace(base.platform, state=state)
     )
-    timeouts, clock, recorder = Timeouts(own, OperatorSettings()), SimClock(), Recorder()
+    timeouts, clock, recorder = Timeouts(own, OperatorSettings()), SimClock(), TransactionRecorder()
     unused: Any = None
     store: Any = recorder
     registration = Registration(clock, store, own, timeouts)
     registration.mirror.observe(keys.LEADER, {"name": "rig-0", "inc": 0}, 5)
     rng = random.Random(1)
-    fleet = InstanceManager(clock, unused, registration, own, timeouts, {})
-    leader = Leader(clock, registration, store, fleet, own, timeouts, OperatorSettings(), rng)
+    instance_manager = InstanceManager(clock, unused, registration, own, timeouts, {})
+    leader = Leader(
+        clock, registration, store, instance_manager, own, timeouts, OperatorSettings(), rng
+    )
     return leader, recorder
 
 
@@ -55,8 +57,8 @@
     return [Machine(f"host-{n}", f"10.0.0.{n}:9000", "big", "east") for n in range(count)]
 
 
-def test_a_block_that_outgrew_the_limit_is_split_in_one_write() -> None:
-    leader, recorder = make(NextLimits(value_kb=1.0))
+def test_a_shard_that_outgrew_the_limit_is_split_in_one_write() -> None:
+    leader, recorder = make_leader(NextLimits(value_kb=1.0))
     leader.registration.mirror.observe(KEY, shard_record("rig-1", machines(20)), 7)
     moved = shard_record("rig-0", machines(20), previous_holder_may_act=True)
     ensureDeferred(leader.shard_writer.write([(KEY, moved)]))
@@ -69,8 +71,8 @@
     assert sorted(names) == sorted(machine.name for machine in machines(20))
 
 
-def test_parts_of_one_block_are_never_in_two_writes() -> None:
-    leader, recorder = make(NextLimits(value_kb=1.0, txn_ops=6))
+def test_parts_of_one_shard_are_never_in_two_writes() -> None:
+    leader, recorder = make_leader(NextLimits(value_kb=1.0, txn_ops=6))
     changes = []
     for n in range(4):
         part = [msgspec.structs.replace(m, name=f"{m.name}-{n}") for m in machines(14)]
--- /dev/null
+++ b/tests/test_leader_decisions.py
@@ -0,0 +1,119 @@
+"""The leader's pure decisions: which machines have failed, headroom, reservations, unmet demand."""
+
+from __future__ import annotations
+
+import msgspec
+import pytest
+
+from beamspar.leader.capacity_needs import count_running, headroom
+from beamspar.leader.capacity_offers import choose_by_preemption, choose_rooms_for_group
+from beamspar.leader.demand import CapacityNeed, JobDemand, UnmetDemand
+from beamspar.leader.draining import failed_machines
+from beamspar.leader.member_view import MemberView
+from beamspar.leader.tentative_reservations import TentativeReservations
+from beamspar.placement import Preference, Room
+from beamspar.protocol.jobs import JobSpec
+from beamspar.protocol.peer_messages import CapacityRequest, JobClass, MachineStatus
+
+SPEC = JobSpec("j-1", "front", "red", "standing", "critical", 2, 1.0, 0.0, 1.0, "img", 1.0)
+
+
+def room(name: str = "host-0", cpus: float = 4.0) -> Room:
+    return Room(name, "small", "east", False, cpus, 0.0, 16.0)
+
+
+def silent(count: int, silent_s: float) -> list[MachineStatus]:
+    return [
+        MachineStatus(room(f"host-{n}"), 1, True, False, False, False, False, False, silent_s, 0.0)
+        for n in range(count)
+    ]
+
+
+@pytest.mark.parametrize(
+    ("count", "total", "silent_s", "failed"),
+    [
+        (1, 1, 10.0, 1),
+        (1, 30, 10.0, 1),
+        (10, 30, 10.0, 10),
+        (11, 30, 10.0, 0),
+        (11, 30, 61.0, 11),
+        (2, 2, 60.0, 0),
+    ],
+)
+def test_many_machines_that_are_silent_together_have_not_failed_yet(
+    count: int, total: int, silent_s: float, failed: int
+) -> None:
+    assert len(failed_machines(silent(count, silent_s), total, 60.0)) == failed
+
+
+def test_headroom_is_a_share_two_largest_jobs_or_the_largest_zone() -> None:
+    batch = msgspec.structs.replace(SPEC, shape="sweep", priority="normal")
+    assert headroom(batch, {"east": 60, "west": 40}, 1, 0.1, 3) == 11
+    assert headroom(batch, {"east": 60, "west": 40}, 8, 0.1, 3) == 16
+    # Only services that users wait for must survive the loss of a zone.
+    assert headroom(SPEC, {"east": 60, "west": 40}, 8, 0.1, 3) == 60
+    assert headroom(SPEC, {"east": 60, "west": 40}, 8, 0.1, 1) == 16
+    assert headroom(SPEC, {}, 0, 0.1, 3) == 1
+
+
+def test_what_runs_of_a_class_is_summed_over_members() -> None:
+    first, second = MemberView(1), MemberView(1)
+    first.classes = {"front": JobClass({}, 3, {"east": 2})}
+    second.classes = {"front": JobClass({}, 2, {"east": 1, "west": 4}), "back": JobClass({}, 1)}
+    running = count_running([first, second])
+    assert running["front"].tasks_by_zone == {"east": 3, "west": 4}
+    assert [(name, entry.largest_job) for name, entry in running.items()] == [
+        ("front", 3),
+        ("back", 1),
+    ]
+
+
+def test_a_tentative_reservation_counts_until_it_expires() -> None:
+    reservations = TentativeReservations(lifetime_s=1.0)
+    offered = room()
+    reservations.reserve(SPEC, offered, now=10.0)
+    reservations.reserve(SPEC, offered, now=10.5)
+    assert offered.cpus == 2.0
+    for now, cpus in ((11.0, 2.0), (11.2, 3.0), (11.6, 4.0), (11.7, 4.0)):
+        later = room()
+        reservations.subtract_from(later, now)
+        assert later.cpus == cpus, now
+    other = room("host-1")
+    reservations.subtract_from(other, 10.0)
+    assert other.cpus == 4.0
+
+
+def test_unmet_demand_is_forgotten_when_it_is_met_or_old() -> None:
+    demand = UnmetDemand(lifetime_s=3.0)
+    low = msgspec.structs.replace(SPEC, id="j-low", priority="low")
+    met = msgspec.structs.replace(SPEC, id="j-met")
+    demand.record(low, 5, 0.0)
+    demand.record(met, 2, 0.0)
+    demand.record(met, 0, 1.0)
+    demand.record(SPEC, 1, 2.0)
+    assert demand.current(3.0) == [CapacityNeed(SPEC, 1), CapacityNeed(low, 5)]
+    assert demand.current(3.5) == [CapacityNeed(SPEC, 1)]
+    assert demand.current(5.5) == []
+
+
+def request(count: int) -> CapacityRequest:
+    return CapacityRequest({}, count, {}, {}, [])
+
+
+def test_only_work_above_the_lowest_priority_preempts() -> None:
+    full = room(cpus=0.0)
+    full.preemptible = [(4.0, 0.0, 0.0)] * 4
+    placement = choose_by_preemption(JobDemand(SPEC, request(1)), [full], {})
+    assert placement is not None and placement.room is full and placement.preempt
+    low = msgspec.structs.replace(SPEC, priority="low")
+    assert choose_by_preemption(JobDemand(low, request(1)), [full], {}) is None
+
+
+def test_only_a_gang_preempts_as_a_group() -> None:
+    full = room(cpus=1.0)
+    full.preemptible = [(3.0, 0.0, 0.0)] * 4
+    gang = msgspec.structs.replace(SPEC, shape="ensemble")
+    together = msgspec.structs.replace(SPEC, one_zone=True)
+    for spec, chosen in ((gang, [full, full]), (together, [])):
+        demand = JobDemand(spec, request(2))
+        assert choose_rooms_for_group(demand, [full], (), Preference()) == chosen
--- a/tests/test_many_tasks.py
+++ b/tests/test_many_tasks.py
@@ -18,15 +18,15 @@
 MACHINES = [f"host-{n}" for n in range(7)]
 
 
-def plain_counts(job: Job) -> tuple[int, int, dict[str, int]]:
-    """Bound and running tasks and those of each machine, by looking at every task."""
+def scanned_counts(job: Job) -> tuple[int, int, dict[str, int]]:
+    """Bound and running tasks and those of each machine, by a scan of all tasks."""
     bound = [task for task in job.tasks.values() if task.machine is not None]
     machines = [str(task.machine) for task in bound]
     running = sum(1 for task in bound if task.state == "running")
     return len(bound), running, {name: machines.count(name) for name in set(machines)}
 
 
-def test_a_job_counts_what_a_look_at_every_task_would() -> None:
+def test_a_jobs_counts_equal_a_scan_of_its_tasks() -> None:
     rng = random.Random(5)
     spec = JobSpec("j-1", "sweep", "red", "sweep", "low", 60, 1.0, 0.0, 1.0, "img", 1.0)
     job = Job(spec, "rig-0.1", Layout(8), 0.0)
@@ -51,15 +51,15 @@
                 else:
                     job.retry_queue.append(index)
         zones, machines = job.places(lambda machine: machine[-1:])
-        assert (job.bound, job.running, machines) == plain_counts(job)
+        assert (job.bound, job.running, machines) == scanned_counts(job)
         assert sum(zones.values()) == job.bound
         assert job.done_count == sum(len(done) for done in job.done.values())
     assert job.done_count > 0
 
 
 @pytest.fixture(scope="module")
-def sweep() -> tuple[World, dict[str, int]]:
-    """Two idle-time sweeps of 600 short tasks on 24 machines, and how often each was done."""
+def job_arrays() -> tuple[World, dict[str, int]]:
+    """Two low-priority job arrays of 600 short tasks on 24 machines, and the rounds of placing."""
     counts = {"rounds": 0}
 
     def counted(kind: type, method: str, name: str) -> None:
@@ -93,24 +93,24 @@
     return world, counts
 
 
-def test_all_tasks_of_large_sweeps_are_done(sweep: tuple[World, dict[str, int]]) -> None:
-    world, _ = sweep
+def test_all_tasks_of_large_job_arrays_are_done(job_arrays: tuple[World, dict[str, int]]) -> None:
+    world, _ = job_arrays
     assert [world.status(f"j-{n}") for n in range(2)] == ["done", "done"]
     assert world.checker.broken == []
 
 
-def test_rounds_of_placing_are_bounded_by_time(sweep: tuple[World, dict[str, int]]) -> None:
+def test_rounds_of_placing_are_bounded_by_time(job_arrays: tuple[World, dict[str, int]]) -> None:
     # Each end of a task began a round: 1,200 and more of them.
-    _, counts = sweep
+    _, counts = job_arrays
     heartbeat = 0.5
     assert counts["rounds"] <= 3 * 52.0 / (heartbeat * 0.1)
     assert counts["rounds"] < 1200
 
 
-def test_what_live_wants_take_is_what_a_look_at_each_gives(
-    sweep: tuple[World, dict[str, int]],
+def test_used_resources_are_the_sum_over_live_attempts(
+    job_arrays: tuple[World, dict[str, int]],
 ) -> None:
-    world, _ = sweep
+    world, _ = job_arrays
     world.submit("j-after", parcels=40, shape="sweep", urgency="low", cpus=0.25, run_s=30.0)
     for _ in range(40):
         world.run(world.clock.seconds() + 0.25)
@@ -129,8 +129,8 @@
     assert world.running("j-after") == 40
 
 
-def test_a_large_message_to_a_holder_is_followed_by_a_pause() -> None:
-    """What changes on machines with hundreds of tasks is told together."""
+def test_a_large_desired_state_update_is_followed_by_a_pause() -> None:
+    """Changes on machines with hundreds of tasks are sent together."""
     told: list[tuple[tuple[int, str], float, int]] = []
     tell = Assignments._tell
 
@@ -160,7 +160,7 @@
         assert not following or following[0] >= at + pause * 0.99
 
 
-def test_low_work_waits_while_the_processors_are_busy() -> None:
+def test_low_priority_work_waits_while_the_processors_are_busy() -> None:
     world = World(4, machines=[{"kind": "small", "zone": zone, "count": 4} for zone in ZONES])
     world.run(10.0)
     for name in world.names:
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize(("parcels", "running"), [(40, 0), (30, 30)])
-def test_low_replicas_of_one_zone_are_placed_together_or_not_at_all(
+def test_low_priority_replicas_of_one_zone_are_placed_together_or_not_at_all(
     parcels: int, running: int
 ) -> None:
     world = World(
@@ -197,7 +197,7 @@
     assert world.running("j-1") == running
 
 
-def test_nothing_is_kept_free_for_work_of_the_lowest_priority() -> None:
+def test_no_headroom_is_kept_for_work_of_the_lowest_priority() -> None:
     world = World(2)
     world.clock.callLater(
         8.0, lambda: world.submit("j-low", parcels=3, shape="sweep", urgency="low", run_s=60.0)
--- a/tests/test_quiet_work.py
+++ b/tests/test_steady_state_cost.py
@@ -1,4 +1,5 @@
-"""What a quiet minute costs, counted: the same on every machine, and it must not grow unseen."""
+"""What a minute in the steady state costs, in calls: it is the same on every machine and must not
+grow unnoticed."""
 
 from __future__ import annotations
 
@@ -10,11 +11,11 @@
 from beamspar.machines.machine_controller import MachineController
 from tests.standins.world import ZONES, World
 
-QUIET_S = 60.0
+STEADY_S = 60.0
 
 
-def settled_world(machines: int) -> World:
-    """A service fills each machine, none more can be had, and nothing has happened for long."""
+def steady_world(machines: int) -> World:
+    """A service fills each machine, no more can be rented, and nothing has happened for long."""
     world = World(
         3,
         machines=[{"kind": "small", "zone": zone, "count": machines // 3} for zone in ZONES],
@@ -34,8 +35,8 @@
     return world
 
 
-def counted(world: World) -> Counter[str]:
-    """How often each controller's calls go out in a quiet minute, by what they are for."""
+def calls_of_a_minute(world: World) -> Counter[str]:
+    """How many calls the controllers send in a minute, by path or service."""
     calls: Counter[str] = Counter()
     request = world.network.request
 
@@ -45,33 +46,34 @@
         return request(source, method, address, path, *rest)
 
     world.network.request = counting  # type: ignore[method-assign]
-    world.run(world.clock.seconds() + QUIET_S)
+    world.run(world.clock.seconds() + STEADY_S)
     return calls
 
 
-def test_calls_of_a_quiet_minute() -> None:
-    world = settled_world(90)
+def test_calls_of_a_minute_in_the_steady_state() -> None:
+    world = steady_world(90)
     writes = len(world.state.history)
-    calls = counted(world)
-    # Three controllers, a heartbeat every half second: two of them tell the leader, each asks
-    # both siblings and waits that long; and all repeat what they want once in a worker's lease.
-    assert calls["/peer/beat"] <= 2 * 2 * QUIET_S * 1.2
-    assert calls["/peer/pulse"] <= 3 * 2 * QUIET_S * 1.5
-    assert calls["/peer/sync"] <= 3 * 2 * (QUIET_S / 15.0 + 2)
+    calls = calls_of_a_minute(world)
+    # Three controllers, a heartbeat every half second: two of them send it to the leader, each
+    # probes both peers and waits that long; and all repeat their desired state once in a worker's
+    # lease.
+    assert calls["/peer/beat"] <= 2 * 2 * STEADY_S * 1.2
+    assert calls["/peer/pulse"] <= 3 * 2 * STEADY_S * 1.5
+    assert calls["/peer/sync"] <= 3 * 2 * (STEADY_S / 15.0 + 2)
     assert calls["/peer/statuses"] == 0
     assert calls["/peer/asks"] == 0
     # Renewals, watches and the comparisons behind polls; all of the service's rate is 150.
-    assert calls["state:1"] <= 16 * QUIET_S
+    assert calls["state:1"] <= 16 * STEADY_S
     assert not [address for address in calls if address.endswith(":9000")], "no orders"
     # The leader's own record aside, nothing is written.
     assert len(world.state.history) - writes <= 1
 
 
 @pytest.mark.parametrize("machines", [30, 90])
-def test_a_report_without_news_counts_no_room_anew(
+def test_a_heartbeat_without_changes_computes_no_room(
     machines: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    world = settled_world(machines)
+    world = steady_world(machines)
     counts = {name: node.machine_controller.changes for name, node in world.nodes.items()}
     reports: list[str] = []
     report = MachineController.report
@@ -81,13 +83,13 @@
         return report(holder, message)
 
     monkeypatch.setattr(MachineController, "report", counting)
-    world.run(world.clock.seconds() + QUIET_S)
-    assert len(reports) >= machines * QUIET_S / 3.0 * 0.8
+    world.run(world.clock.seconds() + STEADY_S)
+    assert len(reports) >= machines * STEADY_S / 3.0 * 0.8
     assert {name: node.machine_controller.changes for name, node in world.nodes.items()} == counts
 
 
-def test_a_report_that_brings_nothing_new_takes_no_step(monkeypatch: pytest.MonkeyPatch) -> None:
-    world = settled_world(30)
+def test_a_heartbeat_without_changes_reconciles_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+    world = steady_world(30)
     steps: Counter[str] = Counter()
     reports: Counter[str] = Counter()
     step, report = MachineController.step, MachineController.report
@@ -102,6 +104,6 @@
 
     monkeypatch.setattr(MachineController, "step", counted_step)
     monkeypatch.setattr(MachineController, "report", counted_report)
-    world.run(world.clock.seconds() + QUIET_S)
-    assert sum(reports.values()) > 30 * QUIET_S / 4
+    world.run(world.clock.seconds() + STEADY_S)
+    assert sum(reports.values()) > 30 * STEADY_S / 4
     assert sum(steps.values()) <= sum(reports.values()) * 0.05
