--- a/src/beamspar/leader/capacity_offers.py
+++ b/src/beamspar/leader/capacity_offers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Collection
+from collections.abc import Callable, Collection, Mapping
 from typing import NamedTuple
 
 import msgspec
@@ -37,7 +37,7 @@
 
 
 class CapacityAllocator:
-    """Answers capacity requests; owns nothing but the order of the offers of one batch.
+    """Answers capacity requests; keeps no state between them.
 
     What it offers is reserved tentatively in the fleet view, and what it can't offer is recorded
     as unmet demand, for scaling out.
@@ -117,18 +117,15 @@
         offers: list[PlacementOffer] = []
         remaining = min(request.count, MAX_OFFERS_PER_REQUEST)
         while remaining:
-            room = choose(spec, rooms, zones, machines, request.avoid, near, preference=preference)
-            placement = (
-                Placement(room, preempt=False)
-                if room is not None
-                else choose_by_preemption(demand, rooms, zones)
-            )
+            placement = choose_free_room(demand, rooms, zones, machines, near, preference)
+            if placement is None:
+                placement = choose_by_preemption(demand, rooms, zones)
             if placement is None:
                 break
-            room = placement.room
             offers.append(self._reserve(spec, placement, now))
-            zones[room.zone] = zones.get(room.zone, 0) + 1
-            machines[room.name] = machines.get(room.name, 0) + 1
+            zone, machine = placement.room.zone, placement.room.name
+            zones[zone] = zones.get(zone, 0) + 1
+            machines[machine] = machines.get(machine, 0) + 1
             remaining -= 1
         self.unmet_demand.record(spec, remaining, now)
         return offers
@@ -142,8 +139,23 @@
         return PlacementOffer(spec.id, room.name, preempt)
 
 
+def choose_free_room(
+    demand: JobDemand,
+    rooms: list[Room],
+    zones: Mapping[str, int],
+    machines: Mapping[str, int],
+    near: Collection[str],
+    preference: Preference,
+) -> Placement | None:
+    """A machine with room for one more task of the job, which has tasks in these zones and on
+    these machines; None if there is none."""
+    spec, request = demand
+    room = choose(spec, rooms, zones, machines, request.avoid, near, preference=preference)
+    return None if room is None else Placement(room, preempt=False)
+
+
 def choose_by_preemption(
-    demand: JobDemand, rooms: list[Room], zones: dict[str, int]
+    demand: JobDemand, rooms: list[Room], zones: Mapping[str, int]
 ) -> Placement | None:
     """A machine where stopping lower work makes room for one more task of the job, if any."""
     spec, request = demand
