--- a/src/beamspar/jobs/assignments.py
+++ b/src/beamspar/jobs/assignments.py
@@ -16,7 +16,8 @@
     desired_attempt,
     split_by_size,
 )
-from beamspar.jobs.job import Job, Task
+from beamspar.jobs.job import Job
+from beamspar.jobs.task import Task
 from beamspar.protocol.peer_messages import (
     WANTS_AT_ONCE,
     AttemptStatus,
--- a/src/beamspar/jobs/attempt_statuses.py
+++ b/src/beamspar/jobs/attempt_statuses.py
@@ -13,8 +13,9 @@
 from beamspar.cluster.state_mirror import StateMirror
 from beamspar.jobs.assignments import Assignments
 from beamspar.jobs.gang_attempts import GangAttempts
-from beamspar.jobs.job import Job, Task
+from beamspar.jobs.job import Job
 from beamspar.jobs.job_writer import JobWriter
+from beamspar.jobs.task import Task
 from beamspar.jobs.task_retry import FAILURE_REASONS, ExitReason, avoid_machine, retry_pause_s
 from beamspar.protocol.peer_messages import AttemptState, AttemptStatus
 from beamspar.quota.quota_manager import QuotaManager
--- a/src/beamspar/jobs/desired_state.py
+++ b/src/beamspar/jobs/desired_state.py
@@ -9,8 +9,9 @@
 
 import msgspec
 
-from beamspar.jobs.gang import Phase
-from beamspar.jobs.job import Job, Task
+from beamspar.jobs.gang import GangPhase
+from beamspar.jobs.job import Job
+from beamspar.jobs.task import Task
 from beamspar.protocol.peer_messages import DesiredAction, DesiredAttempt
 from beamspar.state.job_records import JobStatus
 
@@ -47,7 +48,7 @@
         return DesiredAction.HOLD
     if job.status != JobStatus.LIVE or task.preempted_for_quota:
         return DesiredAction.STOP
-    if job.spec.is_gang and job.phase(now) is Phase.STOPPING:
+    if job.spec.is_gang and job.phase(now) is GangPhase.STOPPING:
         return DesiredAction.STOP
     if not may_start(job):
         # What runs goes on, what does not is not started.
--- a/src/beamspar/jobs/gang.py
+++ b/src/beamspar/jobs/gang.py
@@ -36,10 +36,6 @@
     STOPPING = "stopping"
 
 
-# Its name in the modules that are not renamed yet.
-Phase = GangPhase
-
-
 class Gang(msgspec.Struct):
     """What is known of a gang's present attempt."""
 
--- a/src/beamspar/jobs/gang_attempts.py
+++ b/src/beamspar/jobs/gang_attempts.py
@@ -11,8 +11,9 @@
 
 from twisted.logger import Logger
 
-from beamspar.jobs.gang import Phase
-from beamspar.jobs.job import Job, Task
+from beamspar.jobs.gang import GangPhase
+from beamspar.jobs.job import Job
+from beamspar.jobs.task import Task
 from beamspar.jobs.task_retry import (
     GANG_FAILURE_REASONS,
     GANG_OVER_REASONS,
@@ -79,7 +80,7 @@
             gang = job.gang
             if gang.missing_since is None or gang.stopping or job.status != JobStatus.LIVE:
                 continue
-            if job.bound and job.phase(now) is Phase.STOPPING:
+            if job.bound and job.phase(now) is GangPhase.STOPPING:
                 log.info("{job}: gang incomplete for too long, stopping its tasks", job=job.id)
                 gang.stopping = True
                 gang.failures += 1
--- a/src/beamspar/jobs/job.py
+++ b/src/beamspar/jobs/job.py
@@ -15,8 +15,6 @@
 from beamspar.state import job_records as records
 from beamspar.state.job_records import Chunk, JobRecord, JobStatus, Layout
 
-__all__ = ["Job", "Task"]
-
 
 class Job:
     """A job of ours in memory; its record's version fences every write of it."""
--- a/src/beamspar/jobs/job_acceptor.py
+++ b/src/beamspar/jobs/job_acceptor.py
@@ -137,7 +137,3 @@
         self._job_store.writer.flush(job)
         if job.waiting(self._clock.seconds(), 1):
             self._job_store.schedule()
-
-
-# Its name in the modules that are not renamed yet.
-Acceptor = JobAcceptor
--- a/src/beamspar/jobs/job_controller.py
+++ b/src/beamspar/jobs/job_controller.py
@@ -14,7 +14,7 @@
 from beamspar.jobs.empty_partitions import EmptyPartitions
 from beamspar.jobs.gang_attempts import GangAttempts
 from beamspar.jobs.job import Job
-from beamspar.jobs.job_acceptor import Acceptor
+from beamspar.jobs.job_acceptor import JobAcceptor
 from beamspar.jobs.job_loader import JobLoader
 from beamspar.jobs.job_writer import JobWriter
 from beamspar.jobs.placer import Placer
@@ -62,7 +62,7 @@
         self.quota_manager: QuotaManager | None = None
         self.writer = JobWriter(clock, registration, state, limits, timeouts, self)
         self.assignments = Assignments(clock, registration, timeouts, self)
-        self.acceptor = Acceptor(clock, registration, state, timeouts, self)
+        self.acceptor = JobAcceptor(clock, registration, state, timeouts, self)
         self.placer = Placer(clock, registration, timeouts, self)
         self.loader = JobLoader(clock, registration, state, limits, timeouts, self)
         self.gang_attempts = GangAttempts(timeouts, self)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,7 +9,8 @@
 
 from beamspar.cluster.registration import Registration
 from beamspar.jobs.assignments import Assignments
-from beamspar.jobs.job import Job, Task
+from beamspar.jobs.job import Job
+from beamspar.jobs.task import Task
 from beamspar.leader.cloud_client import CloudUnavailableError, MachinePage
 from beamspar.leader.instance_manager import PAGE_RETRIES, InstanceManager
 from beamspar.machines.machine_controller import MachineController
--- a/tests/test_task_retry.py
+++ b/tests/test_task_retry.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from beamspar.jobs.job import Task
+from beamspar.jobs.task import Task
 from beamspar.jobs.task_retry import (
     FAILURE_REASONS,
     GANG_FAILURE_REASONS,
