--- a/tests/test_questions.py
+++ b/tests/test_questions.py
@@ -28,9 +28,9 @@
 
 def exhaust(world: World, requests: float) -> None:
     """The controller has used its share of requests up, and so many more."""
-    bucket = world.nodes["rig-1"].state.requests
-    bucket.fill()
-    bucket.level = -requests
+    limiter = world.nodes["rig-1"].state.request_limiter
+    limiter.refill()
+    limiter.available = -requests
 
 
 def readings(world: World, job: str) -> list[str]:
