--- a/src/beamspar/state/job_records.py
+++ b/src/beamspar/state/job_records.py
@@ -1,13 +1,13 @@
-"""How jobs lie in the state service, and reading them back.
+"""Stored forms of jobs and their tasks, and how tasks are cut into chunks.
 
-`job/<id>` holds the specification and the first tasks, `task/<id>/<k>` further
-chunks of them, and `end/<id>` what stays of a job that is over. A job moves from
-`job/` to `end/` in one transaction and never back, so reading them in this order
-can't miss it. Only tasks that differ from 'waiting, never started' are written.
+`job/<id>` holds the specification and the first chunk of tasks, `task/<id>/<k>` the further
+chunks, and `end/<id>` what stays of a job that is over. A job moves from `job/` to `end/` in one
+transaction and never back, so a reader that reads them in this order can't miss it. Only tasks
+that differ from 'waiting, never started' are written.
 
-How many tasks a chunk holds is stored with the job once all controllers can read that
-(`p`, and its chunks lie below `task/<id>/<p>/`). Records without it are of the first
-release: it follows from the present limit on values.
+How many tasks a chunk holds is stored with the job once all controllers can read that (`p`, and
+its chunks lie below `task/<id>/<p>/`). Records without it are of the first release: there it
+follows from the present limit on values.
 """
 
 from __future__ import annotations
@@ -20,43 +20,54 @@
 from beamspar.protocol.jobs import JobSpec
 from beamspar.settings import StateServiceLimits
 from beamspar.state import keys
-from beamspar.state.client import KeyValue, RequestPriority, StateClient
+from beamspar.state.client import RequestPriority, StateClient
+from beamspar.state.messages import KeyValue
 
 
 class JobStatus(StrEnum):
-    """What is stored of a job's progress."""
+    """How far a stored job has come."""
 
     LIVE = "live"
     CANCELLED = "withdrawn"
     DONE = "done"
 
 
-# Bytes that one task takes in a record at most, in JSON form, with room to spare.
+# Bytes that one task takes in a record at most, in JSON form, with some to spare.
 TASK_BYTES = 44
-# What a transaction may hold altogether (PROTOCOL), and the part of it that is used.
+# The part of a value that goes to the tasks; the rest is for the specification.
+TASKS_SHARE_OF_VALUE = 1 / 2
+# What a transaction may hold altogether, in KiB (PROTOCOL), and the part of it that is used.
 TXN_KB = 64.0
 MARGIN = 0.75
+BYTES_PER_KB = 1024
 
 
 class Chunk(msgspec.Struct):
-    """Tasks of one record: bound [index, attempt, machine], waiting again, done ranges."""
+    """The tasks of one record that differ from 'waiting, never started'."""
 
+    # Tasks that are bound to a machine: index, attempt, machine.
     bound: list[tuple[int, int, str]] = msgspec.field(name="b", default_factory=list)
+    # Tasks that wait for another attempt: index, the attempt that was last.
     waiting_again: list[tuple[int, int]] = msgspec.field(name="a", default_factory=list)
+    # Tasks that are done, as inclusive ranges of indexes.
     done: list[tuple[int, int]] = msgspec.field(name="d", default_factory=list)
 
 
 class JobRecord(msgspec.Struct):
     """A job that is not over."""
 
+    # The specification in the form in which its user submitted it.
     spec: dict[str, Any] = msgspec.field(name="s")
     partition: str = msgspec.field(name="f")
     status: JobStatus = msgspec.field(name="st", default=JobStatus.LIVE)
+    # Counts of tasks in all chunks.
     done: int = msgspec.field(name="n", default=0)
     running: int = msgspec.field(name="r", default=0)
+    # The first chunk; the others have keys of their own.
     chunk: Chunk = msgspec.field(name="t", default_factory=Chunk)
+    # Names the write, so that its writer recognises it when its outcome was indeterminate.
     write_stamp: str = msgspec.field(name="w", default="")
-    # Tasks in a chunk; None in the layout of the first release.
+    # None in the layout of the first release.
     tasks_per_chunk: int | None = msgspec.field(name="p", default=None)
 
 
@@ -64,65 +75,63 @@
     """What stays of a job that is over."""
 
     status: JobStatus = msgspec.field(name="st")
+    # How many of its tasks were done.
     done: int = msgspec.field(name="n", default=0)
 
 
 class Layout(msgspec.Struct, frozen=True):
-    """How a job's tasks are cut into chunks, and where the chunks lie."""
+    """How a job's tasks are cut into chunks, and under which keys the chunks are stored."""
 
-    # Tasks in a chunk.
     tasks_per_chunk: int
     # Of the first release, which all releases read: not stored with the job.
     is_first_release: bool = False
 
     @property
     def stored(self) -> int | None:
-        """What the job's record says of it."""
+        """The `tasks_per_chunk` of the job's record."""
         return None if self.is_first_release else self.tasks_per_chunk
 
     def prefix(self, job: str) -> str:
-        """Where the chunks of a job lie."""
-        return (
-            keys.tasks(job)
-            if self.is_first_release
-            else f"{keys.tasks(job)}{self.tasks_per_chunk}/"
-        )
+        """The prefix of the keys of a job's chunks."""
+        tasks_prefix = keys.tasks(job)
+        return tasks_prefix if self.is_first_release else f"{tasks_prefix}{self.tasks_per_chunk}/"
 
     def key(self, job: str, chunk: int) -> str:
         """The key of one chunk."""
         return f"{self.prefix(job)}{chunk}"
 
     def number(self, job: str, key: str) -> int | None:
-        """The chunk's number; None for a key of another layout below the same prefix."""
+        """The number of the chunk with this key; None for a key of another layout."""
         rest = key.removeprefix(self.prefix(job))
         return int(rest) if rest.isdigit() else None
 
 
-def first_layout(facts: StateServiceLimits) -> Layout:
+def first_layout(limits: StateServiceLimits) -> Layout:
     """The layout of the first release: by the present limit, whatever has been announced."""
-    return Layout(chunk_size(facts.value_kb), is_first_release=True)
+    return Layout(chunk_size(limits.value_kb), is_first_release=True)
 
 
-def small_layout(facts: StateServiceLimits) -> Layout:
-    """The layout that fits the smallest limit."""
-    return Layout(chunk_size(facts.smallest.value_kb))
+def small_layout(limits: StateServiceLimits) -> Layout:
+    """The layout whose chunks fit the smaller of the present and the announced limit."""
+    return Layout(chunk_size(limits.smallest.value_kb))
 
 
-def layout_of(record: JobRecord, facts: StateServiceLimits) -> Layout:
+def layout_of(record: JobRecord, limits: StateServiceLimits) -> Layout:
     """The layout that a job's record was written in."""
-    return Layout(record.tasks_per_chunk) if record.tasks_per_chunk else first_layout(facts)
+    return Layout(record.tasks_per_chunk) if record.tasks_per_chunk else first_layout(limits)
 
 
 def chunk_size(value_kb: float) -> int:
-    """Half of a value goes to the tasks, the other half to the specification."""
-    return max(int(value_kb * 1024 / 2 / TASK_BYTES), 1)
+    """How many tasks a chunk may hold where values may have this size; at least one."""
+    return max(int(value_kb * BYTES_PER_KB * TASKS_SHARE_OF_VALUE / TASK_BYTES), 1)
 
 
-def chunks_at_once(facts: StateServiceLimits) -> int:
-    """Chunks that fit into one transaction beside the job's own record."""
+def chunks_at_once(limits: StateServiceLimits) -> int:
+    """How many chunks fit into one transaction beside the job's own record; at least one."""
     # Chunks of the first release's layout may be as large as the present limit lets them be.
-    left = TXN_KB * MARGIN - facts.value_kb
-    return max(min(facts.smallest.txn_ops - 1, int(left / (facts.value_kb / 2))), 1)
+    chunk_kb = limits.value_kb * TASKS_SHARE_OF_VALUE
+    left_kb = TXN_KB * MARGIN - limits.value_kb
+    return max(min(limits.smallest.txn_ops - 1, int(left_kb / chunk_kb)), 1)
 
 
 def ranges(indexes: list[int]) -> list[tuple[int, int]]:
@@ -137,35 +146,45 @@
 
 
 def read_job(item: KeyValue) -> JobRecord:
-    """The job's record; raises ValidationError."""
+    """The job's record; raises msgspec.ValidationError if it is malformed."""
     record: JobRecord = msgspec.convert(item.value, JobRecord)
     return record
 
 
 def read_spec(record: JobRecord) -> JobSpec:
-    """What the user submitted; raises ValidationError."""
+    """What the user submitted; raises msgspec.ValidationError if it is malformed."""
     spec: JobSpec = msgspec.convert(record.spec, JobSpec)
     return spec
 
 
 async def is_bound(
-    state: StateClient, facts: StateServiceLimits, task: str, attempt: int, machine: str
+    state: StateClient, limits: StateServiceLimits, task: str, attempt: int, machine: str
 ) -> bool:
-    """Does the stored record bind this attempt to this machine?"""
+    """Does the stored record bind this attempt of the task `<job>/<index>` to this machine?
+
+    Raises StateUnavailableError, or msgspec.ValidationError if a record is malformed.
+    """
     job, _, index_text = task.partition("/")
     if not index_text.isdigit():
         return False
-    index = int(index_text)
-    # After a death there are hundreds to ask about, until a successor has read its jobs: ahead
-    # of that reading, they would keep it waiting for ever.
+    # After a controller's death there are hundreds of tasks to ask about, until a successor has
+    # loaded its jobs: with a priority above that of loading, they would delay it without end.
     item = await state.get(keys.job(job), RequestPriority.BACKGROUND)
     if item is None:
         return False
     record = read_job(item)
-    chunk, layout = record.chunk, layout_of(record, facts)
-    if index // layout.tasks_per_chunk:
-        part = await state.get(
-            layout.key(job, index // layout.tasks_per_chunk), RequestPriority.BACKGROUND
-        )
-        chunk = msgspec.convert(part.value, Chunk) if part else Chunk()
+    index = int(index_text)
+    chunk = await _read_chunk(state, job, record, layout_of(record, limits), index)
     return (index, attempt, machine) in chunk.bound
+
+
+async def _read_chunk(
+    state: StateClient, job: str, record: JobRecord, layout: Layout, index: int
+) -> Chunk:
+    """The chunk with the task of this index; an empty one if it is not stored."""
+    number = index // layout.tasks_per_chunk
+    if not number:
+        return record.chunk
+    item = await state.get(layout.key(job, number), RequestPriority.BACKGROUND)
+    chunk: Chunk = msgspec.convert(item.value, Chunk) if item else Chunk()
+    return chunk
