--- a/src/beamspar/cluster/registration.py
+++ b/src/beamspar/cluster/registration.py
@@ -1,38 +1,42 @@
 """This process's registration: its lease and the fence of its incarnation.
 
 Everything that a controller may do depends on `lease_is_valid()`: both the renewal of its lease
-and its knowledge of cancellations must be recent, counted from when the requests were *sent*. A
-controller that is cut off therefore stops in time by its own clock.
+and its mirror, by which it knows of cancellations, must be recent, counted from when the requests
+were *sent*. A controller that is cut off therefore stops in time by its own clock.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
 
 from twisted.logger import Logger
 
 from beamspar.cluster.state_mirror import StateMirror
 from beamspar.settings import Settings, Timeouts
 from beamspar.state import keys
-from beamspar.state.client import (
+from beamspar.state.client import RequestPriority, StateClient
+from beamspar.state.control_records import member_record, partition_record, stored_incarnation
+from beamspar.state.errors import (
     ConflictError,
     LeaseExpiredError,
     OutcomeUnknownError,
-    RequestPriority,
-    StateClient,
     StateUnavailableError,
-    drop,
-    put,
 )
-from beamspar.state.control_records import member_record, partition_record
+from beamspar.state.messages import Change, drop, put
 from beamspar.transport.http import Clock, sleep, spawn
 
 log = Logger(namespace="registration")
 
+# Before anything happened.
+NEVER = -1e9
+
 
 class Registration:
-    """Owns the registration lease and the fence of one incarnation."""
+    """Owns the registration lease, the fence and the mirror of one incarnation.
+
+    An incarnation is registered once, by `start`, and ended once, by `end` or by the loss of its
+    lease or fence: to act again, the process registers a new one with a new object.
+    """
 
     def __init__(
         self, clock: Clock, state: StateClient, settings: Settings, timeouts: Timeouts
@@ -41,15 +45,17 @@
         self.state = state
         self.timeouts = timeouts
         self.me = settings.member
-        self.mirror = StateMirror(clock, state, settings, timeouts)
-        self.mirror.on_fence_changed = self._fence_changed
+        self.mirror = StateMirror(clock, state, settings, timeouts, self._on_fence_changed)
+        # All of these are of the incarnation that is registered; 0 and "" before there is one.
         self.incarnation = 0
         self.lease_id = 0
+        # The revision of our write of the fence.
         self.fence_version = 0
         # The partition of the jobs that this incarnation accepts.
         self.partition = ""
-        # When the renewal was sent that the state service confirmed last.
-        self.renewed_at = -1e9
+        # When the grant or renewal was sent that the state service confirmed last.
+        self.renewed_at = NEVER
+        # Has `start` finished, and has the registration ended since?
         self.started = False
         self.lost = False
         # Called once, with the reason, when this incarnation may act no more.
@@ -78,10 +84,14 @@
         """The condition that keeps writes of an earlier or a deposed incarnation out."""
         return {self.fence_key: self.fence_version}
 
-    # -- its life
+    # -- registering, renewing and ending
 
     async def start(self) -> None:
-        """Become a new incarnation. Earlier ones are fenced out by the same write."""
+        """Register a new incarnation, retrying until that succeeds or `end` is called.
+
+        The same write fences out earlier ones. The lease is then renewed and the mirror kept up
+        to date until the registration ends.
+        """
         while not self.lost:
             try:
                 if await self._register():
@@ -101,20 +111,13 @@
         sent = self.clock.seconds()
         lease_id = await self.state.grant_lease(self.timeouts.registration_lease)
         await self.mirror.load()
-        earlier = self.mirror.value(self.fence_key) or {}
-        incarnation = int(earlier.get("inc", 0)) + 1
+        incarnation = stored_incarnation(self.mirror.value(self.fence_key)) + 1
         partition = f"{self.me}.{incarnation}"
-        conditions = {self.fence_key: self.mirror.version(self.fence_key)}
-        changes = self._registering_changes(incarnation, partition, lease_id)
-        if self.mirror.leader == self.me:
-            # Our earlier incarnation led. It is dead, so there is no need to wait out its lease,
-            # during which nobody would offer capacity, scale out or replace the dead.
-            conditions[keys.LEADER] = self.mirror.version(keys.LEADER)
-            changes.append(drop(keys.LEADER))
+        conditions, changes = self._registering_write(incarnation, partition, lease_id)
         try:
             revision = await self.state.transact(conditions, changes, RequestPriority.URGENT)
         except OutcomeUnknownError:
-            # It may have been applied: the next round reads what stands and fences it.
+            # It may have been applied: the next attempt reads what is stored and fences it.
             return False
         self.incarnation, self.partition = incarnation, partition
         self.lease_id, self.fence_version = lease_id, revision
@@ -122,20 +125,28 @@
         await self.mirror.load()
         return self.mirror.version(self.fence_key) == revision
 
-    def _registering_changes(
+    def _registering_write(
         self, incarnation: int, partition: str, lease_id: int
-    ) -> list[dict[str, Any]]:
+    ) -> tuple[dict[str, int], list[Change]]:
+        """Conditions and changes of the transaction that registers an incarnation."""
         record = member_record(incarnation)
-        return [
+        conditions = {self.fence_key: self.mirror.version(self.fence_key)}
+        changes = [
             put(self.fence_key, record),
             put(keys.member(self.me), record, lease_id),
             put(keys.partition(partition), partition_record(self.me)),
         ]
+        if self.mirror.leader == self.me:
+            # Our earlier incarnation led. It is dead, so there is no need to wait out its lease,
+            # during which nobody would offer capacity, scale out or replace dead controllers.
+            conditions[keys.LEADER] = self.mirror.version(keys.LEADER)
+            changes.append(drop(keys.LEADER))
+        return conditions, changes
 
     async def _keep_renewing(self) -> None:
         while not self.lost:
             sent = self.clock.seconds()
-            pause = self.timeouts.lease_renewal
+            pause_s = self.timeouts.lease_renewal
             try:
                 await self.state.renew_lease(self.lease_id)
                 self.renewed_at = sent
@@ -143,16 +154,16 @@
                 self.end("the lease has expired")
                 return
             except StateUnavailableError as error:
-                pause = self.timeouts.retry
+                pause_s = self.timeouts.retry
                 log.info("renewal failed: {error}", error=error)
-            await sleep(self.clock, pause)
+            await sleep(self.clock, pause_s)
 
-    def _fence_changed(self, member: str, version: int) -> None:
+    def _on_fence_changed(self, member: str, version: int) -> None:
         if member == self.me and self.started and version != self.fence_version:
             self.end("fenced by another")
 
     def end(self, reason: str) -> None:
-        """Act no more: the registration is lost or given up."""
+        """Act no more: the registration is lost or given up. Calls `on_lease_lost` once."""
         if not self.lost:
             self.lost = True
             log.warn("registration lost: {reason}", reason=reason)
--- a/src/beamspar/cluster/state_mirror.py
+++ b/src/beamspar/cluster/state_mirror.py
@@ -1,7 +1,7 @@
-"""A watched copy of the control records, and what follows from them.
+"""A watched cache of the control records, and indexes derived from them.
 
-A mirror may lag behind the state service, never lead it. Decisions that must not rest on an old
-copy carry the versions that they saw as conditions of their transaction.
+A mirror may lag behind the state service, never be ahead of it. Decisions that must not rest on
+stale records carry the versions that they were based on as conditions of their transaction.
 """
 
 from __future__ import annotations
@@ -14,30 +14,39 @@
 
 from beamspar.settings import Settings, Timeouts
 from beamspar.state import keys
-from beamspar.state.client import (
-    CompactedError,
-    KeyValue,
-    RequestPriority,
-    StateClient,
-    StateUnavailableError,
-    WatchEvent,
-)
-from beamspar.state.control_records import JobPartition, MachineShard
+from beamspar.state.client import RequestPriority, StateClient
+from beamspar.state.control_records import JobPartition, MachineShard, stored_release
+from beamspar.state.errors import CompactedError, StateUnavailableError
+from beamspar.state.messages import KeyValue, WatchEvent
 from beamspar.transport.http import Clock, sleep
 
 log = Logger(namespace="mirror")
 
-# Removals that are remembered, to tell an own write's late answer from news.
+# Removed keys that are remembered, to recognise the late answer to a write of our own.
 REMEMBERED_REMOVALS = 1000
+# Before anything happened.
+NEVER = -1e9
 
+# Called with the key of a record that has changed.
 Listener = Callable[[str], None]
+# Called with a member and the version of its fence.
+FenceListener = Callable[[str, int], None]
 
 
 class StateMirror:
-    """Owns the copy of the control records; tells listeners which keys changed."""
+    """Owns the cached control records and what is derived from them.
+
+    `listeners` are called with each key that changed, in the order in which they were added;
+    `on_fence_changed` is called before them. Other objects read the indexes and never change them.
+    """
 
     def __init__(
-        self, clock: Clock, state: StateClient, settings: Settings, timeouts: Timeouts
+        self,
+        clock: Clock,
+        state: StateClient,
+        settings: Settings,
+        timeouts: Timeouts,
+        on_fence_changed: FenceListener,
     ) -> None:
         self.clock = clock
         self.state = state
@@ -48,40 +57,45 @@
         # All changes up to this revision are in the mirror.
         self.revision = 0
         # When the request was sent whose answer brought the mirror up to date last.
-        self.watched_at = -1e9
+        self.watched_at = NEVER
+        # By key: what it stores, and the revision of its last change.
         self.values: dict[str, tuple[Any, int]] = {}
-        self.dropped: dict[str, int] = {}
+        # By key: the revision of its removal, the oldest first.
+        self._removed: dict[str, int] = {}
         self.shards: dict[str, MachineShard] = {}
+        # By machine: the name of its shard.
         self.shard_of: dict[str, str] = {}
         self.partitions: dict[str, JobPartition] = {}
-        # Members whose registration lease lasts, and when this process saw others' leases end.
+        # Members whose registration lease lasts, and when this process learned of the end of
+        # others' leases.
         self.members: set[str] = set()
-        self.lease_ended_at: dict[str, float] = {}
-        # Who held a machine before its present holder.
+        self._lease_ended_at: dict[str, float] = {}
+        # By machine: who held it before its present holder.
         self.previous_holders: dict[str, str] = {}
-        # Jobs that their users cancelled and that are not over yet: by the stored marks, and by
-        # the word of the controller that stored one, with the revision of its write.
+        # Jobs that their users cancelled and that are not over yet: by the stored marks, and as
+        # announced by the controller that stored one, with the revision of its write.
         self.cancelled: set[str] = set()
         self.announced_cancellations: dict[str, int] = {}
         self.listeners: list[Listener] = []
-        # Called with a member and the version of its fence, before listeners hear of it.
-        self.on_fence_changed: Callable[[str, int], None] = lambda member, version: None
+        self._on_fence_changed = on_fence_changed
 
-    # -- questions
+    # -- queries
 
     def value(self, key: str) -> Any:
         """What the key stores; None if it does not exist."""
-        return self.values.get(key, (None, 0))[0]
+        value, _ = self.values.get(key, (None, 0))
+        return value
 
     def version(self, key: str) -> int:
         """The revision of the key's last change; 0 if it does not exist."""
-        return self.values.get(key, (None, 0))[1]
+        _, version = self.values.get(key, (None, 0))
+        return version
 
     def is_current(self) -> bool:
-        """Is the mirror so recent that new work may be begun by it?
+        """Is the mirror recent enough to start new work by it?
 
-        What runs goes on while our lease lasts, but a start by old knowledge may be of what
-        its user has cancelled: a controller that is cut off or was frozen begins nothing.
+        What runs goes on while our lease lasts, but a start by a stale mirror may be of a job
+        that its user has cancelled: a controller that is cut off or was frozen starts nothing.
         """
         return self.clock.seconds() - self.watched_at < self.timeouts.mirror_freshness
 
@@ -108,25 +122,27 @@
     def all_members_run(self, release: int) -> bool:
         """Does every controller of the settings run this release or a newer one?
 
-        Its fence tells, also while it is down: it comes back as what it registered as last.
+        Its fence says so, also while it is down: it restarts with the release that it
+        registered with last.
         """
-        for member in self.known_members:
-            fence = self.value(keys.fence(member))
-            their_release = fence.get("v") if isinstance(fence, dict) else None
-            if not isinstance(their_release, int) or their_release < release:
-                return False
-        return True
+        return all(
+            stored_release(self.value(keys.fence(member))) >= release
+            for member in self.known_members
+        )
 
     def silent_since(self, machine: str, previous_holder_may_act: bool) -> float:
-        """The latest time at which a previous holder may have answered the machine's worker."""
+        """The latest time at which a previous holder may have answered the machine's worker.
+
+        From then on the worker's own lease runs out, if nobody else answers it.
+        """
         now = self.clock.seconds()
         if previous_holder_may_act:
-            # It may not know yet, and act until its own lease ends.
+            # It may not know yet that it was replaced, and act until its own lease ends.
             return now + self.timeouts.registration_lease
         previous = self.previous_holders.get(machine, self.me)
         if previous != self.me and previous not in self.members:
-            # It stopped acting before its registration lease ended, and that was seen here.
-            return min(self.lease_ended_at.get(previous, now), now)
+            # It stopped acting before its registration lease ended, and we learned of that then.
+            return min(self._lease_ended_at.get(previous, now), now)
         return now
 
     # -- following the state service
@@ -148,7 +164,7 @@
                 self._apply(key, value, version)
 
     async def follow(self, is_over: Callable[[], bool]) -> None:
-        """Take in changes as they are stored, until it is over."""
+        """Watch the control records and apply their changes, until `is_over()`."""
         while not is_over():
             try:
                 await self._watch_once(is_over)
@@ -180,24 +196,28 @@
             self._apply(event.drop, None, event.version)
 
     def _caught_up(self, revision: int) -> None:
-        """The mirror holds all changes up to this one. Set after they were taken in: a holder
-        relies on being one by all that the mirror has."""
+        """The mirror holds all changes up to this revision.
+
+        Called after they were applied: a machine controller holds its machines by all that the
+        mirror has up to its revision.
+        """
         self.revision = max(self.revision, revision)
         stored = [job for job, at in self.announced_cancellations.items() if at <= self.revision]
         for job in stored:
             del self.announced_cancellations[job]
 
     def observe(self, key: str, value: Any, version: int) -> None:
-        """Take in a control record that was written or read apart from the watch."""
-        known = max(self.version(key), self.dropped.get(key, 0))
+        """Apply a control record that was written or read apart from the watch."""
+        known = max(self.version(key), self._removed.get(key, 0))
         if version > known:
             self._apply(key, value, version)
 
     def observe_cancellations(self, jobs: dict[str, int]) -> None:
-        """Cancellations that a peer has stored, though the state service may fail us.
+        """Cancellations that a peer has stored, with the revisions of their writes.
 
-        A stored cancellation is final, so it is obeyed without a read. Our mirror tells all
-        that is older than itself: a job that is over by then has no mark any more.
+        They arrive also while the state service is out of reach for us. A stored cancellation is
+        final, so it is obeyed without a read. Those up to our mirror's revision are ignored: the
+        mirror has them, or their jobs are over and have no mark any more.
         """
         for job, revision in jobs.items():
             if revision > self.revision and not self.is_cancelled(job):
@@ -208,7 +228,7 @@
         for listener in self.listeners:
             listener(key)
 
-    # -- taking in one record
+    # -- applying one record
 
     def _apply(self, key: str, value: Any, version: int) -> None:
         if value is None:
@@ -223,39 +243,44 @@
         self._notify(key)
 
     def _remove(self, key: str, version: int) -> bool:
-        """Forget a key; False if that is known, or older than what is known."""
-        known = self.values.get(key)
-        if known is None or known[1] > version:
+        """Remove a key; False if it does not exist or was written after this removal."""
+        if key not in self.values or self.version(key) > version:
             return False
         del self.values[key]
-        # The answer to an own write may come after the watch told of its removal.
-        self.dropped[key] = version
-        while len(self.dropped) > REMEMBERED_REMOVALS:
-            del self.dropped[next(iter(self.dropped))]
+        # The answer to a write of our own may come after the watch reported its removal.
+        self._removed[key] = version
+        while len(self._removed) > REMEMBERED_REMOVALS:
+            del self._removed[next(iter(self._removed))]
         return True
 
     def _index(self, key: str, value: Any, version: int) -> None:
-        """Bring up to date what is kept of each kind of record."""
+        """Update what is derived from each kind of record; raises if the record is malformed."""
         prefix, name = keys.kind_and_name(key)
         if prefix == keys.SHARD_PREFIX:
             self._index_shard(name, value, version)
         elif prefix == keys.PARTITION_PREFIX:
             self._index_partition(name, value, version)
         elif prefix == keys.CANCELLATION_PREFIX:
-            (self.cancelled.discard if value is None else self.cancelled.add)(name)
+            self._index_cancellation(name, is_stored=value is not None)
         elif prefix == keys.MEMBER_PREFIX:
             self._index_member(name, is_alive=value is not None)
         elif prefix == keys.FENCE_PREFIX:
-            self.on_fence_changed(name, version)
+            self._on_fence_changed(name, version)
             self._renew_fencing_tokens(name)
 
+    def _index_cancellation(self, job: str, is_stored: bool) -> None:
+        if is_stored:
+            self.cancelled.add(job)
+        else:
+            self.cancelled.discard(job)
+
     def _index_member(self, name: str, is_alive: bool) -> None:
         if is_alive:
             self.members.add(name)
-            self.lease_ended_at.pop(name, None)
+            self._lease_ended_at.pop(name, None)
         else:
             self.members.discard(name)
-            self.lease_ended_at[name] = self.clock.seconds()
+            self._lease_ended_at[name] = self.clock.seconds()
 
     def _index_partition(self, name: str, value: Any, version: int) -> None:
         before = self.partitions.pop(name, None)
@@ -291,11 +316,11 @@
                 self.previous_holders[machine.name] = old_holder
 
     def _renew_fencing_tokens(self, member: str) -> None:
-        """A new incarnation, or a fence by the leader: its shards have a higher token.
+        """Raise the tokens of a member's shards: a new incarnation or the leader wrote its fence.
 
-        Our own shards are told of even where the token stays: a shard that was leased between
-        our registration and the reading after it is read before our fence, and nobody could
-        hold it then.
+        Listeners are notified of our own shards even where the token stays: a shard that was
+        leased between our registration and the read after it is applied before our fence, and
+        could not be held then.
         """
         fence = self.version(keys.fence(member))
         for name, shard in self.shards.items():
--- a/src/beamspar/state/control_records.py
+++ b/src/beamspar/state/control_records.py
@@ -6,12 +6,13 @@
 
 import msgspec
 
-# What this release reads and writes; told with each registration. The first release told none.
+# Number of the stored forms that this release reads and writes; stored with each registration.
+# The first release stored none.
 RELEASE = 2
 
 
 class Machine(msgspec.Struct):
-    """A machine as its shard's record names it."""
+    """A machine as its shard's record describes it."""
 
     name: str
     address: str
@@ -33,7 +34,7 @@
     previous_holder_may_act: bool = msgspec.field(name="live", default=False)
     # The token when machines only left the shard: those that stay need no new one.
     kept_fencing_token: int = msgspec.field(name="keep", default=0)
-    # Not stored: the token by the record alone, and the one in force.
+    # Not stored: the token by the record alone, and the one in force. Derived by the mirror.
     record_fencing_token: int = msgspec.field(name="base", default=0)
     fencing_token: int = msgspec.field(name="number", default=0)
 
@@ -44,7 +45,7 @@
     previous_holder_may_act: bool = False,
     kept_fencing_token: int = 0,
 ) -> dict[str, Any]:
-    """What a shard's key stores."""
+    """What a shard's key stores; fields with their defaults are left out."""
     record: dict[str, Any] = {"holder": holder, "machines": msgspec.to_builtins(machines)}
     if previous_holder_may_act:
         record["live"] = True
@@ -63,17 +64,29 @@
     return {"inc": incarnation, "v": RELEASE}
 
 
+def stored_incarnation(record: Any) -> int:
+    """The incarnation of a member's record; 0 if it has none."""
+    return int(record.get("inc", 0)) if record else 0
+
+
+def stored_release(record: Any) -> int:
+    """The release that a member's record was written by; 0 for the first release or no record."""
+    release = record.get("v") if isinstance(record, dict) else None
+    return release if isinstance(release, int) else 0
+
+
 class JobPartition(msgspec.Struct):
     """The jobs that one incarnation accepted; they change owner together."""
 
     owner: str
+    # The revision of its record's last change.
     version: int = 0
-    # The version by which the present owner took it over.
+    # The revision by which the present owner became that.
     owned_since: int = 0
 
 
 class LeaderRecord(msgspec.Struct):
-    """Who leads; the record is on a lease of its own."""
+    """Who leads; stored under a lease of its own."""
 
     member: str = msgspec.field(name="name")
     incarnation: int = msgspec.field(name="inc", default=0)
--- a/tests/test_session.py
+++ b/tests/test_registration.py
@@ -19,7 +19,7 @@
 
 
 class Store:
-    """A block is leased to us after our fence was written and before the keys are read again."""
+    """A shard is leased to us after our fence was written and before the keys are read again."""
 
     def __init__(self) -> None:
         self.items: list[KeyValue] = []
@@ -43,14 +43,14 @@
     """Nothing is answered."""
 
     async def request(self, *call: Any) -> Any:
-        raise AssertionError("no call is expected before the session has started")
+        raise AssertionError("no call is expected before the registration has finished")
 
 
-def test_a_block_that_is_leased_while_its_holder_registers_is_held() -> None:
+def test_a_shard_that_is_leased_while_its_machine_controller_registers_is_held() -> None:
     clock, store = SimClock(), Store()
     timeouts = Timeouts(settings(), OperatorSettings())
     registration = Registration(clock, store, settings(), timeouts)  # type: ignore[arg-type]
-    holder = MachineController(
+    machine_controller = MachineController(
         clock,
         registration,
         WorkerClient(Net(), timeouts.command),  # type: ignore[arg-type]
@@ -62,4 +62,4 @@
     ensureDeferred(registration._register()).addCallback(done.append)
     assert done == [True]
     assert registration.mirror.holder_of("m-1") == ("rig-0", 12)
-    assert set(holder.machines) == {"m-1"}, "else nobody ever answers its worker"
+    assert set(machine_controller.machines) == {"m-1"}, "else nobody ever answers its worker"
