--- a/src/beamspar/protocol/jobs.py
+++ b/src/beamspar/protocol/jobs.py
@@ -1,41 +1,75 @@
-"""Jobs as users submit them, and what users are answered."""
+"""Jobs as users submit them, and the answers about jobs."""
 
 from __future__ import annotations
 
 import math
 import re
+from enum import StrEnum
 from typing import Any
 
 import msgspec
 
 from beamspar.protocol.codec import InvalidInputError
 
+# Tasks of one job at most (PROTOCOL).
 MAX_TASKS = 100_000
 JOB_ID = re.compile(r"j-[A-Za-z0-9_.:-]{1,100}\Z")
+# Priorities and their ranks: work of a higher rank number is preempted first.
 PRIORITIES = {"critical": 0, "high": 1, "normal": 2, "low": 3}
 LOWEST_RANK = max(PRIORITIES.values())
+# Characters of a job's class, team and image at most.
+MAX_NAME_LENGTH = 200
+# Machine types that a job may be restricted to at most.
+MAX_KINDS = 64
+
+
+class JobShape(StrEnum):
+    """How the tasks of a job belong together."""
+
+    # A job array: independent tasks, each of which runs to completion.
+    ARRAY = "sweep"
+    # A service: replicas that run until the job is cancelled.
+    SERVICE = "standing"
+    # A gang: tasks that start together or not at all.
+    GANG = "ensemble"
+
+
+# Placing compares these for every machine: looking up a member of an enum costs more than that.
+_SERVICE = JobShape.SERVICE.value
+_GANG = JobShape.GANG.value
+_SHAPES = frozenset(shape.value for shape in JobShape)
 
 
 class JobSpec(msgspec.Struct):
     """A job as its user submitted it."""
 
     id: str
+    # The class of jobs that the settings' objectives name.
     job_class: str = msgspec.field(name="lane")
     team: str = msgspec.field(name="owner")
+    # One of JobShape.
     shape: str
+    # One of PRIORITIES.
     priority: str = msgspec.field(name="urgency")
     tasks: int = msgspec.field(name="parcels")
+    # What each task takes of its machine.
     cpus: float
     gpus: float = msgspec.field(name="accelerators")
     memory_gb: float
     image: str = msgspec.field(name="crate")
     image_gb: float = msgspec.field(name="size_gb")
+    # The only machine types and the only zone that are allowed; None: any.
     kinds: list[str] | None = msgspec.field(name="rig_kinds", default=None)
     zone: str | None = msgspec.field(name="yard", default=None)
+    # All tasks in one zone, whichever.
     one_zone: bool = msgspec.field(name="together", default=False)
+    # At most half of the tasks, rounded up, in one zone.
     spread: bool = msgspec.field(name="scatter", default=False)
+    # It may use spot machines.
     spot: bool = msgspec.field(name="standby", default=False)
+    # The user's estimate of a task's run time; often wrong by half.
     estimate_s: float = msgspec.field(name="eta_s", default=0.0)
+    # The interval of a task's checkpoints (0: it never saves), and how long saving one takes.
     checkpoint_s: float = msgspec.field(name="stamp_every_s", default=0.0)
     save_s: float = msgspec.field(name="stamp_s", default=0.0)
     deadline_s: float | None = msgspec.field(name="due_s", default=None)
@@ -43,16 +77,16 @@
     @property
     def is_service(self) -> bool:
         """Do its tasks run until it is cancelled?"""
-        return self.shape == "standing"
+        return self.shape == _SERVICE
 
     @property
     def is_gang(self) -> bool:
         """Do its tasks start together or not at all?"""
-        return self.shape == "ensemble"
+        return self.shape == _GANG
 
     @property
     def grouped(self) -> bool:
-        """Its tasks are placed together or not at all."""
+        """Are its tasks placed together or not at all?"""
         return self.tasks > 1 and (self.is_gang or (self.is_service and self.one_zone))
 
     @property
@@ -61,6 +95,7 @@
         return PRIORITIES[self.priority]
 
 
+# Fields of a submission without which it is rejected, in the order in which they are checked.
 _REQUIRED = (
     "id",
     "lane",
@@ -83,7 +118,7 @@
 
 
 def parse_spec(data: Any) -> JobSpec:
-    """Check a submission; InvalidInputError names the field that is wrong."""
+    """A submission as a JobSpec; raises InvalidInputError that names the first wrong field."""
     if not isinstance(data, dict):
         raise InvalidInputError("body is not a map")
     for name in _REQUIRED:
@@ -93,12 +128,22 @@
         spec = msgspec.convert(data, JobSpec)
     except msgspec.ValidationError as error:
         raise InvalidInputError(str(error)) from error
+    _check_names(spec)
+    _check_amounts(spec)
+    _check_lengths(spec)
+    return spec
+
+
+def _check_names(spec: JobSpec) -> None:
     if not JOB_ID.match(spec.id):
         raise InvalidInputError("id is not of the form j-...")
-    if spec.shape not in ("sweep", "standing", "ensemble"):
+    if spec.shape not in _SHAPES:
         raise InvalidInputError("shape is none of sweep, standing and ensemble")
     if spec.priority not in PRIORITIES:
         raise InvalidInputError("urgency is unknown")
+
+
+def _check_amounts(spec: JobSpec) -> None:
     if not 1 <= spec.tasks <= MAX_TASKS:
         raise InvalidInputError(f"parcels is not within 1 and {MAX_TASKS}")
     amounts = {
@@ -114,14 +159,16 @@
     for name, amount in amounts.items():
         if not math.isfinite(amount) or amount < 0:
             raise InvalidInputError(f"{name} is not an amount")
+
+
+def _check_lengths(spec: JobSpec) -> None:
     for name, text in (("lane", spec.job_class), ("owner", spec.team), ("crate", spec.image)):
-        if not text or len(text) > 200:
+        if not text or len(text) > MAX_NAME_LENGTH:
             raise InvalidInputError(f"{name} is empty or too long")
-    if spec.kinds is not None and len(spec.kinds) > 64:
+    if spec.kinds is not None and len(spec.kinds) > MAX_KINDS:
         raise InvalidInputError("rig_kinds is too long")
-    return spec
 
 
 def job_response(job: str, status: str, done: int = 0, running: int = 0) -> dict[str, Any]:
-    """The answer about a job."""
+    """The answer about a job: its status, and how many of its tasks are done and running."""
     return {"id": job, "status": status, "done": done, "running": running}
--- a/src/beamspar/protocol/workers.py
+++ b/src/beamspar/protocol/workers.py
@@ -1,7 +1,8 @@
-"""What workers and controllers say to each other."""
+"""Messages between workers and controllers: heartbeats, commands and redirects."""
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import Any
 
 import msgspec
@@ -9,54 +10,86 @@
 from beamspar.protocol.codec import InvalidInputError, pack
 
 
+class TaskState(StrEnum):
+    """States of a task on its worker. Others that a worker may send are kept as they are."""
+
+    # It waits for its image.
+    FETCHING = "fetching"
+    # A task of a gang that waits for the gang's other tasks.
+    GATHERING = "gathering"
+    RUNNING = "running"
+    # It was told to stop and saves a checkpoint.
+    SAVING = "saving"
+    # See its exit reason.
+    ENDED = "ended"
+
+
+class ExitReason(StrEnum):
+    """Why a task has ended, as far as this code tells them apart."""
+
+    DONE = "done"
+    STOPPED = "stopped"
+    # It failed. Mostly the machine is faulty, at times the job.
+    ERROR = "error"
+
+
 class TaskStatus(msgspec.Struct):
-    """One task in a worker's report."""
+    """One task in a worker's heartbeat."""
 
     task: str = msgspec.field(name="parcel")
     attempt: int = msgspec.field(name="try")
+    # One of TaskState, or one that later workers know.
     status: str
+    # One of ExitReason or another word of the worker's; None unless the task has ended.
     exit_reason: str | None = msgspec.field(name="exit_cause", default=None)
+    # Of a task that was stopped: has it saved a checkpoint?
     saved: bool | None = None
 
 
 class WorkerHeartbeat(msgspec.Struct):
-    """What a worker says of itself; newer by (session, seq)."""
+    """What a worker reports of itself. The one with the larger (agent_epoch, seq) is newer."""
 
     machine: str = msgspec.field(name="rig")
+    # HOST:PORT for direct commands.
     address: str
     kind: str = msgspec.field(name="rig_kind")
     zone: str = msgspec.field(name="yard")
+    # Rises with each expiry of the worker's lease, by which it lost all its tasks.
     agent_epoch: int = msgspec.field(name="shift")
+    # Rises with each heartbeat and each answer to a direct command.
     seq: int = msgspec.field(name="tally")
+    # The highest fencing token that the worker has seen: it obeys none below.
     observed_fencing_token: int = msgspec.field(name="baton")
+    # All tasks on the machine, those that have ended until a clear command.
     tasks: list[TaskStatus] = msgspec.field(name="parcels", default_factory=list)
     spot: bool | None = msgspec.field(name="standby", default=False)
+    # Time until the cloud takes the machine away; None without a notice.
     termination_notice_s: float | None = msgspec.field(name="recall_s", default=None)
 
 
-_report = msgspec.msgpack.Decoder(WorkerHeartbeat)
+_decoder = msgspec.msgpack.Decoder(WorkerHeartbeat)
 
 
 def parse_worker_heartbeat(body: bytes) -> WorkerHeartbeat:
-    """A worker's report; raises InvalidInputError."""
+    """A worker's heartbeat; raises InvalidInputError if it is malformed."""
     try:
-        report = _report.decode(body)
+        heartbeat = _decoder.decode(body)
     except (msgspec.ValidationError, msgspec.DecodeError) as error:
         raise InvalidInputError(str(error)) from error
-    if report.agent_epoch < 1 or report.seq < 0 or report.observed_fencing_token < 0:
+    if heartbeat.agent_epoch < 1 or heartbeat.seq < 0 or heartbeat.observed_fencing_token < 0:
         raise InvalidInputError("shift, tally or baton is out of range")
-    return report
+    return heartbeat
 
 
 class StartCommand(msgspec.Struct, frozen=True, tag="start", tag_field="verb"):
-    """Start an attempt; it does nothing where the worker holds that attempt already."""
+    """Start an attempt. It does nothing where the worker has that attempt, in any state."""
 
     task: str = msgspec.field(name="parcel")
     attempt: int = msgspec.field(name="try")
 
 
 class StopCommand(msgspec.Struct, frozen=True, tag="kill", tag_field="verb"):
-    """Stop an attempt, with the time that it has to save its progress."""
+    """Stop an attempt, with the time that it has to save a checkpoint."""
 
     task: str = msgspec.field(name="parcel")
     attempt: int = msgspec.field(name="try")
@@ -64,12 +97,13 @@
 
 
 class ClearCommand(msgspec.Struct, frozen=True, tag="clear", tag_field="verb"):
-    """Forget an attempt that has ended."""
+    """Forget an attempt that has ended. A start that is repeated later starts it anew."""
 
     task: str = msgspec.field(name="parcel")
     attempt: int = msgspec.field(name="try")
 
 
+# The worker executes a list of them in its order.
 Command = StartCommand | StopCommand | ClearCommand
 
 
