--- a/src/beamspar/protocol/peer_messages.py
+++ b/src/beamspar/protocol/peer_messages.py
@@ -14,7 +14,6 @@
 
 from beamspar.placement import Room
 
-
 # Begins the paths of all calls between controllers.
 PEER_PATH_PREFIX = "/peer/"
 
@@ -46,8 +45,6 @@
         return PEER_PATH_PREFIX + self.value
 
 
-
-
 class DesiredAction(StrEnum):
     """What a job controller wants to be done with an attempt."""
 
