--- a/src/beamspar/settings.py
+++ b/src/beamspar/settings.py
@@ -1,4 +1,7 @@
-"""The platform's settings file, checked, and the operators' own tuning."""
+"""The platform's settings file, checked, and the operators' own settings.
+
+Names of the file that differ from those of the code are mapped here and seen nowhere else.
+"""
 
 from __future__ import annotations
 
@@ -6,28 +9,56 @@
 
 import msgspec
 
+from beamspar.timeouts import DRIFT, Timeouts
+
+# Other modules import the durations from here.
+__all__ = [
+    "DRIFT",
+    "CloudLimits",
+    "Limits",
+    "NextLimits",
+    "Objective",
+    "OperatorSettings",
+    "PeerSettings",
+    "PlatformSettings",
+    "Services",
+    "Settings",
+    "SettingsError",
+    "StateServiceLimits",
+    "Team",
+    "Timeouts",
+    "WorkerSettings",
+    "load",
+]
+
+# The kind of the objectives that say within which time tasks are to start.
+WAIT_OBJECTIVE = "wait"
+# Changes that a transaction must allow for a controller to do its work.
+SMALLEST_TXN_OPS = 4
+
 
 class SettingsError(Exception):
     """The settings can't be used; the text is one clear line for the operator."""
 
 
 class PeerSettings(msgspec.Struct, frozen=True):
-    """Another controller."""
+    """Another controller: its name, and the HOST:PORT where it serves its peers."""
 
     member: str
     peer_addr: str
+    # The zone that it runs in; empty where the settings do not say.
     site: str = ""
 
 
 class Services(msgspec.Struct, frozen=True):
-    """Addresses of the cloud and the state service."""
+    """Addresses of the cloud and the state service, as HOST:PORT."""
 
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guarantee and limit; 0 means none."""
+    """A team's guaranteed quota, and its limit (`_max`); 0 means none."""
 
     name: str
     cpus: float = 0.0
@@ -37,28 +68,33 @@
 
 
 class Objective(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
-    """An aim for one class of jobs."""
+    """A service-level objective for one class of jobs."""
 
+    # What it is about; only WAIT_OBJECTIVE is known here.
     kind: str = ""
     job_class: str = ""
+    # The time within which this share of cases is to be.
     within_s: float = 0.0
     share: float = 0.0
 
 
 class WorkerSettings(msgspec.Struct, frozen=True):
-    """Intervals and leases of workers."""
+    """Intervals and leases of workers, in seconds."""
 
+    # The interval of their heartbeats.
     report_s: float
+    # How long after the last answered heartbeat a worker keeps its tasks running.
     lease_s: float
+    # Within which a cancellation must have stopped a job's tasks, also during a failure.
     cancel_s: float
     # How long a gang's task waits for the others, and within which time they must be told to
-    # stop. 0 where the platform does not say: see `Timing`.
+    # stop. 0 where the platform does not say: see `Timeouts`.
     gang_wait_s: float = 0.0
     gang_peer_s: float = 0.0
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """Limits that the state service will have at some later moment; None: as they are."""
+    """Limits that the state service will have from some later moment on; None: unchanged."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -67,11 +103,14 @@
 
 
 class StateServiceLimits(msgspec.Struct, frozen=True):
-    """Limits of the state service."""
+    """Limits of the state service, for all controllers together."""
 
+    # Requests per second, and changes (puts and drops of all transactions) per second.
     rps: float
     write_rps: float
+    # The largest value, in KiB.
     value_kb: float
+    # Changes of one transaction.
     txn_ops: int
     next: NextLimits = NextLimits()
 
@@ -92,7 +131,9 @@
 class CloudLimits(msgspec.Struct, frozen=True):
     """Limits of the cloud's interface."""
 
+    # Requests per second.
     rps: float
+    # How far the list of machines may lag behind, in ordinary cases.
     list_lag_s: float
 
 
@@ -101,26 +142,31 @@
 
     cores: float = 1.0
     memory_mb: float = 256.0
+    # Connections that it may have open, both ways together.
     sockets: int = 1000
 
 
 class PlatformSettings(msgspec.Struct, frozen=True):
-    """What holds for the whole deployment."""
+    """What holds for the whole deployment: fixed by the platform, the same for all members."""
 
     workers: WorkerSettings
     state: StateServiceLimits
     cloud: CloudLimits
+    # Controllers of the deployment.
     nodes: int = 1
     zones: list[str] = []
+    # How far the wall clocks of two machines may be apart.
     skew_ms: float = 0.0
     teams: list[Team] = []
     objectives: list[Objective] = []
     limits: Limits = Limits()
 
     def start_within(self, job_class: str) -> float:
-        """The time in which the class's tasks should start; 0 where none is set."""
+        """The seconds in which the class's tasks should start; 0 where no objective says so."""
         found = [
-            o.within_s for o in self.objectives if o.kind == "wait" and o.job_class == job_class
+            objective.within_s
+            for objective in self.objectives
+            if objective.kind == WAIT_OBJECTIVE and objective.job_class == job_class
         ]
         return min(found, default=0.0)
 
@@ -129,93 +175,40 @@
     """The settings file of one controller."""
 
     member: str
+    # HOST:PORT to serve users and workers on, and to serve peers on.
     public_addr: str
     peer_bind: str
     services: Services
     platform: PlatformSettings
+    # The zone that this controller runs in; empty where the settings do not say.
     site: str = ""
     peers: list[PeerSettings] = []
 
 
 class OperatorSettings(msgspec.Struct, frozen=True):
-    """What operators may set by flag or variable; ratios to the platform's figures."""
+    """What operators may set by flag or environment variable (see `cli`)."""
 
-    # 0: from the fleet's size and the state service's limits.
+    # Machines of a shard; 0: from the fleet's size and the state service's limits.
     block_size: int = 0
+    # The registration lease as a share of the longest that is safe.
     lease_share: float = 1.0
+    # Free capacity to keep, as a share of each class's tasks.
     headroom: float = 0.2
-    # Followers of the leader's decisions, one of which takes over within seconds.
+    # Members follow the leader's decisions, so that one of them takes over within seconds.
     standby: bool = False
-    # Blocks move by load, on request and when a controller leaves.
+    # Shards of machines move by load, on request and when a controller leaves.
     sharing: bool = False
 
 
-# Steady clocks of different machines may drift apart by this share (PROTOCOL).
-DRIFT = 0.0005
-
-
-class Timeouts:
-    """Every duration of the service, as a ratio to a figure of the settings."""
-
-    def __init__(self, settings: Settings, operator_settings: OperatorSettings) -> None:
-        w = settings.platform.workers
-        self.report = w.report_s
-        self.worker_lease = w.lease_s
-        # A controller that is cut off learns of no withdrawal. It may answer its
-        # workers until its lease ends and they may run on for theirs, so both
-        # together must fit into the time that a cancellation has.
-        room = (w.cancel_s - w.lease_s) * operator_settings.lease_share
-        self.registration_lease = max(room * 0.97, 1.0)
-        self.validity = self.registration_lease * (1 - 4 * DRIFT) - room * 0.03
-        # A task on a silent worker is certainly gone this long after the last answer.
-        self.worker_gone = w.lease_s * (1 + 4 * DRIFT) + w.report_s * 0.1
-        self.lease_renewal = self.registration_lease / 10
-        # The lead is no lease of machines: withdrawals don't bound it, and the sooner it
-        # passes on the better. A leader's writes fail once it has passed.
-        self.leader_lease = w.lease_s * 0.4
-        # Workers of an earlier release do not say how long the tasks of a gang wait.
-        self.gang_wait = w.gang_wait_s or w.lease_s * 2
-        self.gang_peer = w.gang_peer_s or w.report_s
-        self.watch_hold = w.report_s * 0.67
-        # How old the mirror may be to begin something by it: a watch and its answer.
-        self.mirror_freshness = w.report_s * 1.67
-        self.heartbeat = w.report_s / 6
-        # How long polls are gathered for one comparison with the state service: a call for
-        # every other poll took more of processor and rate than all else.
-        self.poll_batching = self.heartbeat / 4
-        # How long a task that no owner speaks for may stay so; and how often an owner
-        # repeats all that it wants, though nothing seems to have been lost.
-        self.unknown_task = w.report_s * 1.5
-        self.resync = w.lease_s
-        # How long what is bound beyond its team's share may stay so without being seen to run.
-        self.unstarted = w.lease_s * 2
-        self.retry = w.report_s / 6
-        self.request = w.report_s / 2
-        self.command = w.report_s * 0.67
-        # How long a connection without a request stays open: a few reports' time.
-        self.keep_open = w.report_s * 5
-        # How long a gang waits before machines are kept for it.
-        self.gang_starvation = self.gang_wait * 1.5
-        self.silent = w.report_s * 2.5
-        # A worker that nobody answers comes round to each controller within this time. Its
-        # holder counts as out of reach after the other: early enough for another to answer
-        # within the worker's lease, though the worker may be waiting for an answer first.
-        self.unserved_machine = w.report_s * 3
-        self.out_of_reach = w.lease_s * 0.4
-        # How long a class's largest job is a measure for the room to keep.
-        self.largest_job_memory = w.lease_s * 12
-        # How long a machine is idle before it may go back.
-        self.idle = w.lease_s * 2
-
-
-def _address(text: str, what: str) -> None:
-    host, _, port = text.rpartition(":")
-    if not host or not port.isdigit():
-        raise SettingsError(f"settings: {what} is not HOST:PORT: {text!r}")
+def load(path: str) -> Settings:
+    """Read and check the settings file; unknown fields are ignored. Raises SettingsError."""
+    settings = _read(path)
+    _check_addresses(settings)
+    _check_limits(settings.platform)
+    return settings
 
 
-def load(path: str) -> Settings:
-    """Read and check the settings file; unknown fields are ignored."""
+def _read(path: str) -> Settings:
     try:
         with open(path, "rb") as file:
             raw = tomllib.load(file)
@@ -224,21 +217,33 @@
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise SettingsError(f"settings: {path} is not TOML: {error}") from error
     try:
-        settings = msgspec.convert(raw, Settings, strict=True)
+        return msgspec.convert(raw, Settings, strict=True)
     except msgspec.ValidationError as error:
         raise SettingsError(f"settings: {path}: {error}") from error
-    _address(settings.public_addr, "public_addr")
-    _address(settings.peer_bind, "peer_bind")
-    _address(settings.services.cloud, "services.cloud")
-    _address(settings.services.state, "services.state")
-    for sibling in settings.peers:
-        _address(sibling.peer_addr, f"siblings {sibling.member} peer_addr")
-    facts = settings.platform
-    if facts.workers.report_s <= 0 or facts.workers.lease_s <= 0:
+
+
+def _check_addresses(settings: Settings) -> None:
+    _check_address(settings.public_addr, "public_addr")
+    _check_address(settings.peer_bind, "peer_bind")
+    _check_address(settings.services.cloud, "services.cloud")
+    _check_address(settings.services.state, "services.state")
+    for peer in settings.peers:
+        _check_address(peer.peer_addr, f"siblings {peer.member} peer_addr")
+
+
+def _check_address(text: str, setting: str) -> None:
+    host, _, port = text.rpartition(":")
+    if not host or not port.isdigit():
+        raise SettingsError(f"settings: {setting} is not HOST:PORT: {text!r}")
+
+
+def _check_limits(platform: PlatformSettings) -> None:
+    workers = platform.workers
+    if workers.report_s <= 0 or workers.lease_s <= 0:
         raise SettingsError("settings: facts.workers durations must be above 0")
-    if facts.workers.cancel_s <= facts.workers.lease_s:
+    if workers.cancel_s <= workers.lease_s:
         raise SettingsError("settings: facts.workers.cancel_s must exceed lease_s")
-    for limits in (facts.state, facts.state.smallest):
-        if limits.txn_ops < 4 or min(limits.rps, limits.write_rps, limits.value_kb) <= 0:
+    for limits in (platform.state, platform.state.smallest):
+        smallest_rate_or_size = min(limits.rps, limits.write_rps, limits.value_kb)
+        if limits.txn_ops < SMALLEST_TXN_OPS or smallest_rate_or_size <= 0:
             raise SettingsError("settings: facts.state limits are too small to work with")
-    return settings
