--- a/src/beamspar/placement.py
+++ b/src/beamspar/placement.py
@@ -1,8 +1,8 @@
-"""Where a task goes: pure functions, without clock, input, output or globals.
+"""Which machine a task is placed on: pure functions, without clock, I/O or globals.
 
-The rule is DESIGN's: machines that cache the image and have room come first;
-otherwise any machine with room, at once; never a queue for a warm one. What the
-rule leaves open, ties, goes to spreading replicas over zones and machines.
+The rule (docs/design.md): machines that cache the job's image and have room come first;
+otherwise any machine with room, at once; a task never waits for a warm machine. Ties go to
+spreading replicas over zones and machines.
 """
 
 from __future__ import annotations
@@ -15,34 +15,42 @@
 from beamspar.protocol.cloud import MachineType
 from beamspar.protocol.jobs import JobSpec
 
+# Resources are sums of floating-point numbers: smaller differences than this are none.
 EPS = 1e-6
-# Of the time that a class has to start, what a fetch may take: rates differ by a third.
+# The part of the time in which a class should start that a fetch may take by its nominal rate:
+# rates differ by a third.
 FETCH_SHARE = 0.6
+# How many CPUs that a preemption must free weigh as much as one accelerator.
+CPUS_PER_GPU = 16
 
 
 class Room(msgspec.Struct):
-    """What is free on one machine, as its holder tells."""
+    """Free resources and cached images of one machine, as its machine controller reports them."""
 
+    # The machine's name, type and zone.
     name: str
     kind: str
     zone: str
     spot: bool
+    # What is free.
     cpus: float
     gpus: float
     memory_gb: float
-    # Cached images and their sizes, the least recently used first.
+    # Cached images and their sizes in GB, the least recently used first.
     images: dict[str, float] = msgspec.field(default_factory=dict)
-    # Per priority rank: what stopping all lower work would add.
+    # By priority rank: the CPUs, accelerators and memory that preempting all lower work would add.
     preemptible: list[tuple[float, float, float]] = msgspec.field(
         name="evictable", default_factory=list
     )
+    # May new work be started there?
     usable: bool = True
+    # Tasks on the machine.
     tasks: int = 0
-    # Images on their way: they share the machine's rate.
+    # Images that are being fetched: they share the machine's rate.
     fetching: int = 0
 
     def reserve(self, spec: JobSpec) -> None:
-        """Reckon with one more task of the job here."""
+        """Reserve the resources of one more task of the job."""
         self.cpus -= spec.cpus
         self.gpus -= spec.gpus
         self.memory_gb -= spec.memory_gb
@@ -50,20 +58,26 @@
 
 
 def copy(room: Room) -> Room:
-    """A room to reckon with: what is taken from it leaves the original as it is."""
+    """A copy of the room: reservations on it leave the original as it is.
+
+    The images and what can be preempted are shared with the original.
+    """
     # What `copy.copy` calls in the end: rounds of placing copy every machine's room.
     duplicate: Room = room.__copy__()  # type: ignore[attr-defined]
     return duplicate
 
 
 def evict_least_recently_used(images: dict[str, float], kind: MachineType) -> None:
-    """Drop the least recently used images that the machine has no space for."""
+    """Remove the least recently used images until the others fit into the machine's cache.
+
+    The most recently used one always stays.
+    """
     while sum(images.values()) > kind.cache_gb and len(images) > 1:
         del images[next(iter(images))]
 
 
 def fits_type(spec: JobSpec, kind: MachineType) -> bool:
-    """Could an empty machine of this type take a task of the job?"""
+    """Could an empty machine of this type run a task of the job?"""
     if spec.kinds is not None and kind.name not in spec.kinds:
         return False
     if spec.zone is not None and spec.zone not in kind.zones:
@@ -76,7 +90,10 @@
 
 
 def allowed(spec: JobSpec, room: Room, zones: Mapping[str, int]) -> bool:
-    """May the job have one more task here, given where its others may be?"""
+    """Do the job's constraints allow one more task here, whatever is free?
+
+    `zones` counts the job's tasks that are or may be placed, by zone.
+    """
     if not room.usable or (room.spot and not spec.spot):
         return False
     if spec.kinds is not None and room.kind not in spec.kinds:
@@ -89,7 +106,7 @@
 
 
 def has_room(spec: JobSpec, room: Room) -> bool:
-    """Is there room for a task of the job now?"""
+    """Are the resources of a task of the job free now?"""
     return (
         spec.cpus <= room.cpus + EPS
         and spec.gpus <= room.gpus + EPS
@@ -98,19 +115,19 @@
 
 
 class Preference(msgspec.Struct, frozen=True):
-    """What decides among machines that the rule leaves equal."""
+    """What decides among machines beside their own state and the job's other tasks."""
 
-    # CPUs and memory that each free accelerator of a machine will be asked for.
+    # CPUs and memory that work with accelerators needs for each free one of a machine.
     per_gpu: tuple[float, float] = (0.0, 0.0)
     # Types on which fetching the image alone would take too long for the job's class.
     slow: frozenset[str] = frozenset()
 
 
-PLAIN = Preference()
+NO_PREFERENCE = Preference()
 
 
-def strands(spec: JobSpec, room: Room, preference: Preference) -> bool:
-    """Would this task without accelerators leave some of the machine's without use?"""
+def would_strand_gpus(spec: JobSpec, room: Room, preference: Preference) -> bool:
+    """Would this task without accelerators leave some of the machine's unusable for others?"""
     if spec.gpus > EPS or room.gpus < EPS:
         return False
     return (
@@ -119,23 +136,27 @@
     )
 
 
-def turn(spec: JobSpec, zone: str) -> int:
-    """Jobs to be spread begin in different zones: a cut should not take most of a class."""
+def zone_order(spec: JobSpec, zone: str) -> int:
+    """Orders zones that have the same number of the job's tasks, the least first.
+
+    Jobs to be spread begin in different zones: a network partition should not cut most of a
+    class off.
+    """
     return crc32(f"{spec.id} {zone}".encode()) if spec.spread else 0
 
 
-def _company(
-    spec: JobSpec, room: Room, zone: tuple[int, int], machines: Mapping[str, int]
+def _spreading_key(
+    spec: JobSpec, room: Room, zone_key: tuple[int, int], machines: Mapping[str, int]
 ) -> tuple[int, int, int]:
-    """How well the room suits what the job has elsewhere; the least is best.
+    """How well the room suits the job's tasks that are placed elsewhere; the least is best.
 
     Replicas are spread over zones and machines. A gang runs at the speed of its slowest
     machine and loses its progress with any of them: it goes to as few as can be.
     """
     if not spec.is_gang:
-        return *zone, machines.get(room.name, 0)
-    left = spec.tasks - sum(machines.values())
-    return int(room.name not in machines), -min(fitting(spec, room), left), 0
+        return *zone_key, machines.get(room.name, 0)
+    unplaced = spec.tasks - sum(machines.values())
+    return int(room.name not in machines), -min(fitting(spec, room), unplaced), 0
 
 
 def choose(
@@ -146,20 +167,25 @@
     avoid: Collection[str] = (),
     near: Collection[str] = (),
     warm_only: bool = False,
-    preference: Preference = PLAIN,
+    preference: Preference = NO_PREFERENCE,
 ) -> Room | None:
-    """The machine for one more task, or None. `near` wins among cold ones.
+    """The machine for one more task, or None if none has room.
+
+    `zones` and `machines` count the job's tasks that are placed; machines of `avoid` are left
+    out, and those of `near` are preferred among those without the image. With `warm_only`, only
+    machines that cache the image count.
 
-    What a machine's free accelerators need does not count as room for tasks without
-    any, as long as there is other room.
+    The CPUs and memory that a machine's free accelerators need do not count as room for tasks
+    without accelerators, as long as there is other room.
 
-    A leader looks at all machines for each task, so what decides first is compared first,
-    and the rest only among those that are not worse in it.
+    A leader looks at all machines for each task, so the criteria that decide first are compared
+    first, and the others only among machines that are not worse by them. For the same reason the
+    loop calls as little as can be.
     """
     best: Room | None = None
     best_first: tuple[int, ...] = ()
     best_rest: tuple[object, ...] = ()
-    spread: dict[str, tuple[int, int]] = {}
+    zone_keys: dict[str, tuple[int, int]] = {}
     for room in rooms:
         if not has_room(spec, room) or room.name in avoid or not allowed(spec, room, zones):
             continue
@@ -167,7 +193,7 @@
         if warm_only and cold:
             continue
         first = (
-            strands(spec, room, preference),
+            would_strand_gpus(spec, room, preference),
             cold,
             cold and room.kind in preference.slow,
             spec.spot and not room.spot,
@@ -175,11 +201,12 @@
         )
         if best is not None and first > best_first:
             continue
-        zone = spread.get(room.zone)
-        if zone is None:
-            zone = spread[room.zone] = (zones.get(room.zone, 0), turn(spec, room.zone))
+        zone_key = zone_keys.get(room.zone)
+        if zone_key is None:
+            zone_key = zones.get(room.zone, 0), zone_order(spec, room.zone)
+            zone_keys[room.zone] = zone_key
         rest = (
-            *_company(spec, room, zone, machines),
+            *_spreading_key(spec, room, zone_key, machines),
             cold and room.name not in near,
             room.gpus - spec.gpus,
             room.cpus - spec.cpus,
@@ -199,74 +226,107 @@
     avoid: Collection[str] = (),
     near: Collection[str] = (),
     warm_only: bool = False,
-    preference: Preference = PLAIN,
+    preference: Preference = NO_PREFERENCE,
 ) -> list[Room]:
-    """Machines for all of a group's tasks, warm ones first, or none at all."""
+    """Machines for `count` tasks that are placed together, or none at all.
+
+    With one zone for all, the zone with the most machines that cache the image. The other
+    arguments are those of `choose`.
+    """
     best: list[Room] = []
     best_warm = -1
-    for zone in sorted({r.zone for r in rooms}) if spec.one_zone else [""]:
-        left = [copy(r) for r in rooms if not zone or r.zone == zone]
-        by_name = {r.name: r for r in rooms}
-        taken: list[Room] = []
-        there, on = dict(zones), dict(machines)
-        while len(taken) < count:
-            room = choose(spec, left, there, on, avoid, near, warm_only, preference)
-            if room is None:
-                break
-            room.reserve(spec)
-            there[room.zone] = there.get(room.zone, 0) + 1
-            on[room.name] = on.get(room.name, 0) + 1
-            taken.append(by_name[room.name])
-        warm = sum(1 for room in taken if spec.image in room.images)
-        if len(taken) == count and warm > best_warm:
-            best, best_warm = taken, warm
+    for zone in sorted({room.zone for room in rooms}) if spec.one_zone else [""]:
+        candidates = [room for room in rooms if not zone or room.zone == zone]
+        chosen = _choose_all(
+            spec, count, candidates, zones, machines, avoid, near, warm_only, preference
+        )
+        warm = sum(1 for room in chosen if spec.image in room.images)
+        if len(chosen) == count and warm > best_warm:
+            best, best_warm = chosen, warm
     return best
 
 
+def _choose_all(
+    spec: JobSpec,
+    count: int,
+    candidates: list[Room],
+    zones: Mapping[str, int],
+    machines: Mapping[str, int],
+    avoid: Collection[str],
+    near: Collection[str],
+    warm_only: bool,
+    preference: Preference,
+) -> list[Room]:
+    """Machines for so many tasks one after the other, each with the ones before reserved.
+
+    Fewer if there is no room for all. The candidates stay as they are.
+    """
+    rooms = [copy(room) for room in candidates]
+    originals = {room.name: room for room in candidates}
+    in_zone, on_machine = dict(zones), dict(machines)
+    chosen: list[Room] = []
+    while len(chosen) < count:
+        room = choose(spec, rooms, in_zone, on_machine, avoid, near, warm_only, preference)
+        if room is None:
+            break
+        room.reserve(spec)
+        in_zone[room.zone] = in_zone.get(room.zone, 0) + 1
+        on_machine[room.name] = on_machine.get(room.name, 0) + 1
+        chosen.append(originals[room.name])
+    return chosen
+
+
 def choose_group_preemption(
     spec: JobSpec, count: int, rooms: list[Room], avoid: Collection[str] = ()
 ) -> list[Room]:
-    """Machines for all of a group's tasks, where stopping lower work makes room, or none.
+    """Machines for `count` tasks that are placed together by preempting lower work, or none.
 
-    Machines with room count as they are; of the others, all lower work counts as stopped.
+    Of all machines, all lower work counts as stopped; those with room need no preemption.
     """
-    widened = []
-    for room in rooms:
-        wide = copy(room)
-        if spec.rank < len(room.preemptible):
-            cpus, gpus, memory = room.preemptible[spec.rank]
-            wide.cpus += cpus
-            wide.gpus += gpus
-            wide.memory_gb += memory
-        widened.append(wide)
     by_name = {room.name: room for room in rooms}
+    widened = [_after_preemption(spec, room) for room in rooms]
     return [by_name[room.name] for room in choose_group(spec, count, widened, {}, {}, avoid)]
 
 
+def _after_preemption(spec: JobSpec, room: Room) -> Room:
+    """A copy of the room with all work of a lower priority than the job's stopped."""
+    widened = copy(room)
+    if spec.rank < len(room.preemptible):
+        cpus, gpus, memory_gb = room.preemptible[spec.rank]
+        widened.cpus += cpus
+        widened.gpus += gpus
+        widened.memory_gb += memory_gb
+    return widened
+
+
+def _would_have_room(spec: JobSpec, room: Room) -> bool:
+    """Would preempting all lower work make room for a task? Without a copy: it is asked often."""
+    if spec.rank >= len(room.preemptible):
+        return False
+    cpus, gpus, memory_gb = room.preemptible[spec.rank]
+    return (
+        spec.cpus <= room.cpus + cpus + EPS
+        and spec.gpus <= room.gpus + gpus + EPS
+        and spec.memory_gb <= room.memory_gb + memory_gb + EPS
+    )
+
+
 def choose_preemption(
     spec: JobSpec, rooms: Iterable[Room], zones: Mapping[str, int], avoid: Collection[str] = ()
 ) -> Room | None:
-    """A machine where stopping lower work would make room, losing as little as can be."""
+    """A machine where preempting lower work would make room for one task, or None.
+
+    Among several, one that caches the image and where the least has to be stopped.
+    """
     best: Room | None = None
     best_key: tuple[object, ...] = ()
     for room in rooms:
         if room.name in avoid or not allowed(spec, room, zones):
             continue
-        if spec.rank >= len(room.preemptible):
-            continue
-        cpus, gpus, memory = room.preemptible[spec.rank]
-        widened = Room(
-            room.name,
-            room.kind,
-            room.zone,
-            room.spot,
-            room.cpus + cpus,
-            room.gpus + gpus,
-            room.memory_gb + memory,
-        )
-        if not has_room(spec, widened):
+        if not _would_have_room(spec, room):
             continue
-        missing = max(spec.gpus - room.gpus, 0.0) * 16 + max(spec.cpus - room.cpus, 0.0)
+        missing_gpus = max(spec.gpus - room.gpus, 0.0)
+        missing = missing_gpus * CPUS_PER_GPU + max(spec.cpus - room.cpus, 0.0)
         key = (spec.image not in room.images, missing, zones.get(room.zone, 0), room.name)
         if best is None or key < best_key:
             best, best_key = room, key
@@ -274,7 +334,7 @@
 
 
 def per_gpu(specs: Iterable[JobSpec]) -> tuple[float, float]:
-    """The most CPUs and memory that work with accelerators takes for each of them."""
+    """The most CPUs and memory (GB) that any of these jobs takes for each accelerator."""
     cpus = memory = 0.0
     for spec in specs:
         if spec.gpus > EPS:
@@ -284,7 +344,7 @@
 
 
 def slow_kinds(spec: JobSpec, within_s: float, kinds: Iterable[MachineType]) -> frozenset[str]:
-    """Types that need most of the time in which the class should start for its image."""
+    """Types on which fetching the job's image takes too much of the time to start (seconds)."""
     return frozenset(
         kind.name
         for kind in kinds
@@ -293,19 +353,19 @@
 
 
 def fitting(spec: JobSpec, room: Room) -> int:
-    """How many tasks of this shape the room is large enough for."""
+    """How many tasks of the job the free resources suffice for, whatever its constraints."""
     counts = [
-        int((have + EPS) / desired)
-        for have, desired in (
+        int((free + EPS) / needed)
+        for free, needed in (
             (room.cpus, spec.cpus),
             (room.gpus, spec.gpus),
             (room.memory_gb, spec.memory_gb),
         )
-        if desired > 0
+        if needed > 0
     ]
     return max(min(counts, default=0), 0)
 
 
 def slots(spec: JobSpec, rooms: Iterable[Room]) -> int:
-    """How many tasks of this shape would fit now."""
+    """How many tasks of the job would fit on these machines now, if it has no others."""
     return sum(fitting(spec, room) for room in rooms if allowed(spec, room, {}))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -12,8 +12,8 @@
     copy,
     fitting,
     has_room,
-    strands,
-    turn,
+    would_strand_gpus,
+    zone_order,
 )
 from beamspar.protocol.jobs import JobSpec
 
@@ -68,21 +68,21 @@
 ) -> Room | None:
     """All rooms by their whole key: what `choose` must find with less work."""
 
-    def company(room: Room) -> tuple[int, int, int]:
+    def spreading_key(room: Room) -> tuple[int, int, int]:
         if not spec.is_gang:
-            return zones.get(room.zone, 0), turn(spec, room.zone), machines.get(room.name, 0)
+            return zones.get(room.zone, 0), zone_order(spec, room.zone), machines.get(room.name, 0)
         left = spec.tasks - sum(machines.values())
         return int(room.name not in machines), -min(fitting(spec, room), left), 0
 
     def key(room: Room) -> tuple[object, ...]:
         warm = spec.image in room.images
         return (
-            strands(spec, room, preference),
+            would_strand_gpus(spec, room, preference),
             not warm,
             not warm and room.kind in preference.slow,
             spec.spot and not room.spot,
             not warm and room.fetching,
-            *company(room),
+            *spreading_key(room),
             not warm and room.name not in near,
             room.gpus - spec.gpus,
             room.cpus - spec.cpus,
@@ -120,7 +120,7 @@
     assert found > 500
 
 
-def test_what_is_taken_from_a_copy_leaves_the_room_as_it_is() -> None:
+def test_a_reservation_on_a_copy_leaves_the_room_as_it_is() -> None:
     room = random_room(random.Random(1), 1)
     before = (room.cpus, room.tasks)
     copy(room).reserve(random_spec(random.Random(2)))
