--- a/src/beamspar/transport/http_server.py
+++ b/src/beamspar/transport/http_server.py
@@ -1,45 +1,58 @@
-"""HTTP server over twisted.web: one handler, bounded connections, answers in one piece."""
+"""HTTP server over twisted.web: one handler, limited connections, answers in one write."""
 
 from __future__ import annotations
 
 from typing import Any
 
+from twisted.internet.protocol import connectionDone
 from twisted.logger import Logger
+from twisted.python.failure import Failure
 from twisted.web.http import RESPONSES, HTTPChannel, HTTPFactory, Request
 
-from beamspar.transport.http import Answer, Call, Clock, Handler, lasting, spawn
+from beamspar.transport.clock import Clock, spawn
+from beamspar.transport.connection_limits import may_stay_open
+from beamspar.transport.http import Answer, Call, Handler
 
 log = Logger(namespace="http")
 
-# Headers that nobody reads here; most requests carry some, and there are hundreds a second.
-_UNREAD = (b"content-type:", b"host:", b"accept:", b"accept-encoding:", b"user-agent:")
+# Headers that are not parsed: nothing here uses them, most requests carry some, and there are
+# hundreds of requests a second.
+_IGNORED_HEADERS = (b"content-type:", b"host:", b"accept:", b"accept-encoding:", b"user-agent:")
+
+# Before anything happened.
+NEVER = -1e9
 
 
 class _Channel(HTTPChannel):
-    """One connection of a user, a worker or a sibling."""
+    """One connection of a user, a worker or a peer."""
 
-    # Does it stay open after an answer?
-    lasting = True
+    # May it stay open after an answer?
+    may_stay_open = True
 
     def headerReceived(self, line: bytes) -> bool:  # noqa: N802
-        if line.lower().startswith(_UNREAD):
+        if line.lower().startswith(_IGNORED_HEADERS):
             return True
         return bool(super().headerReceived(line))  # type: ignore[no-untyped-call]
 
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
+        site: Site = self.factory
+        site.connection_ended()
+        super().connectionLost(reason)  # type: ignore[no-untyped-call]
+
 
 class _Request(Request):
-    """A request handed to the site's handler at once, and its answer sent in one piece.
+    """A request that is passed to the site's handler at once, and answered in one write.
 
-    Resources, sessions, forms and the parsing of content types took more than half of what
-    a report or a poll costs.
+    Resources, sessions, forms and the parsing of content types took more than half of the
+    processor time of a worker's heartbeat or a user's poll.
     """
 
     def __init__(self, channel: Any, queued: object = False) -> None:
         super().__init__(channel, parsePOSTFormSubmission=False)
-        self.gone = False
+        self.client_is_gone = False
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        self.gone = True
+        self.client_is_gone = True
         super().connectionLost(reason)  # type: ignore[no-untyped-call]
 
     def process(self) -> None:
@@ -53,16 +66,20 @@
         spawn(self._serve(site, call), f"{call.method} {call.path}")
 
     async def _serve(self, site: Site, call: Call) -> None:
+        answer = await self._answer(site, call)
+        if not self.client_is_gone:
+            self._send(answer, has_body=call.method != "HEAD")
+
+    async def _answer(self, site: Site, call: Call) -> Answer:
         if len(call.body) > site.body_limit:
-            answer = Answer(400)
-        else:
-            try:
-                answer = await site.handler(call)
-            except Exception:
-                log.failure("{method} {path} failed", method=call.method, path=call.path)
-                answer = Answer(500)
-        if self.gone:
-            return
+            return Answer(400)
+        try:
+            return await site.handler(call)
+        except Exception:
+            log.failure("{method} {path} failed", method=call.method, path=call.path)
+            return Answer(500)
+
+    def _send(self, answer: Answer, has_body: bool) -> None:
         lines = [
             b"HTTP/1.1 %d %s" % (answer.status, RESPONSES.get(answer.status, b"")),
             b"content-type: application/msgpack",
@@ -70,62 +87,65 @@
         ]
         lines += [f"{name}: {value}".encode() for name, value in answer.headers]
         channel: Any = self.channel
-        if not channel.lasting:
+        if not channel.may_stay_open:
             channel.persistent = False
         if not channel.persistent:
             lines.append(b"connection: close")
-        body = b"" if call.method == "HEAD" else answer.body
+        body = answer.body if has_body else b""
         self.startedWriting = 1
         channel.write(b"\r\n".join([*lines, b"", body]))
         self.finish()  # type: ignore[no-untyped-call]
 
 
 class Site(HTTPFactory):
-    """A site that opens no more connections than its share of the sockets."""
+    """Owns the connections that come in to one address: no more than its share of the sockets."""
 
     # Without twisted's wrapper that might turn a connection into HTTP/2.
     protocol = _Channel  # type: ignore[assignment]
 
     def __init__(
-        self, clock: Any, handler: Handler, body_limit: int, most: int, idle_s: float
+        self, clock: Any, handler: Handler, body_limit: int, max_connections: int, idle_s: float
     ) -> None:
         super().__init__(timeout=idle_s, reactor=clock)
         self.clock: Clock = clock
         self.handler = handler
         self.body_limit = body_limit
-        self.most = most
+        self.max_connections = max_connections
+        # How long a connection without a request stays open.
         self.idle_s = idle_s
-        self.open = 0
-        self.turned_away = 0
-        self.said_at = -1e9
+        self.open_connections = 0
+        # Connections that were rejected since the start, and when the last warning of them was.
+        self.rejected_connections = 0
+        self.warned_at = NEVER
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802
-        """A connection comes in; None turns it away."""
-        if self.open >= self.most:
-            self.turned_away += 1
-            now = self.clock.seconds()
-            if now - self.said_at > self.idle_s:
-                self.said_at = now
-                log.warn(
-                    "{n} connections are open, {m} turned away so far",
-                    n=self.open,
-                    m=self.turned_away,
-                )
+        """The protocol of a connection that comes in; None rejects it."""
+        if self.open_connections >= self.max_connections:
+            self._on_rejected()
             return None
         channel: Any = super().buildProtocol(addr)
         channel.requestFactory = _Request
-        channel.lasting = lasting(self.open, self.most)
-        # A peer behind a cut never acknowledges the end of a connection.
+        channel.may_stay_open = may_stay_open(self.open_connections, self.max_connections)
+        # The other side of a network partition never acknowledges the end of a connection.
         channel.abortTimeout = self.idle_s / 4
-        self.open += 1
-        lost = channel.connectionLost
-
-        def counted(reason: Any) -> None:
-            self.open -= 1
-            lost(reason)
-
-        channel.connectionLost = counted
+        self.open_connections += 1
         return channel
 
+    def connection_ended(self) -> None:
+        """One of the open connections has ended."""
+        self.open_connections -= 1
+
+    def _on_rejected(self) -> None:
+        """Count a connection that was rejected, and warn of it now and then."""
+        self.rejected_connections += 1
+        now = self.clock.seconds()
+        if now - self.warned_at > self.idle_s:
+            self.warned_at = now
+            log.warn(
+                "{n} connections are open, {m} turned away so far",
+                n=self.open_connections,
+                m=self.rejected_connections,
+            )
+
     def log(self, request: Any) -> None:
         """No access log: decisions are logged, not requests."""
--- a/tests/standins/net.py
+++ b/tests/standins/net.py
@@ -8,13 +8,13 @@
 
 from twisted.internet.defer import Deferred, ensureDeferred
 
+from beamspar.transport.connection_limits import may_stay_open
 from beamspar.transport.http import (
     Answer,
     Call,
     CallFailedError,
     ConnectionLimits,
     Handler,
-    lasting,
 )
 from tests.standins.clock import SimClock
 
@@ -108,7 +108,7 @@
         if len(doors) >= most or self.sockets(host) >= self.limits.get(host, 1 << 30):
             self.turned_away += 1
             return None
-        doors[name] = source != "users" and lasting(len(doors), most)
+        doors[name] = source != "users" and may_stay_open(len(doors), most)
         self.peaks[host] = max(self.peaks.get(host, 0), self.sockets(host))
         return name
 
@@ -230,7 +230,7 @@
             except CallFailedError as error:
                 raise self.failure(str(error), error.refused) from error
 
-        return ensureDeferred(self.gates.through(path, call))
+        return ensureDeferred(self.gates.run(path, call))
 
     def listen(self, address: str, handler: Handler, most: int, limit: int) -> Deferred[Any]:
         assert most > 0
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -8,7 +8,8 @@
 from twisted.internet import reactor as installed
 from twisted.internet.threads import deferToThread
 
-from beamspar.transport.http import LASTING, Answer, Call, Sockets, spawn
+from beamspar.transport.connection_limits import KEPT_OPEN_SHARE
+from beamspar.transport.http import Answer, Call, Sockets, spawn
 from beamspar.transport.tcp import RealNet
 
 MOST = 10
@@ -32,7 +33,7 @@
 def visit(port: int) -> tuple[list[bool], bool]:
     """Come more often than may stay; which were ended, and is one too many turned away?"""
     came = [ask(port) for _ in range(MOST + 4)]
-    # One that lasts is answered again on the same connection.
+    # One that stays open is answered again on the same connection.
     assert not ask(port, came[0][0])[1]
     silent = [socket.create_connection(("127.0.0.1", port), 30) for _ in range(MOST)]
     try:
@@ -44,7 +45,7 @@
     return [ended for _, ended in came], full
 
 
-def test_connections_beyond_the_lasting_share_end_with_their_answer() -> None:
+def test_connections_beyond_the_share_that_stays_open_end_with_their_answer() -> None:
     loop: Any = installed
     found: list[tuple[list[bool], bool]] = []
     failed: list[object] = []
@@ -66,6 +67,6 @@
     loop.run(installSignalHandlers=False)
     assert not failed, failed
     ended, full = found[0]
-    last = int(MOST * LASTING)
+    last = int(MOST * KEPT_OPEN_SHARE)
     assert ended == [False] * last + [True] * (MOST + 4 - last)
     assert full
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -10,7 +10,7 @@
 from twisted.python.failure import Failure
 
 from beamspar.transport.http import Answer, CallFailedError, Sockets
-from beamspar.transport.http_client import MOST_IDLE
+from beamspar.transport.http_client import MAX_IDLE_PER_ADDRESS
 from beamspar.transport.tcp import RealNet
 
 ADDRESS = "10.0.0.1:80"
@@ -217,13 +217,13 @@
 def test_few_idle_connections_are_kept_and_not_for_ever() -> None:
     peer = Peer()
     calls = []
-    for _ in range(MOST_IDLE + 2):
+    for _ in range(MAX_IDLE_PER_ADDRESS + 2):
         calls.append(peer.call())
         peer.open()
     for protocol, _ in peer.opened:
         protocol.dataReceived(OK)
     assert all(result == [Answer(200, b"body")] for result in calls)
-    assert [t.disconnecting for _, t in peer.opened] == [False] * MOST_IDLE + [True] * 2
+    assert [t.disconnecting for _, t in peer.opened] == [False] * MAX_IDLE_PER_ADDRESS + [True] * 2
     peer.reactor.advance(IDLE_S * 2)
     assert all(t.disconnecting for _, t in peer.opened)
 
