--- a/src/beamspar/cli.py
+++ b/src/beamspar/cli.py
@@ -1,4 +1,8 @@
-"""The program: flags and variables, logging, and the reactor."""
+"""The program: flags and environment variables, logging, and the reactor.
+
+Modules of twisted are imported where they are used: `--check` and `--help` need none of them, and
+the reactor has to be installed before anything imports another.
+"""
 
 from __future__ import annotations
 
@@ -11,14 +15,19 @@
 from beamspar import __version__
 from beamspar.settings import OperatorSettings, Settings, SettingsError, load
 
+# Exit status when the settings can't be used.
+EXIT_BAD_SETTINGS = 2
+
 
-def start_log(level_name: str) -> None:
-    """Log lines to standard error, no more than LOG_LEVEL asks for."""
+def start_logging(level_name: str) -> None:
+    """Write log lines of this level and above to standard error; `info` if it is unknown.
+
+    Of twisted itself, errors only.
+    """
     from twisted.logger import (
         FilteringLogObserver,
         LogLevel,
         LogLevelFilterPredicate,
-        formatEvent,
         globalLogBeginner,
     )
 
@@ -26,19 +35,22 @@
     predicate = LogLevelFilterPredicate(levels.get(level_name, LogLevel.info))
     predicate.setLogLevelForNamespace("twisted", LogLevel.error)
 
-    def write(event: Any) -> None:
-        failure = event.get("log_failure")
-        text = formatEvent(event)
-        if failure is not None:
-            text += "\n" + failure.getTraceback()
-        level = getattr(event.get("log_level"), "name", "info")
-        sys.stderr.write(f"{level} {event.get('log_namespace', '')}: {text}\n")
-        sys.stderr.flush()
-
-    observer: Any = FilteringLogObserver(cast(Any, write), [cast(Any, predicate)])
+    observer: Any = FilteringLogObserver(cast(Any, _write_log_line), [cast(Any, predicate)])
     globalLogBeginner.beginLoggingTo([observer], redirectStandardIO=False)
 
 
+def _write_log_line(event: Any) -> None:
+    from twisted.logger import formatEvent
+
+    failure = event.get("log_failure")
+    text = formatEvent(event)
+    if failure is not None:
+        text += "\n" + failure.getTraceback()
+    level = getattr(event.get("log_level"), "name", "info")
+    sys.stderr.write(f"{level} {event.get('log_namespace', '')}: {text}\n")
+    sys.stderr.flush()
+
+
 def serve(settings: Settings, operator_settings: OperatorSettings) -> None:
     """Run one controller until it is killed."""
     import gc
@@ -52,13 +64,13 @@
     from beamspar.settings import Timeouts
     from beamspar.transport.http import Sockets, spawn
 
-    start_log(os.environ.get("LOG_LEVEL", "info"))
+    start_logging(os.environ.get("LOG_LEVEL", "info"))
     timeouts = Timeouts(settings, operator_settings)
     sockets = Sockets.of(settings.platform.limits.sockets, settings.platform.nodes)
     net = RealNet(reactor, timeouts.request, timeouts.keep_open, sockets)
     node = Node(reactor, net, settings, operator_settings, random.Random())
     reactor.callWhenRunning(spawn, node.start(), "start")
-    # What is loaded by now stays: the collector need not look at it again and again.
+    # What is loaded by now stays: the garbage collector need not look at it again and again.
     gc.freeze()
     gc.enable()
     reactor.run()
@@ -120,9 +132,15 @@
         settings = load(config)
     except SettingsError as error:
         click.echo(str(error), err=True)
-        sys.exit(2)
+        sys.exit(EXIT_BAD_SETTINGS)
     if check:
         click.echo(f"{config}: settings are in order")
         return
-    operator_settings = OperatorSettings(block_size, lease_share, headroom, standby, sharing)
+    operator_settings = OperatorSettings(
+        block_size=block_size,
+        lease_share=lease_share,
+        headroom=headroom,
+        standby=standby,
+        sharing=sharing,
+    )
     serve(settings, operator_settings)
--- a/src/beamspar/protocol/cloud.py
+++ b/src/beamspar/protocol/cloud.py
@@ -30,7 +30,7 @@
     # Prices per hour, of ordinary and of spot machines.
     price: float = msgspec.field(name="hourly", default=0.0)
     spot_price: float = msgspec.field(name="market_price", default=0.0)
-    # From the request until the worker's first report, in ordinary cases.
+    # From the request until the worker's first heartbeat, in ordinary cases.
     boot_s: float = 60.0
     zones: list[str] = msgspec.field(name="yards", default_factory=list)
 
--- a/src/beamspar/state/control_records.py
+++ b/src/beamspar/state/control_records.py
@@ -1,4 +1,8 @@
-"""Stored forms of the control records: shards of machines and partitions of jobs."""
+"""Stored forms of the control records: shards of machines, partitions of jobs, members, leader.
+
+The `holder` of a shard is the member whose machine controller manages the shard's machines; the
+`owner` of a partition is the member whose job controller runs the partition's jobs.
+"""
 
 from __future__ import annotations
 
--- a/src/beamspar/state/errors.py
+++ b/src/beamspar/state/errors.py
@@ -1,6 +1,6 @@
 """Errors of the state service's client.
 
-They tell apart what a caller has to do: wait and retry, read what was stored, or give up what
+They distinguish what a caller has to do: wait and retry, read what was stored, or give up what
 it built on.
 """
 
