--- a/tests/standins/net.py
+++ b/tests/standins/net.py
@@ -8,13 +8,13 @@
 
 from twisted.internet.defer import Deferred, ensureDeferred
 
+from beamspar.transport.connection_limits import may_stay_open
 from beamspar.transport.http import (
     Answer,
     Call,
     CallFailedError,
     ConnectionLimits,
     Handler,
-    lasting,
 )
 from tests.standins.clock import SimClock
 
@@ -120,7 +120,7 @@
         if len(connections) >= most or self.sockets(host) >= self.socket_limits.get(host, 1 << 30):
             self.rejected_connections += 1
             return None
-        connections[name] = source != "users" and lasting(len(connections), most)
+        connections[name] = source != "users" and may_stay_open(len(connections), most)
         self.peak_sockets[host] = max(self.peak_sockets.get(host, 0), self.sockets(host))
         return name
 
@@ -246,7 +246,7 @@
             except CallFailedError as error:
                 raise self.failure(str(error), error.refused) from error
 
-        return ensureDeferred(self.connection_limits.through(path, call))
+        return ensureDeferred(self.connection_limits.run(path, call))
 
     def listen(self, address: str, handler: Handler, most: int, limit: int) -> Deferred[Any]:
         assert most > 0
