--- /dev/null
+++ b/src/beamspar/leader/shard_failover.py
@@ -0,0 +1,100 @@
+"""Failover: members whose registration lease ended are fenced, and others get what they had."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+
+from twisted.logger import Logger
+
+from beamspar.cluster.state_mirror import StateMirror
+from beamspar.leader.member_view import MemberView
+from beamspar.leader.shard_distribution import pick_holder, zone_of
+from beamspar.leader.shard_writer import RecordChange, ShardWriter
+from beamspar.state import keys
+from beamspar.state.client import put
+from beamspar.state.control_records import MachineShard, partition_record, shard_record
+
+log = Logger(namespace="leader")
+
+
+class ShardFailover:
+    """Moves the shards and partitions of dead members to successors."""
+
+    def __init__(
+        self,
+        mirror: StateMirror,
+        shard_writer: ShardWriter,
+        members: Mapping[str, MemberView],
+        sites: Mapping[str, str],
+        machine_counts: Callable[[], dict[str, int]],
+    ) -> None:
+        self.mirror = mirror
+        self.shard_writer = shard_writer
+        self.members = members
+        self.sites = sites
+        # How many machines each member holds that may get more.
+        self.machine_counts = machine_counts
+
+    async def run(self) -> None:
+        """Fence each dead member first; then its work goes on elsewhere.
+
+        Raises what `ShardWriter.write` raises.
+        """
+        owners = {partition.owner for partition in self.mirror.partitions.values()}
+        holders = {shard.holder for shard in self.mirror.shards.values()}
+        for dead in sorted((owners | holders) - self.mirror.members):
+            # It is dead as long as it is not registered.
+            conditions = {keys.member(dead): 0}
+            await self._fence(dead, conditions)
+            counts = self.machine_counts()
+            if not counts:
+                return
+            changes = self._partition_changes(dead, sorted(counts))
+            changes += self._shard_changes(dead, counts)
+            await self.shard_writer.write(changes, conditions)
+
+    async def _fence(self, dead: str, conditions: dict[str, int]) -> None:
+        fence_key = keys.fence(dead)
+        fence, version = self.mirror.values.get(fence_key, ({}, 0))
+        if fence.get("dead"):
+            return
+        # What else its fence says stays: its release is known beyond its death.
+        fence = {**fence, "inc": int(fence.get("inc", 0)) + 1, "dead": True}
+        revision = await self.shard_writer.commit(
+            {**conditions, fence_key: version}, [put(fence_key, fence)]
+        )
+        self.mirror.observe(fence_key, fence, revision)
+        log.warn("{dead} is dead: its jobs and shards move", dead=dead)
+
+    def _partition_changes(self, dead: str, successors: list[str]) -> list[RecordChange]:
+        return [
+            RecordChange(
+                keys.partition(name), partition_record(successors[index % len(successors)])
+            )
+            for index, (name, partition) in enumerate(sorted(self.mirror.partitions.items()))
+            if partition.owner == dead
+        ]
+
+    def _shard_changes(self, dead: str, counts: dict[str, int]) -> list[RecordChange]:
+        changes = []
+        for name, shard in self.mirror.shards.items():
+            if shard.holder != dead:
+                continue
+            successor = pick_holder(zone_of(shard), counts, self.sites)
+            counts[successor] += len(shard.machines)
+            may_act = self._previous_holder_may_act(shard)
+            record = shard_record(successor, shard.machines, may_act)
+            changes.append(RecordChange(keys.shard(name), record))
+        return changes
+
+    def _previous_holder_may_act(self, shard: MachineShard) -> bool:
+        """May one from before the dead holder still act there? Not once its workers know of
+        the newer fencing token."""
+        if not shard.previous_holder_may_act:
+            return False
+        member = self.members.get(shard.holder)
+        for machine in shard.machines:
+            view, _ = member.machines.get(machine.name, (None, 0.0)) if member else (None, 0.0)
+            if view is None or not view.fresh or view.fencing_token < shard.record_fencing_token:
+                return True
+        return False
--- a/src/beamspar/sharing/handover.py
+++ b/src/beamspar/sharing/handover.py
@@ -97,7 +97,7 @@
             and now.holder == move.source
             and move.target != move.source
             and not self.is_fixed(move.shard)
-            and move.target in self.shard_leasing.heard()
+            and move.target in self.shard_leasing.reachability.reachable_members()
         )
 
     async def _prepare_all(
--- a/src/beamspar/sharing/service.py
+++ b/src/beamspar/sharing/service.py
@@ -66,8 +66,8 @@
         self.demand = DemandAverage(timeouts.worker_lease * AVERAGE_LEASES)
         self.requested: dict[str, Move] = {}
         self.stepping = False
-        self.shard_leasing.balance = self.balance
-        self.shard_leasing.excluded = self._excluded
+        self.shard_leasing.rebalance = self.balance
+        self.shard_leasing.excluded_members = self._excluded
         leader.stands = lambda: not self.leave.is_leaving()
 
     def tick(self) -> None:
@@ -91,7 +91,7 @@
     async def balance(self) -> None:
         """Move what operators asked for, and what the planner finds."""
         self.handover.forget_dropped()
-        most = max(self.shard_leasing.shard_writer.limits.txn_ops // 4, 1)
+        most = self.shard_leasing.max_moves
         holdings = self._holdings()
         moves = self._due_requests()[:most]
         asked = {move.shard for move in moves}
@@ -113,10 +113,10 @@
         now = self.clock.seconds()
         leaving = leaving_members(self.registration)
         loads = []
-        for member in sorted(self.shard_leasing.heard()):
+        for member in sorted(self.shard_leasing.reachability.reachable_members()):
             view = self.shard_leasing.members[member]
             self.demand.take(member, view.demand, now)
-            if self.shard_leasing.blind.get(member, 0.0) >= now:
+            if self.shard_leasing.reachability.was_cut_off(member):
                 # Its workers could not reach it a moment ago: it gets nothing yet.
                 continue
             loads.append(
@@ -166,7 +166,7 @@
             return CommandReply(False, "this controller does not lead")
         if shard is None:
             return CommandReply(False, f"no block {request.shard}")
-        if request.to not in self.shard_leasing.heard():
+        if request.to not in self.shard_leasing.reachability.reachable_members():
             return CommandReply(False, f"no controller {request.to} that can be reached")
         if request.to in leaving_members(self.registration):
             return CommandReply(False, f"{request.to} is leaving")
