--- a/src/beamspar/leader/shard_leasing.py
+++ b/src/beamspar/leader/shard_leasing.py
@@ -89,7 +89,7 @@
         try:
             await self._failover.run()
             await self._lease_new_machines(led_for_s)
-            await self._drop_returned_machines()
+            await self._drop_deleted_machines()
             await self.rebalance()
             await self._move_unserved_machines()
         except ConflictError as error:
@@ -103,7 +103,7 @@
 
     def saw(self, machine: Machine) -> None:
         """A worker without a holder sent a heartbeat to some member."""
-        if machine.name not in self.instance_manager.returned:
+        if machine.name not in self.instance_manager.deleted:
             self.unassigned[machine.name] = (machine, self.clock.seconds())
 
     def heard(self) -> set[str]:
@@ -138,7 +138,7 @@
             machine
             for machine, _ in self.unassigned.values()
             if machine.name not in self.mirror.shard_of
-            and machine.name not in self.instance_manager.returned
+            and machine.name not in self.instance_manager.deleted
         ]
         self.unassigned.clear()
         if not machines:
@@ -146,7 +146,7 @@
         machines.sort(key=lambda machine: machine.name)
         counts, size = self._machine_counts(), self._shard_size(len(machines))
         for machine in machines:
-            self.instance_manager.up(machine.name)
+            self.instance_manager.observe_running(machine.name)
         changes = []
         for shard in assign_new_machines(machines, size, counts, self.sites):
             first = shard.machines[0]
@@ -172,11 +172,11 @@
             self.operator_settings.block_size,
         )
 
-    async def _drop_returned_machines(self) -> None:
+    async def _drop_deleted_machines(self) -> None:
         """The cloud has confirmed these are gone: without a shard their tasks are too."""
         changes: list[RecordChange] = []
         for name, shard in self.mirror.shards.items():
-            left = [m for m in shard.machines if m.name not in self.instance_manager.returned]
+            left = [m for m in shard.machines if m.name not in self.instance_manager.deleted]
             if len(left) == len(shard.machines):
                 continue
             # Those that stay keep their fencing token.
--- a/src/beamspar/sharing/service.py
+++ b/src/beamspar/sharing/service.py
@@ -146,8 +146,8 @@
     def _is_fixed(self, shard: str) -> bool:
         """Is one of them being returned? Its new holder would give it work that is lost with it."""
         instance_manager = self.leader.instance_manager
-        return self._has_one_of(shard, instance_manager.due) or self._has_one_of(
-            shard, instance_manager.going
+        return self._has_one_of(shard, instance_manager.to_delete) or self._has_one_of(
+            shard, instance_manager.deleting
         )
 
     def _has_one_of(self, name: str, machines: Collection[str]) -> bool:
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -464,17 +464,17 @@
 
 
 async def rent_machines(net: Recorder) -> None:
-    assert await renter(net).rent("r-17", "g8", "b", True, 12) == ["host-7", "host-8"]
+    assert await renter(net).create_instances("r-17", "g8", "b", True, 12) == ["host-7", "host-8"]
 
 
 async def return_machines(net: Recorder) -> None:
-    await renter(net).give_back(["host-7", "host-8"])
+    await renter(net).delete_instances(["host-7", "host-8"])
 
 
 async def list_machines(net: Recorder) -> None:
     client = renter(net)
-    assert await client.machines("") == ([rental()], True)
-    assert await client.machines("host-7") == ([rental()], False)
+    assert await client.list_instances("") == ([rental()], True)
+    assert await client.list_instances("host-7") == ([rental()], False)
 
 
 async def direct_orders(net: Recorder) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_instance_manager.py
@@ -1,4 +1,4 @@
-"""What is rented: for jobs whose tasks must share a zone, and beside machines that come late."""
+"""How the leader scales out: for gangs of one zone, and beside machines that come late."""
 
 from __future__ import annotations
 
@@ -28,35 +28,38 @@
     ]
 
 
-def fleet() -> InstanceManager:
+def instance_manager() -> InstanceManager:
     unused: Any = None
     timeouts = Timeouts(settings(), OperatorSettings())
     return InstanceManager(SimClock(), unused, unused, settings(), timeouts, {"big": BIG})
 
 
 def test_room_that_lies_in_several_zones_is_none_for_a_gang_of_one() -> None:
-    place, count = fleet().plan([(GANG, 4)], rooms(east=3, south=2, west=3)) or (("", "", False), 0)
+    place, count = instance_manager().plan([(GANG, 4)], rooms(east=3, south=2, west=3)) or (
+        ("", "", False),
+        0,
+    )
     assert place == ("big", "east", False)
     assert count == 1
 
 
-def test_nothing_is_rented_when_one_zone_has_room_for_all() -> None:
-    assert fleet().plan([(GANG, 4)], rooms(east=2, west=4)) is None
+def test_nothing_is_created_when_one_zone_has_room_for_all() -> None:
+    assert instance_manager().plan([(GANG, 4)], rooms(east=2, west=4)) is None
 
 
-def test_a_zone_without_machines_to_rent_is_passed_over() -> None:
-    rented = fleet()
-    rented.refused[("big", "east", False)] = (1e9, 1.0)
-    place, count = rented.plan([(GANG, 4)], rooms(east=3, west=2)) or (("", "", False), 0)
+def test_a_zone_without_capacity_is_passed_over() -> None:
+    manager = instance_manager()
+    manager.refused[("big", "east", False)] = (1e9, 1.0)
+    place, count = manager.plan([(GANG, 4)], rooms(east=3, west=2)) or (("", "", False), 0)
     assert place == ("big", "west", False)
     assert count == 2
 
 
 def test_a_machine_later_than_boots_usually_are_is_no_room_to_come() -> None:
-    rented = fleet()
-    rented.booting["host-1"] = Booting("big", "east", False, 0.0)
+    manager = instance_manager()
+    manager.booting["host-1"] = Booting("big", "east", False, 0.0)
     task = JobSpec("j-2", "front", "red", "standing", "critical", 1, 30.0, 0.0, 1.0, "img", 1.0)
-    rented.clock.now = BIG.boot_s * 1.4  # type: ignore[attr-defined]
-    assert rented.plan([(task, 1)], []) is None
-    rented.clock.now = BIG.boot_s * 1.6  # type: ignore[attr-defined]
-    assert rented.plan([(task, 1)], []) is not None
+    manager.clock.now = BIG.boot_s * 1.4  # type: ignore[attr-defined]
+    assert manager.plan([(task, 1)], []) is None
+    manager.clock.now = BIG.boot_s * 1.6  # type: ignore[attr-defined]
+    assert manager.plan([(task, 1)], []) is not None
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,7 +10,7 @@
 from beamspar.cluster.registration import Registration
 from beamspar.jobs.assignments import Assignments
 from beamspar.jobs.job import Job, Task
-from beamspar.leader.cloud_client import CloudUnavailableError, MachinePage
+from beamspar.leader.cloud_client import CloudUnavailableError, InstancePage
 from beamspar.leader.instance_manager import PAGE_RETRIES, InstanceManager
 from beamspar.machines.machine_controller import MachineController
 from beamspar.protocol.cloud import Instance, MachineType
@@ -177,7 +177,7 @@
         self.refused = refused
         self.calls: list[float] = []
 
-    async def machines(self, after: str) -> MachinePage:
+    async def list_instances(self, after: str) -> InstancePage:
         self.calls.append(self.clock.seconds())
         if len(self.calls) in self.refused:
             raise CloudUnavailableError("429")
@@ -186,37 +186,37 @@
             Instance(name, "10.0.0.1:9000", "big", "east", "running", False, 60.0)
             for name in names[:500]
         ]
-        return MachinePage(rows, len(names) > 500)
+        return InstancePage(rows, len(names) > 500)
 
 
 def listed(refused: set[int]) -> tuple[InstanceManager, PagedCloud, Deferred[None]]:
     clock, unused = SimClock(), None
     cloud: Any = PagedCloud(clock, 4000, refused)
     nobody: Any = unused
-    fleet = InstanceManager(
+    manager = InstanceManager(
         clock, cloud, nobody, settings(), Timeouts(settings(), OperatorSettings()), {}
     )
-    done = ensureDeferred(fleet.refresh())
+    done = ensureDeferred(manager.refresh())
     clock.advance_to(100.0)
-    return fleet, cloud, done
+    return manager, cloud, done
 
 
 def test_pages_of_the_list_leave_half_of_the_rate() -> None:
-    fleet, cloud, _ = listed(refused=set())
-    assert len(fleet.listed) == fleet.counted == 4000
+    manager, cloud, _ = listed(refused=set())
+    assert len(manager.listed) == manager.counted == 4000
     pauses = [b - a for a, b in zip(cloud.calls, cloud.calls[1:], strict=False)]
-    assert len(cloud.calls) == 8 and min(pauses) >= fleet.gap - 1e-9
+    assert len(cloud.calls) == 8 and min(pauses) >= manager.gap - 1e-9
 
 
 def test_a_refused_page_is_asked_for_again() -> None:
-    fleet, cloud, _ = listed(refused={3, 5, 6})
-    assert len(fleet.listed) == 4000 and len(cloud.calls) == 11
+    manager, cloud, _ = listed(refused={3, 5, 6})
+    assert len(manager.listed) == 4000 and len(cloud.calls) == 11
 
 
 def test_a_page_that_stays_refused_ends_the_list_and_keeps_the_count() -> None:
-    fleet, cloud, done = listed(refused=set(range(3, 100)))
+    manager, cloud, done = listed(refused=set(range(3, 100)))
     failures: list[Any] = []
     done.addErrback(failures.append)
     assert failures[0].check(CloudUnavailableError)
     assert len(cloud.calls) == 2 + 1 + PAGE_RETRIES
-    assert fleet.listed == {} and fleet.counted == 1000
+    assert manager.listed == {} and manager.counted == 1000
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -290,10 +290,10 @@
     machine = world.shards()[shard]["machines"][0]["name"]
     # The cloud takes the request, and its answer is long in coming.
     world.network.cut(leader, "cloud", "hold")
-    fleet = world.nodes[leader].leader.instance_manager
-    fleet.give_back([machine])
+    manager = world.nodes[leader].leader.instance_manager
+    manager.give_back([machine])
     world.run(world.clock.seconds() + 0.2)
-    assert machine in fleet.going
+    assert machine in manager.deleting
     if way == "leave":
         world.tell(holder, "leave", {})
     else:
