--- a/src/beamspar/sharing/__init__.py
+++ b/src/beamspar/sharing/__init__.py
@@ -1,1 +1,1 @@
-"""Machines shared among controllers: blocks move by load, on request, and as one leaves."""
+"""Machines shared among controllers: shards move by load, on request, and as one leaves."""
--- a/src/beamspar/sharing/command.py
+++ b/src/beamspar/sharing/command.py
@@ -1,4 +1,6 @@
-"""The operators' commands on shares: who holds what, moving a block, leaving the service.
+"""The operators' commands on shares: who holds what, moving a shard, leaving the service.
+
+Their texts call a shard a block.
 
 They join those of the standby in `beamsparctl`. Exit statuses: 0 done, 1 refused or nobody answers,
 2 bad settings or usage.
@@ -14,9 +16,17 @@
 import orjson
 
 from beamspar.settings import Settings
-from beamspar.sharing.messages import CommandReply, MemberShare, MoveShown, SharesReply
+from beamspar.sharing.messages import (
+    CommandReply,
+    MemberShare,
+    MoveShown,
+    SharesReply,
+    SharingPath,
+    Standing,
+)
 from beamspar.standby.command import NOT_DONE, NoAnswerError, addresses, call, main
 
+# How long a question, and a command that stores something, may take.
 ANSWER_S, LEAVE_S = 2.0, 10.0
 
 
@@ -25,7 +35,9 @@
     found: dict[str, SharesReply | str] = {}
     for member, address in addresses(settings).items():
         try:
-            found[member] = msgspec.convert(call(address, "shares", {}, ANSWER_S), SharesReply)
+            found[member] = msgspec.convert(
+                call(address, SharingPath.SHARES, {}, ANSWER_S), SharesReply
+            )
         except (NoAnswerError, msgspec.ValidationError) as error:
             found[member] = str(error)
     return found
@@ -39,7 +51,7 @@
 
 def describe_member(reply: SharesReply, share: MemberShare | None) -> str:
     """One line for people on one controller."""
-    standing = "left: may be stopped" if reply.standing == "left" else reply.standing
+    standing = "left: may be stopped" if reply.standing == Standing.LEFT else reply.standing
     lead = ", leads" if reply.leading else ""
     if share is None:
         return f"{standing}{lead}"
@@ -79,7 +91,7 @@
         sys.exit(NOT_DONE)
 
 
-def carry_out(settings: Settings, member: str, path: str, message: Any) -> None:
+def carry_out(settings: Settings, member: str, path: SharingPath, message: Any) -> None:
     """Send a command to a controller; ends with 1 and one line if it is not taken."""
     address = addresses(settings).get(member)
     if address is None:
@@ -102,7 +114,7 @@
 @click.pass_obj
 def leave(settings: Settings, member: str, undo: bool) -> None:
     """Let a controller hand over all that it has; `shares` tells when it may be stopped."""
-    carry_out(settings, member, "leave", {"undo": undo})
+    carry_out(settings, member, SharingPath.LEAVE, {"undo": undo})
 
 
 @main.command()
@@ -115,4 +127,4 @@
     if leader is None:
         click.echo("nobody decides", err=True)
         sys.exit(NOT_DONE)
-    carry_out(settings, leader.member, "move", {"block": shard, "to": to})
+    carry_out(settings, leader.member, SharingPath.MOVE, {"block": shard, "to": to})
--- a/src/beamspar/sharing/leave.py
+++ b/src/beamspar/sharing/leave.py
@@ -1,6 +1,7 @@
-"""Leaving the service in order: lead and blocks are handed over, then the process may be stopped.
+"""Leaving the service in order: leadership and shards are handed over, then the process may be
+stopped.
 
-Who leaves is stored in one record, changed by compare-and-set: of two controllers that leave at
+Who leaves is stored in one record, changed by compare-and-swap: of two controllers that leave at
 once, the second one sees the first, and the last one that serves is refused. An entry names the
 incarnation that leaves, so a controller that is started again takes part again.
 """
@@ -30,13 +31,11 @@
 
 log = Logger(namespace="sharing")
 
-# How often a change of the record is tried again after another one's.
-TRIES = 3
+# How often a change of the record is attempted where others change it, too.
+MAX_ATTEMPTS = 3
 # How long a leaving controller says that it is not healthy before it ends its registration, in
-# reports: the load balancer needs some of them to turn users away.
-LEAST_REPORTS = 3
-
-SERVING, LEAVES, LEFT = "serving", "leaving", "left"
+# heartbeats of workers: the load balancer needs some of them to turn users away.
+MIN_UNHEALTHY_HEARTBEATS = 3
 
 
 def leaving_members(registration: Registration) -> set[str]:
@@ -46,18 +45,18 @@
 
 
 def _entries(registration: Registration) -> dict[str, int]:
-    """The entries of the record that speak of a present incarnation."""
+    """The entries of the record that name a present incarnation."""
     value, _ = registration.mirror.values.get(keys.LEAVING_MEMBERS, ({}, 0))
     found = {}
-    for member, incarnation in (_read(value) or {}).items():
+    for member, incarnation in (_decode(value) or {}).items():
         fence, _ = registration.mirror.values.get(keys.fence(member), ({}, 0))
         if fence.get("inc") == incarnation:
             found[member] = incarnation
     return found
 
 
-def _read(value: object) -> dict[str, int] | None:
-    """The record's entries; None if it is damaged."""
+def _decode(value: object) -> dict[str, int] | None:
+    """The record's entries; None if it is malformed."""
     try:
         return msgspec.convert(value, dict[str, int])
     except msgspec.ValidationError:
@@ -83,13 +82,13 @@
         self.leader = leader
         self.timeouts = timeouts
         self.resign = resign
-        self.since: float | None = None
-        registration.mirror.listeners.append(self._changed)
+        self.leaving_since: float | None = None
+        registration.mirror.listeners.append(self._record_changed)
 
-    def _changed(self, key: str) -> None:
+    def _record_changed(self, key: str) -> None:
         value, _ = self.mirror.values.get(keys.LEAVING_MEMBERS, ({}, 0))
-        if key == keys.LEAVING_MEMBERS and _read(value) is None:
-            log.error("odd record {key}: {value}", key=keys.LEAVING_MEMBERS, value=value)
+        if key == keys.LEAVING_MEMBERS and _decode(value) is None:
+            log.error("malformed record {key}: {value}", key=keys.LEAVING_MEMBERS, value=value)
 
     def is_leaving(self) -> bool:
         """Does this controller hand everything over?"""
@@ -97,7 +96,7 @@
 
     async def request(self, undo: bool) -> CommandReply:
         """Begin to leave, or serve on."""
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             if not self.registration.lease_is_valid():
                 return CommandReply(False, "this controller is not registered at present")
             entries = _entries(self.registration)
@@ -109,8 +108,8 @@
             try:
                 await self._store(entries, undo, others)
             except ConflictError as error:
-                log.info("leave is tried again: {failed}", failed=error.failed)
-                await self._catch_up()
+                log.info("leave is retried: {failed}", failed=error.failed)
+                await self._refresh_record()
             except OutcomeUnknownError as error:
                 return CommandReply(False, f"not known yet, see `shares`: {error}")
             except (StateUnavailableError, LeaseExpiredError) as error:
@@ -127,7 +126,7 @@
             del entries[self.registration.me]
         else:
             entries[self.registration.me] = self.registration.incarnation
-            # Somebody who serves is registered at the moment of the write.
+            # One that serves is registered at the moment of the write.
             key = keys.member(min(others))
             conditions[key] = self.mirror.values.get(key, (None, 0))[1]
         revision = await self.state.transact(
@@ -135,33 +134,36 @@
         )
         self.mirror.observe(keys.LEAVING_MEMBERS, entries, revision)
 
-    async def _catch_up(self) -> None:
-        """Read the record that another one changed; the mirror may be late."""
+    async def _refresh_record(self) -> None:
+        """Read the record that another controller changed; the mirror may be late."""
         item = await self.state.get(keys.LEAVING_MEMBERS, RequestPriority.URGENT)
         if item is not None:
             self.mirror.observe(keys.LEAVING_MEMBERS, item.value, item.version)
 
     async def step(self) -> None:
-        """Do what is next: give up the lead, wait for the blocks to go, end the registration."""
+        """Do what is next: give up leadership, wait for the shards to go, end the registration.
+
+        Raises what `resign` raises.
+        """
         if not self.is_leaving():
-            self.since = None
+            self.leaving_since = None
             return
         now = self.clock.seconds()
-        self.since = now if self.since is None else self.since
+        self.leaving_since = now if self.leaving_since is None else self.leaving_since
         if self.leader.leading:
             try:
                 await self.leader.give_up()
             except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
-                log.info("the lead is not given up yet: {error}", error=error)
+                log.info("leadership is not given up yet: {error}", error=error)
             return
         if any(shard.holder == self.registration.me for shard in self.mirror.shards.values()):
             return
         if (
-            now - self.since < self.timeouts.report * LEAST_REPORTS
+            now - self.leaving_since < self.timeouts.report * MIN_UNHEALTHY_HEARTBEATS
             or not self.registration.lease_is_valid()
         ):
             return
-        # Registered is not enough: others that ended a moment ago are so until their grants end.
+        # Registered is not enough: others that ended a moment ago are so until their leases end.
         serving = self.mirror.members - leaving_members(self.registration)
         if any(self.leader.shard_leasing.unreached(member) is None for member in serving):
             await self.resign()
--- a/src/beamspar/sharing/messages.py
+++ b/src/beamspar/sharing/messages.py
@@ -1,12 +1,46 @@
-"""What controllers, and the operators' command, say to each other about moves of blocks."""
+"""What controllers, and the operators' command, say to each other about moves of shards.
+
+Names that are stored or sent differ where `msgspec.field` says so: what they call a block is a
+shard.
+"""
 
 from __future__ import annotations
 
+from enum import StrEnum
+
 import msgspec
 
 
+class SharingPath(StrEnum):
+    """The paths, below the peers' one, of messages about sharing."""
+
+    PREPARE = "prepare"
+    RELEASE = "release"
+    MOVE = "move"
+    LEAVE = "leave"
+    SHARES = "shares"
+
+
+class Standing(StrEnum):
+    """A controller's part in the service, as operators are shown it."""
+
+    SERVING = "serving"
+    LEAVING = "leaving"
+    # The process may be stopped.
+    LEFT = "left"
+
+
+class MoveStage(StrEnum):
+    """How far a move is, as operators are shown it."""
+
+    WANTED = "wanted"
+    PREPARING = "preparing"
+    COMMITTING = "committing"
+    MOVED = "moved"
+
+
 class PrepareRequest(msgspec.Struct, frozen=True):
-    """The leader is about to move these blocks (name: number): start nothing new there."""
+    """The leader is about to move these shards (name: fencing token): start nothing new there."""
 
     member: str
     shards: dict[str, int] = msgspec.field(name="blocks")
@@ -15,7 +49,7 @@
 
 
 class PrepareReply(msgspec.Struct, frozen=True):
-    """The blocks on which no start order of the holder's is under way any more."""
+    """The shards on which no start order of the holder's is under way any more."""
 
     ready: list[str]
 
@@ -23,37 +57,37 @@
 class MachineState(msgspec.Struct, frozen=True, array_like=True):
     """What a former holder knew of one machine. Times are ages: clocks are not related.
 
-    It speeds things up; orders and reports are judged by number, lease and fresh reports as after
-    any other move.
+    It speeds things up; commands and heartbeats are judged by fencing token, lease and fresh
+    heartbeats as after any other move.
     """
 
     machine: str
-    # The new holder's number, and the one that the sender had.
+    # The new holder's fencing token, and the one that the sender had.
     fencing_token: int
     former_fencing_token: int
     # Nobody before the sender can still answer this machine's worker.
     sole: bool
     # How long ago somebody entitled may have answered the worker last.
     answered_ago_s: float
-    # The newest message of the worker, and its newest own report.
+    # The newest message of the worker, and its newest own heartbeat.
     agent_epoch: int
     sequence: int
     report_agent_epoch: int
     report_sequence: int
-    # Tasks of earlier sessions are proven to be gone.
+    # Tasks of earlier epochs are proven to be gone.
     min_agent_epoch: int
     silent_s: float
     idle_s: float
-    # For how long it is still set aside for failures, and whether it is to be replaced.
+    # For how long it is still in quarantine, and whether it is to be replaced.
     set_aside_s: float
     is_degraded: bool
-    # It goes back to the cloud as soon as it is empty.
+    # It is deleted as soon as it is empty.
     draining: bool
     images: dict[str, float] = {}
 
 
 class ReleaseRequest(msgspec.Struct, frozen=True):
-    """A former holder has seen that these machines are another's, and acts on none of them."""
+    """A former holder has observed that these machines are another's, and acts on none of them."""
 
     member: str
     incarnation: int
@@ -61,14 +95,14 @@
 
 
 class ReleaseReply(msgspec.Struct, frozen=True):
-    """What became of them; those that the receiver's mirror does not name yet are said again."""
+    """What became of them; those that the receiver's mirror does not name yet are sent again."""
 
     accepted: list[str]
     unknown_yet: list[str] = []
 
 
 class MoveRequest(msgspec.Struct, frozen=True):
-    """An operator wants a block to go to a controller."""
+    """An operator wants a shard to go to a controller."""
 
     shard: str = msgspec.field(name="block")
     to: str
@@ -81,7 +115,7 @@
 
 
 class CommandReply(msgspec.Struct, frozen=True):
-    """Whether a command was taken, and why not."""
+    """Whether a command was accepted, and why not."""
 
     done: bool
     reason: str = ""
@@ -107,6 +141,7 @@
     source: str
     target: str
     reason: str
+    # A `MoveStage`; a string, for other releases may send further ones.
     stage: str
 
 
@@ -116,7 +151,7 @@
     member: str
     leader: str | None
     leading: bool
-    # "serving", "leaving", or "left": the process may be stopped.
+    # A `Standing`; a string, for other releases may send further ones.
     standing: str
     shares: list[MemberShare] = []
     moves: list[MoveShown] = []
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -82,23 +82,25 @@
     ]
     moved, after = settle(members, start)
     assert moved <= len(start) * 2
-    leaving = [m.member for m in members if m.leaving]
+    leaving = [m.member for m in members if m.is_leaving]
     if len(leaving) < len(members):
         assert [shard for shard in after if shard.holder in leaving] == []
-    homes = {m.zone for m in members if not m.leaving}
+    homes = {m.zone for m in members if not m.is_leaving}
     by_name = {m.member: m.zone for m in members}
     away = [b for b in after if b.zone in homes and by_name[b.holder] != b.zone]
     assert away == [] or len(leaving) == len(members)
 
 
 def test_what_rests_is_moved_by_a_leave_only_and_what_is_fixed_by_nothing() -> None:
-    resting = [msgspec.structs.replace(b, resting=True) for b in shards("a", 10)]
-    fixed = [msgspec.structs.replace(b, fixed=True) for b in shards("a", 10)]
+    resting = [msgspec.structs.replace(b, is_in_cooldown=True) for b in shards("a", 10)]
+    fixed = [msgspec.structs.replace(b, is_pinned=True) for b in shards("a", 10)]
     assert plan(loads(a=1, b=50), resting, 5) == []
-    leaving = [Load("a", "east", 1, leaving=True), Load("b", "east", 1)]
+    leaving = [Load("a", "east", 1, is_leaving=True), Load("b", "east", 1)]
     assert len(plan(leaving, resting, 5)) == 5
     assert plan(leaving, fixed, 5) == []
-    assert plan([msgspec.structs.replace(load, leaving=True) for load in leaving], resting, 5) == []
+    assert (
+        plan([msgspec.structs.replace(load, is_leaving=True) for load in leaving], resting, 5) == []
+    )
 
 
 def test_demand_that_alternates_moves_next_to_nothing() -> None:
@@ -113,7 +115,7 @@
             for _ in range(10):
                 now += 1.0
                 for member, amount in demand.items():
-                    average.take(member, amount, now)
+                    average.observe(member, amount, now)
                 averaged = {member: average.value(member) for member in demand}
                 moves = plan(loads(**(averaged if way == "averaged" else demand)), holdings, 3)
                 to = {move.shard: move.target for move in moves}
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -315,7 +315,7 @@
     assert sharing.request_move(MoveRequest(shard, target)).done
     sharing.leader.draining[machine] = source
     assert sharing._due_requests() == []
-    assert {h.name: h.resting for h in sharing._holdings()}[shard]
+    assert {h.name: h.is_in_cooldown for h in sharing._holdings()}[shard]
     del sharing.leader.draining[machine]
     world.run(world.clock.seconds() + 2.0)
     assert world.shards()[shard]["holder"] == target
