--- a/tests/standins/ownership.py
+++ b/tests/standins/ownership.py
@@ -7,15 +7,15 @@
 
 from pyroaring import BitMap
 
-BLOCK = "c/block/"
+SHARD_PREFIX = "c/block/"
 
 
 class OwnershipChecker:
-    """Follows blocks as they are stored; a contradiction is an entry in `faults`.
+    """Follows shards as they are stored; a contradiction is an entry in `faults`.
 
-    A machine is in no block before its first lease, then in exactly one until it was returned.
-    Under one token only one controller acts on it. `gaps` has, for each machine whose block got
-    another holder, how long its worker waited for the first contact under the new number.
+    A machine is in no shard before its first lease, then in exactly one until it was returned.
+    Under one token only one controller acts on it. `gaps` has, for each machine whose shard got
+    another holder, how long its worker waited for the first contact under the new fencing token.
     """
 
     def __init__(self, clock: Any, is_returned: Callable[[str], bool]) -> None:
@@ -33,7 +33,7 @@
 
     def committed(self, keys: list[str], items: dict[str, Any]) -> None:
         """A transaction has changed these keys."""
-        changed = [key for key in keys if key.startswith(BLOCK)]
+        changed = [key for key in keys if key.startswith(SHARD_PREFIX)]
         if not changed:
             return
         before = {key: self.shards.pop(key, ("", BitMap())) for key in changed}
@@ -52,11 +52,11 @@
     def _check(self) -> None:
         held = BitMap.union(*(machines for _, machines in self.shards.values()), BitMap())
         if sum(len(machines) for _, machines in self.shards.values()) != len(held):
-            self.faults.append(f"a machine is in two blocks at {self.clock.seconds():.2f}")
+            self.faults.append(f"a machine is in two shards at {self.clock.seconds():.2f}")
         for machine in self.leased - held:
             if not self.is_returned(self.names[machine]):
                 name, now = self.names[machine], self.clock.seconds()
-                self.faults.append(f"{name} is in no block at {now:.2f}")
+                self.faults.append(f"{name} is in no shard at {now:.2f}")
         self.leased = held
 
     def _id(self, machine: str) -> int:
--- a/tests/standins/sharing.py
+++ b/tests/standins/sharing.py
@@ -1,4 +1,4 @@
-"""A deployment whose blocks move, and troubles that begin at a chosen moment of a move."""
+"""A deployment whose shards move, and faults that begin at a chosen moment of a move."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from beamspar.transport.http import Answer
 from tests.standins.world import ZONES, World
 
-BLOCK = "c/block/"
-# When a trouble begins: as the leader asks the source, as the source answers, as the record is
+SHARD_PREFIX = "c/block/"
+# When a fault begins: as the leader asks the source, as the source answers, as the record is
 # written, as it is stored, as the source tells the target what it knows.
 MOMENTS = ["prepare", "prepared", "commit", "committed", "release"]
 
 
 class SharingWorld(World):
-    """Four controllers in two of three zones, with blocks of two machines."""
+    """Four controllers in two of three zones, with shards of two machines."""
 
     def __init__(self, seed: int = 1, **options: Any) -> None:
         tuning = {"block_size": 2, "sharing": True, **options.pop("tuning", {})}
@@ -41,7 +41,7 @@
         self, source: str, method: str, address: str, path: str, body: bytes | None, limit_s: float
     ) -> Deferred[Answer]:
         moves = path == "/multi" and any(
-            change.get("put", "").startswith(BLOCK) and change["data"].get("live")
+            change.get("put", "").startswith(SHARD_PREFIX) and change["data"].get("live")
             for change in unpack(body or b"").get("apply", ())
         )
         if path == "/peer/prepare":
@@ -58,7 +58,7 @@
         return done
 
     def tell(self, member: str, path: str, message: Any, raw: bytes | None = None) -> list[Any]:
-        """Send a sibling's or an operator's message; the list gets its status and answer."""
+        """Send a peer's or an operator's message; the list gets its status and answer."""
         got: list[Any] = []
         body = orjson.dumps(message) if raw is None else raw
         done = self.network.request("tool", "POST", f"{member}:81", f"/peer/{path}", body, 5.0)
@@ -75,22 +75,24 @@
         return got[0], got[1]
 
     def shards(self) -> dict[str, dict[str, Any]]:
-        """The stored blocks by name."""
+        """The stored shards by name."""
         items = self.state.items.items()
-        return {key.removeprefix(BLOCK): v[0] for key, v in items if key.startswith(BLOCK)}
+        return {
+            key.removeprefix(SHARD_PREFIX): v[0] for key, v in items if key.startswith(SHARD_PREFIX)
+        }
 
     def choose_move(self, source: str = "") -> tuple[str, str, str]:
-        """A block without a trouble, who holds it, and another controller that does not lead."""
+        """A shard, who holds it, and another controller that does not lead."""
         leader = self.leader()
         for name, record in sorted(self.shards().items()):
             holder = record["holder"]
             others = [n for n in self.names if n not in (holder, leader)]
             if holder == source or (not source and holder != leader):
                 return name, holder, others[0]
-        raise AssertionError(f"{source or 'nobody'} holds a block")
+        raise AssertionError(f"{source or 'nobody'} holds a shard")
 
     def reshuffle(self, rng: random.Random, until: float, every_s: float = 2.0) -> None:
-        """Ask for moves of random blocks to random controllers, again and again."""
+        """Ask for moves of random shards to random controllers, again and again."""
         if self.clock.seconds() > until:
             return
         shards = sorted(self.shards())
@@ -109,7 +111,7 @@
             )
 
     def unserved(self) -> dict[str, str]:
-        """Machines that are up but whose block's holder could not give them work now."""
+        """Machines that are up but whose shard's holder could not give them work now."""
         found = {}
         for name, worker in self.cloud.workers.items():
             holders = [r["holder"] for r in self.shards().values()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Controllers that fail while a block moves from one to another, at each moment of the move."""
+"""Controllers that fail while a shard moves from one to another, at each moment of the move."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def check_whole(world: SharingWorld) -> None:
-    """No rule broken, each machine in one block and of use there, all work done or running."""
+    """No rule broken, each machine in one shard and of use there, all work done or running."""
     assert world.checker.broken == []
     assert world.ownership.faults == []
     assert world.unserved() == {}
--- a/tests/test_leave.py
+++ b/tests/test_leave.py
@@ -1,4 +1,4 @@
-"""Controllers that leave in order: lead, blocks and jobs go to others, whoever fails meanwhile."""
+"""Controllers that leave in order: lead, shards and jobs go to others, whoever fails meanwhile."""
 
 from __future__ import annotations
 
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -1,4 +1,4 @@
-"""Blocks that move between living controllers: what that costs, and that no machine is lost."""
+"""Shards that move between living controllers: what that costs, and that no machine is lost."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def moved_back() -> World:
-    """Controllers end and come back empty-handed, so that blocks of live ones move to them."""
+    """Controllers end and come back empty-handed, so that shards of live ones move to them."""
     world = World(
         3,
         nodes=4,
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Which blocks the planner moves, and that it leaves them alone otherwise."""
+"""Which shards the planner moves, and that it leaves them alone otherwise."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
             msgspec.structs.replace(shard, holder=to.get(shard.name, shard.holder))
             for shard in holdings
         ]
-    raise AssertionError("it never comes to rest")
+    raise AssertionError("it never converges")
 
 
 def held(holdings: list[Holding], member: str) -> int:
@@ -54,7 +54,7 @@
     assert shares["a"] == pytest.approx(30) and shares["b"] == pytest.approx(60)
 
 
-def test_blocks_go_where_work_waits_and_then_rest() -> None:
+def test_shards_go_where_work_waits_and_then_stay() -> None:
     start = shards("a", 20) + shards("b", 20) + shards("c", 20)
     moved, after = settle(loads(a=10, b=10, c=100), start)
     assert 0 < moved < 20
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_it_always_comes_to_rest(seed: int) -> None:
+def test_it_always_converges(seed: int) -> None:
     """Whatever the start: no block goes back and forth under demand that stays."""
     rng = random.Random(seed)
     zones = ["east", "west", "south"]
@@ -87,24 +87,27 @@
         assert [shard for shard in after if shard.holder in leaving] == []
     homes = {m.zone for m in members if not m.is_leaving}
     by_name = {m.member: m.zone for m in members}
-    away = [b for b in after if b.zone in homes and by_name[b.holder] != b.zone]
+    away = [shard for shard in after if shard.zone in homes and by_name[shard.holder] != shard.zone]
     assert away == [] or len(leaving) == len(members)
 
 
-def test_what_rests_is_moved_by_a_leave_only_and_what_is_fixed_by_nothing() -> None:
-    resting = [msgspec.structs.replace(b, is_in_cooldown=True) for b in shards("a", 10)]
-    fixed = [msgspec.structs.replace(b, is_pinned=True) for b in shards("a", 10)]
-    assert plan(loads(a=1, b=50), resting, 5) == []
+def test_only_a_leave_moves_a_shard_in_cooldown_and_nothing_a_pinned_one() -> None:
+    cooling_down = [
+        msgspec.structs.replace(shard, is_in_cooldown=True) for shard in shards("a", 10)
+    ]
+    pinned = [msgspec.structs.replace(shard, is_pinned=True) for shard in shards("a", 10)]
+    assert plan(loads(a=1, b=50), cooling_down, 5) == []
     leaving = [Load("a", "east", 1, is_leaving=True), Load("b", "east", 1)]
-    assert len(plan(leaving, resting, 5)) == 5
-    assert plan(leaving, fixed, 5) == []
+    assert len(plan(leaving, cooling_down, 5)) == 5
+    assert plan(leaving, pinned, 5) == []
     assert (
-        plan([msgspec.structs.replace(load, is_leaving=True) for load in leaving], resting, 5) == []
+        plan([msgspec.structs.replace(load, is_leaving=True) for load in leaving], cooling_down, 5)
+        == []
     )
 
 
 def test_demand_that_alternates_moves_next_to_nothing() -> None:
-    """Planned by the last heartbeat, the same blocks went back and forth with it."""
+    """Planned by the last heartbeat, the same shards went back and forth with it."""
     average = DemandAverage(68.0)
     holdings = shards("a", 20) + shards("b", 20)
     moved = {"averaged": 0, "last": 0}
@@ -121,6 +124,7 @@
                 to = {move.shard: move.target for move in moves}
                 moved[way] += len(moves) if minute > 10 else 0
                 holdings = [
-                    msgspec.structs.replace(b, holder=to.get(b.name, b.holder)) for b in holdings
+                    msgspec.structs.replace(shard, holder=to.get(shard.name, shard.holder))
+                    for shard in holdings
                 ]
     assert moved["averaged"] <= 4 < 20 < moved["last"], moved
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -32,8 +32,8 @@
 BIG = MachineType("big", 32.0, 8.0, 256.0, zones=["east"], cache_gb=200.0)
 
 
-def held_fleet(count: int) -> tuple[SimClock, Registration, MachineController]:
-    """A controller that holds the whole fleet alone, each machine full of small tasks."""
+def managed_fleet(count: int) -> tuple[SimClock, Registration, MachineController]:
+    """A controller that manages the whole fleet alone, each machine full of small tasks."""
     clock, unused = SimClock(), Timeouts(settings(), OperatorSettings())
     store: Any = None
     registration = Registration(clock, store, settings(), unused)
@@ -54,9 +54,9 @@
     return clock, registration, holder
 
 
-def test_a_full_heartbeat_goes_in_parts_that_a_sibling_takes() -> None:
-    _, _, holder = held_fleet(LARGEST_FLEET)
-    told: list[str] = []
+def test_a_full_heartbeat_goes_in_parts_that_a_peer_accepts() -> None:
+    _, _, holder = managed_fleet(LARGEST_FLEET)
+    sent: list[str] = []
     known, parts = 0, 0
     for _ in range(10):
         if parts and known == holder.changes:
@@ -64,14 +64,14 @@
         views, known = holder.views(known)
         assert len(views) <= VIEWS_AT_ONCE
         assert len(encode(views)) < PEER_LIMIT * 0.75
-        told += [view.room.name for view in views]
+        sent += [view.room.name for view in views]
         parts += 1
     assert parts == -(-LARGEST_FLEET // VIEWS_AT_ONCE)
-    assert sorted(told) == sorted(holder.machines) and len(set(told)) == len(told)
+    assert sorted(sent) == sorted(holder.machines) and len(set(sent)) == len(sent)
 
 
-def test_changes_between_the_parts_of_a_heartbeat_are_told_too() -> None:
-    _, _, holder = held_fleet(50)
+def test_changes_between_the_parts_of_a_heartbeat_are_sent_too() -> None:
+    _, _, holder = managed_fleet(50)
     first, known = holder.views(0, most=20)
     again = first[0].room.name
     holder.machines[again].touch()
@@ -83,26 +83,26 @@
     assert names == set(holder.machines)
 
 
-class Book:
-    """An owner's partition with the same tasks on every machine."""
+class OneJobStore:
+    """A job controller's partition with the same tasks on every machine."""
 
     def __init__(self, registration: Registration) -> None:
         self.jobs: dict[str, Job] = {}
         self.partitions = {"rig-0.1"}
         self.loaded = {"rig-0.1"}
-        self.taken: list[Any] = []
+        self.received: list[Any] = []
 
     def statuses(self, statuses: list[Any]) -> None:
-        self.taken += statuses
+        self.received += statuses
 
     def may_start(self, job: Job) -> bool:
         return True
 
 
-def spoken_for(count: int) -> tuple[Registration, Assignments]:
-    clock, registration, _ = held_fleet(count)
+def assigned_fleet(count: int) -> tuple[Registration, Assignments]:
+    clock, registration, _ = managed_fleet(count)
     assignments = Assignments(
-        clock, registration, Timeouts(settings(), OperatorSettings()), Book(registration)
+        clock, registration, Timeouts(settings(), OperatorSettings()), OneJobStore(registration)
     )
     for name in registration.mirror.shard_of:
         there: dict[tuple[str, int], Any] = {}
@@ -112,8 +112,8 @@
     return registration, assignments
 
 
-def test_all_wants_of_a_large_fleet_are_cut_by_machines() -> None:
-    registration, assignments = spoken_for(LARGEST_FLEET)
+def test_desired_state_of_a_large_fleet_is_cut_by_machines() -> None:
+    registration, assignments = assigned_fleet(LARGEST_FLEET)
     parts = assignments._parts(registration.me, None)
     assert len(parts) > 1 and None not in parts
     names = [name for part in parts for name in part or ()]
@@ -132,24 +132,24 @@
         assert len(encode(message)) < PEER_LIMIT
 
 
-def test_a_machine_without_wants_is_named_in_a_part() -> None:
-    """What was wanted there before would stay wanted at its holder."""
-    registration, assignments = spoken_for(20)
+def test_a_machine_without_desired_attempts_is_named_in_a_part() -> None:
+    """What was desired there before would stay so at its holder."""
+    registration, assignments = assigned_fleet(20)
     del assignments.on["host-000007"]
     parts = assignments._parts(registration.me, None, most=40)
     assert len(parts) == 4
     assert "host-000007" in set().union(*(part or set() for part in parts))
 
 
-def test_what_fits_is_told_at_once() -> None:
-    registration, assignments = spoken_for(20)
+def test_what_fits_is_sent_at_once() -> None:
+    registration, assignments = assigned_fleet(20)
     assert assignments._parts(registration.me, None) == [None]
     assert assignments._parts(registration.me, {"host-000001"}) == [{"host-000001"}]
 
 
 @pytest.mark.parametrize("lost", [0, 1, 2])
 def test_parts_after_a_lost_one_are_not_sent_and_all_is_due_again(lost: int) -> None:
-    registration, assignments = spoken_for(30)
+    registration, assignments = assigned_fleet(30)
     registration.mirror.partitions.clear()
     sent: list[set[str] | None] = []
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Blocks that move while jobs run: reshuffles under faults, machines that drain, bad requests."""
+"""Shards that move while jobs run: reshuffles under faults, machines that drain, bad requests."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     return world
 
 
-def test_reshuffled_blocks_cost_their_machines_hardly_any_time() -> None:
+def test_reshuffled_shards_cost_their_machines_hardly_any_time() -> None:
     world = running()
     world.reshuffle(random.Random(3), until=60)
     world.run(80)
@@ -90,7 +90,7 @@
 
 
 def drains(world: SharingWorld) -> tuple[str, str]:
-    """A machine that was told to take nothing more, and its block."""
+    """A cordoned machine, and its shard."""
     leader = world.nodes[world.leader()].leader
     for name in sorted(leader.draining):
         return name, world.nodes[world.leader()].registration.mirror.shard_of[name]
@@ -282,7 +282,7 @@
 
 
 @pytest.mark.parametrize("way", ["asked for", "leave"])
-def test_a_block_stays_while_one_of_its_machines_is_being_returned(way: str) -> None:
+def test_a_shard_stays_while_one_of_its_machines_is_being_deleted(way: str) -> None:
     world = SharingWorld(5)
     world.run(12)
     leader = world.leader()
@@ -306,7 +306,7 @@
     assert world.checker.broken == [] and world.ownership.faults == []
 
 
-def test_a_block_rests_while_one_of_its_machines_drains() -> None:
+def test_a_shard_is_not_moved_while_one_of_its_machines_drains() -> None:
     """Neither planner nor operator moves it; it moves on once the machine is of use again."""
     world = running()
     shard, source, target = world.choose_move()
