--- a/src/beamspar/leader/shard_leasing.py
+++ b/src/beamspar/leader/shard_leasing.py
@@ -49,8 +49,6 @@
         members: dict[str, MemberView],
         views: Callable[[], list[MachineStatus]],
     ) -> None:
-        self.clock = clock
-        self.registration = registration
         self.mirror = registration.mirror
         self.shard_writer = shard_writer
         self.instance_manager = instance_manager
@@ -59,11 +57,10 @@
         self.operator_settings = operator_settings
         # What the members' heartbeats add up to; owned by the leader.
         self.members = members
-        self.sites = {peer.member: peer.site for peer in settings.peers}
-        self.sites[settings.member] = settings.site
+        self.sites = {**{p.member: p.site for p in settings.peers}, settings.member: settings.site}
         self.running = False
-        # Machines whose workers sent heartbeats and that are in no shard, and when they did.
-        self.unassigned: dict[str, tuple[Machine, float]] = {}
+        # Machines whose workers sent heartbeats and that are in no shard.
+        self.unassigned: dict[str, Machine] = {}
         # Since when a peer does not answer this controller, None when it does.
         self.unreached: Callable[[str], float | None] = lambda member: None
         # Members that get no shards, for they are leaving.
@@ -104,7 +101,7 @@
     def saw(self, machine: Machine) -> None:
         """A worker without a holder sent a heartbeat to some member."""
         if machine.name not in self.instance_manager.deleted:
-            self.unassigned[machine.name] = (machine, self.clock.seconds())
+            self.unassigned[machine.name] = machine
 
     def heard(self) -> set[str]:
         """Live members that this leader and its workers can be expected to reach."""
@@ -136,7 +133,7 @@
             return
         machines = [
             machine
-            for machine, _ in self.unassigned.values()
+            for machine in self.unassigned.values()
             if machine.name not in self.mirror.shard_of
             and machine.name not in self.instance_manager.deleted
         ]
--- /dev/null
+++ b/src/beamspar/sharing/planner_inputs.py
@@ -0,0 +1,100 @@
+"""What the planner decides by: controllers' load, their shards, and machines to be deleted."""
+
+from __future__ import annotations
+
+from collections.abc import Collection
+
+from beamspar.cluster.registration import Registration
+from beamspar.leader.leader import Leader
+from beamspar.leader.shard_distribution import zone_of
+from beamspar.settings import Timeouts
+from beamspar.sharing.handover import Handover
+from beamspar.sharing.leave import leaving_members
+from beamspar.sharing.planner import DemandAverage, Holding, Load
+from beamspar.state.control_records import MachineShard
+from beamspar.transport.http import Clock
+
+# Demand is averaged over so many workers' leases.
+AVERAGE_LEASES = 4
+
+
+class ScaleInView:
+    """Tells which shards have machines that are to be deleted, by the leader's decisions."""
+
+    def __init__(self, registration: Registration, leader: Leader) -> None:
+        self.mirror = registration.mirror
+        self.leader = leader
+
+    def is_draining(self, shard: str) -> bool:
+        """Is one of the shard's machines cordoned, for it is to be deleted?"""
+        return self._has_any_of(shard, self.leader.draining.keys())
+
+    def is_pinned(self, shard: str) -> bool:
+        """Is one of them being deleted? A new holder would give it work that is lost with it."""
+        instance_manager = self.leader.instance_manager
+        return self._has_any_of(shard, instance_manager.to_delete) or self._has_any_of(
+            shard, instance_manager.deleting
+        )
+
+    def _has_any_of(self, name: str, machines: Collection[str]) -> bool:
+        shard = self.mirror.shards.get(name)
+        return bool(machines and shard and any(m.name in machines for m in shard.machines))
+
+
+class PlannerInputs:
+    """Owns the average of each controller's demand; reads the rest of the planner's inputs."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        registration: Registration,
+        leader: Leader,
+        timeouts: Timeouts,
+        handover: Handover,
+        scale_in: ScaleInView,
+    ) -> None:
+        self.clock = clock
+        self.registration = registration
+        self.shard_leasing = leader.shard_leasing
+        self.timeouts = timeouts
+        self.handover = handover
+        self.scale_in = scale_in
+        self.demand = DemandAverage(timeouts.worker_lease * AVERAGE_LEASES)
+
+    def loads(self) -> list[Load]:
+        """What the controllers that can be reached have to do."""
+        now = self.clock.seconds()
+        leaving = leaving_members(self.registration)
+        reachability = self.shard_leasing.reachability
+        loads = []
+        for member in sorted(reachability.reachable_members()):
+            view = self.shard_leasing.members[member]
+            self.demand.observe(member, view.demand, now)
+            if reachability.was_cut_off(member):
+                # Its workers could not reach it a moment ago: it gets nothing yet.
+                continue
+            loads.append(
+                Load(
+                    member,
+                    self.shard_leasing.sites.get(member, ""),
+                    self.demand.value(member),
+                    view.late_s / self.timeouts.heartbeat,
+                    member in leaving,
+                )
+            )
+        return loads
+
+    def holdings(self) -> list[Holding]:
+        """All shards and their holders."""
+        shards = self.registration.mirror.shards
+        return [self._holding(name, shard) for name, shard in shards.items()]
+
+    def _holding(self, name: str, shard: MachineShard) -> Holding:
+        return Holding(
+            name,
+            shard.holder,
+            zone_of(shard),
+            len(shard.machines),
+            self.handover.is_in_cooldown(name) or self.scale_in.is_draining(name),
+            self.scale_in.is_pinned(name),
+        )
--- a/src/beamspar/sharing/service.py
+++ b/src/beamspar/sharing/service.py
@@ -6,9 +6,7 @@
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Awaitable, Callable, Collection
-
-from twisted.logger import Logger
+from collections.abc import Awaitable, Callable
 
 from beamspar.cluster.registration import Registration
 from beamspar.leader.leader import Leader
@@ -18,7 +16,6 @@
 from beamspar.sharing.handover import Handover, ask_to_prepare
 from beamspar.sharing.leave import Leave, leaving_members
 from beamspar.sharing.messages import (
-    CommandReply,
     LeaveRequest,
     MemberShare,
     MoveRequest,
@@ -29,26 +26,13 @@
     SharingPath,
     Standing,
 )
-from beamspar.sharing.planner import (
-    DemandAverage,
-    Holding,
-    Load,
-    Move,
-    MoveReason,
-    plan,
-    target_shares,
-)
+from beamspar.sharing.move_requests import MoveRequests
+from beamspar.sharing.planner import plan, target_shares
+from beamspar.sharing.planner_inputs import PlannerInputs, ScaleInView
 from beamspar.sharing.transfer import Send, Transfer
 from beamspar.state.client import StateClient
 from beamspar.transport.http import Clock, spawn
 
-log = Logger(namespace="sharing")
-
-# Demand is averaged over so many workers' leases.
-AVERAGE_LEASES = 4
-# Moves that operators may have waiting.
-MAX_REQUESTED = 200
-
 
 class Sharing:
     """One controller's part in sharing machines; lasts as long as its registration."""
@@ -73,11 +57,12 @@
         self.send = send
         self.transfer = Transfer(clock, registration, holder, timeouts, send)
         self.leave = Leave(clock, registration, state, leader, timeouts, resign)
+        scale_in = ScaleInView(registration, leader)
         self.handover = Handover(
-            clock, registration, self.shard_leasing, timeouts, self._prepare, self._is_pinned
+            clock, registration, self.shard_leasing, timeouts, self._prepare, scale_in.is_pinned
         )
-        self.demand = DemandAverage(timeouts.worker_lease * AVERAGE_LEASES)
-        self.requested: dict[str, Move] = {}
+        self.inputs = PlannerInputs(clock, registration, leader, timeouts, self.handover, scale_in)
+        self.move_requests = MoveRequests(registration, leader, scale_in)
         self.is_stepping = False
         self.shard_leasing.rebalance = self.balance
         self.shard_leasing.excluded_members = self._excluded
@@ -102,104 +87,28 @@
         return leaving_members(self.registration)
 
     async def balance(self) -> None:
-        """Move what operators asked for, and what the planner finds."""
+        """Move what operators asked for, and what the planner finds.
+
+        Raises what `ShardWriter.write` raises.
+        """
         self.handover.forget_dropped()
         max_moves = self.shard_leasing.max_moves
-        holdings = self._holdings()
-        moves = self._due_requests()[:max_moves]
+        holdings = self.inputs.holdings()
+        moves = self.move_requests.due()[:max_moves]
         requested = {move.shard for move in moves}
         others = [shard for shard in holdings if shard.name not in requested]
-        moves += plan(self._loads(), others, max_moves - len(moves))
+        moves += plan(self.inputs.loads(), others, max_moves - len(moves))
         if moves:
             try:
                 await self.handover.carry_out(moves)
             finally:
-                for move in moves:
-                    if self.requested.get(move.shard) is move:
-                        del self.requested[move.shard]
-
-    def _due_requests(self) -> list[Move]:
-        return [move for move in self.requested.values() if not self._is_draining(move.shard)]
-
-    def _loads(self) -> list[Load]:
-        """What the controllers that can be reached have to do."""
-        now = self.clock.seconds()
-        leaving = leaving_members(self.registration)
-        loads = []
-        for member in sorted(self.shard_leasing.reachability.reachable_members()):
-            view = self.shard_leasing.members[member]
-            self.demand.observe(member, view.demand, now)
-            if self.shard_leasing.reachability.was_cut_off(member):
-                # Its workers could not reach it a moment ago: it gets nothing yet.
-                continue
-            loads.append(
-                Load(
-                    member,
-                    self.shard_leasing.sites.get(member, ""),
-                    self.demand.value(member),
-                    view.late_s / self.timeouts.heartbeat,
-                    member in leaving,
-                )
-            )
-        return loads
-
-    def _holdings(self) -> list[Holding]:
-        holdings = []
-        for name, shard in self.mirror.shards.items():
-            zone = shard.machines[0].zone if shard.machines else ""
-            is_in_cooldown = self.handover.is_in_cooldown(name) or self._is_draining(name)
-            holdings.append(
-                Holding(
-                    name,
-                    shard.holder,
-                    zone,
-                    len(shard.machines),
-                    is_in_cooldown,
-                    self._is_pinned(name),
-                )
-            )
-        return holdings
-
-    def _is_draining(self, shard: str) -> bool:
-        """Is one of the shard's machines cordoned, for it is to be deleted?"""
-        return self._has_any_of(shard, self.leader.draining.keys())
-
-    def _is_pinned(self, shard: str) -> bool:
-        """Is one of them being deleted? A new holder would give it work that is lost with it."""
-        instance_manager = self.leader.instance_manager
-        return self._has_any_of(shard, instance_manager.to_delete) or self._has_any_of(
-            shard, instance_manager.deleting
-        )
-
-    def _has_any_of(self, name: str, machines: Collection[str]) -> bool:
-        shard = self.mirror.shards.get(name)
-        return bool(machines and shard and any(m.name in machines for m in shard.machines))
+                self.move_requests.discard(moves)
 
     async def _prepare(self, source: str, request: PrepareRequest) -> PrepareReply:
         if source == self.registration.me:
             return await self.transfer.prepare(request)
         return await ask_to_prepare(self.send, source, request)
 
-    def request_move(self, request: MoveRequest) -> CommandReply:
-        """Accept an operator's move, if it can be made; it is made with the next pass."""
-        shard = self.mirror.shards.get(request.shard)
-        if not self.leader.ready:
-            return CommandReply(False, "this controller does not lead")
-        if shard is None:
-            return CommandReply(False, f"no block {request.shard}")
-        if request.to not in self.shard_leasing.reachability.reachable_members():
-            return CommandReply(False, f"no controller {request.to} that can be reached")
-        if request.to in leaving_members(self.registration):
-            return CommandReply(False, f"{request.to} is leaving")
-        if request.to == shard.holder:
-            return CommandReply(True, "it is there already")
-        if len(self.requested) >= MAX_REQUESTED:
-            return CommandReply(False, "too many moves are waiting")
-        self.requested[request.shard] = Move(
-            request.shard, shard.holder, request.to, MoveReason.REQUESTED
-        )
-        return CommandReply(True)
-
     # -- what is shown
 
     def shares(self) -> SharesReply:
@@ -208,7 +117,7 @@
         reply = SharesReply(self.registration.me, self.mirror.leader, self.leader.ready, standing)
         if not self.leader.ready:
             return reply
-        loads = self._loads()
+        loads = self.inputs.loads()
         targets = target_shares(loads, len(self.mirror.shard_of))
         shards = Counter(shard.holder for shard in self.mirror.shards.values())
         machines: Counter[str] = Counter()
@@ -226,7 +135,7 @@
             )
             for load in loads
         ]
-        moves = self.handover.list_moves(self.requested.values())
+        moves = self.handover.list_moves(self.move_requests.moves.values())
         return SharesReply(reply.member, reply.leader, reply.leading, standing, shares, moves)
 
     async def answer(self, name: str, body: bytes) -> bytes | None:
@@ -239,7 +148,7 @@
         if name == SharingPath.RELEASE:
             return encode(self.transfer.accept(decode(body, ReleaseRequest)))
         if name == SharingPath.MOVE:
-            return encode(self.request_move(decode(body, MoveRequest)))
+            return encode(self.move_requests.accept(decode(body, MoveRequest)))
         if name == SharingPath.LEAVE:
             return encode(await self.leave.request(decode(body, LeaveRequest).undo))
         if name == SharingPath.SHARES:
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -312,10 +312,10 @@
     shard, source, target = world.choose_move()
     sharing = world.nodes[world.leader()].sharing
     machine = world.shards()[shard]["machines"][0]["name"]
-    assert sharing.request_move(MoveRequest(shard, target)).done
+    assert sharing.move_requests.accept(MoveRequest(shard, target)).done
     sharing.leader.draining[machine] = source
-    assert sharing._due_requests() == []
-    assert {h.name: h.is_in_cooldown for h in sharing._holdings()}[shard]
+    assert sharing.move_requests.due() == []
+    assert {h.name: h.is_in_cooldown for h in sharing.inputs.holdings()}[shard]
     del sharing.leader.draining[machine]
     world.run(world.clock.seconds() + 2.0)
     assert world.shards()[shard]["holder"] == target
