--- a/src/beamspar/sharing/transfer.py
+++ b/src/beamspar/sharing/transfer.py
@@ -1,6 +1,6 @@
-"""The holders' side of a handover: prepare for it, pass on what is known, take that over.
+"""The holders' side of a handover: prepare for it, pass on what is known, adopt that.
 
-The block's record alone says who holds a machine. What is passed on only makes the new holder
+The shard's record alone says who holds a machine. What is passed on only makes the new holder
 quicker: it knows when a silent worker was answered last instead of waiting for the longest lease
 that the former holder might have had, and which machines are draining or faulty.
 """
@@ -34,7 +34,8 @@
 
 
 class Transfer:
-    """Owns the releases that this controller still has to tell; lasts as long as its session."""
+    """Owns the releases that this controller still has to send; lasts as long as its
+    registration."""
 
     def __init__(
         self,
@@ -50,9 +51,9 @@
         self.machine_controller = holder
         self.timeouts = timeouts
         self.send = send
-        # Machines that are another's now, by their new holder, with the number they have there.
+        # Machines that are another's now, by their new holder, with their fencing token there.
         self.released: dict[str, dict[str, tuple[ManagedMachine, int]]] = {}
-        # Machines taken over with what their former holder knew, of late.
+        # How many machines were taken over with what their former holder knew.
         self.is_taken_over = 0
         holder.on_released = self._released
         holder.repeats_at_once = True
@@ -60,9 +61,9 @@
     # -- before the move
 
     async def prepare(self, request: PrepareRequest) -> PrepareReply:
-        """Start nothing new on the blocks, and wait until no start of ours is under way there.
+        """Start nothing new on the shards, and wait until no start of ours is under way there.
 
-        Work goes on and reports are answered: should the leader end now, no lease runs out.
+        Work goes on and heartbeats are answered: should the leader end now, no lease runs out.
         """
         if request.member != self.mirror.leader or not self.registration.lease_is_valid():
             log.info("{member} does not lead: nothing is prepared", member=request.member)
@@ -97,7 +98,7 @@
     # -- after the move, at the former holder
 
     def _released(self, machine: ManagedMachine, successor: str, number: int) -> None:
-        """The mirror says that the machine is another's: tell that one what we know."""
+        """The mirror says that the machine is another's: send that one what we know."""
         if successor not in self.mirror.members:
             return
         waiting = self.released.setdefault(successor, {})
@@ -106,7 +107,7 @@
         waiting[machine.info.name] = (machine, number)
 
     async def _release(self, successor: str) -> None:
-        """Say it until it was heard; the rules of a move without it hold meanwhile."""
+        """Send it until it is acknowledged; the rules of a move without it hold meanwhile."""
         # When the longest lease that we may have had is over it gains nothing more.
         until = self.clock.seconds() + self.timeouts.registration_lease
         waiting = self.released[successor]
@@ -152,7 +153,7 @@
     # -- after the move, at the new holder
 
     def accept(self, request: ReleaseRequest) -> ReleaseReply:
-        """Take in what a former holder knew, of machines that we hold from it under that number."""
+        """Adopt what a former holder knew, of machines that we hold from it under that token."""
         accepted: list[str] = []
         unknown_yet: list[str] = []
         fence, _ = self.mirror.values.get(keys.fence(request.member), ({}, 0))
