--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -11,7 +11,7 @@
 from beamspar.jobs.assignments import Assignments
 from beamspar.jobs.job import Job
 from beamspar.jobs.task import Task
-from beamspar.leader.cloud_client import CloudUnavailableError, MachinePage
+from beamspar.leader.cloud_client import CloudUnavailableError, InstancePage
 from beamspar.leader.instance_manager import PAGE_RETRIES, InstanceManager
 from beamspar.machines.machine_controller import MachineController
 from beamspar.protocol.cloud import Instance, MachineType
@@ -33,8 +33,8 @@
 BIG = MachineType("big", 32.0, 8.0, 256.0, zones=["east"], cache_gb=200.0)
 
 
-def held_fleet(count: int) -> tuple[SimClock, Registration, MachineController]:
-    """A controller that holds the whole fleet alone, each machine full of small tasks."""
+def managed_fleet(count: int) -> tuple[SimClock, Registration, MachineController]:
+    """A controller that manages the whole fleet alone, each machine full of small tasks."""
     clock, unused = SimClock(), Timeouts(settings(), OperatorSettings())
     store: Any = None
     registration = Registration(clock, store, settings(), unused)
@@ -55,9 +55,9 @@
     return clock, registration, holder
 
 
-def test_a_full_heartbeat_goes_in_parts_that_a_sibling_takes() -> None:
-    _, _, holder = held_fleet(LARGEST_FLEET)
-    told: list[str] = []
+def test_a_full_heartbeat_goes_in_parts_that_a_peer_accepts() -> None:
+    _, _, holder = managed_fleet(LARGEST_FLEET)
+    sent: list[str] = []
     known, parts = 0, 0
     for _ in range(10):
         if parts and known == holder.changes:
@@ -65,14 +65,14 @@
         views, known = holder.views(known)
         assert len(views) <= VIEWS_AT_ONCE
         assert len(encode(views)) < PEER_LIMIT * 0.75
-        told += [view.room.name for view in views]
+        sent += [view.room.name for view in views]
         parts += 1
     assert parts == -(-LARGEST_FLEET // VIEWS_AT_ONCE)
-    assert sorted(told) == sorted(holder.machines) and len(set(told)) == len(told)
+    assert sorted(sent) == sorted(holder.machines) and len(set(sent)) == len(sent)
 
 
-def test_changes_between_the_parts_of_a_heartbeat_are_told_too() -> None:
-    _, _, holder = held_fleet(50)
+def test_changes_between_the_parts_of_a_heartbeat_are_sent_too() -> None:
+    _, _, holder = managed_fleet(50)
     first, known = holder.views(0, most=20)
     again = first[0].room.name
     holder.machines[again].touch()
@@ -84,26 +84,26 @@
     assert names == set(holder.machines)
 
 
-class Book:
-    """An owner's partition with the same tasks on every machine."""
+class OneJobStore:
+    """A job controller's partition with the same tasks on every machine."""
 
     def __init__(self, registration: Registration) -> None:
         self.jobs: dict[str, Job] = {}
         self.partitions = {"rig-0.1"}
         self.loaded = {"rig-0.1"}
-        self.taken: list[Any] = []
+        self.received: list[Any] = []
 
     def statuses(self, statuses: list[Any]) -> None:
-        self.taken += statuses
+        self.received += statuses
 
     def may_start(self, job: Job) -> bool:
         return True
 
 
-def spoken_for(count: int) -> tuple[Registration, Assignments]:
-    clock, registration, _ = held_fleet(count)
+def assigned_fleet(count: int) -> tuple[Registration, Assignments]:
+    clock, registration, _ = managed_fleet(count)
     assignments = Assignments(
-        clock, registration, Timeouts(settings(), OperatorSettings()), Book(registration)
+        clock, registration, Timeouts(settings(), OperatorSettings()), OneJobStore(registration)
     )
     for name in registration.mirror.shard_of:
         there: dict[tuple[str, int], Any] = {}
@@ -113,8 +113,8 @@
     return registration, assignments
 
 
-def test_all_wants_of_a_large_fleet_are_cut_by_machines() -> None:
-    registration, assignments = spoken_for(LARGEST_FLEET)
+def test_desired_state_of_a_large_fleet_is_cut_by_machines() -> None:
+    registration, assignments = assigned_fleet(LARGEST_FLEET)
     parts = assignments._split(registration.me, None)
     assert len(parts) > 1 and None not in parts
     names = [name for part in parts for name in part or ()]
@@ -133,24 +133,24 @@
         assert len(encode(message)) < PEER_LIMIT
 
 
-def test_a_machine_without_wants_is_named_in_a_part() -> None:
-    """What was wanted there before would stay wanted at its holder."""
-    registration, assignments = spoken_for(20)
+def test_a_machine_without_desired_attempts_is_named_in_a_part() -> None:
+    """What was desired there before would stay so at its holder."""
+    registration, assignments = assigned_fleet(20)
     del assignments.by_machine["host-000007"]
     parts = assignments._split(registration.me, None, max_attempts=40)
     assert len(parts) == 4
     assert "host-000007" in set().union(*(part or set() for part in parts))
 
 
-def test_what_fits_is_told_at_once() -> None:
-    registration, assignments = spoken_for(20)
+def test_what_fits_is_sent_at_once() -> None:
+    registration, assignments = assigned_fleet(20)
     assert assignments._split(registration.me, None) == [None]
     assert assignments._split(registration.me, {"host-000001"}) == [{"host-000001"}]
 
 
 @pytest.mark.parametrize("lost", [0, 1, 2])
 def test_parts_after_a_lost_one_are_not_sent_and_all_is_due_again(lost: int) -> None:
-    registration, assignments = spoken_for(30)
+    registration, assignments = assigned_fleet(30)
     registration.mirror.partitions.clear()
     sent: list[set[str] | None] = []
 
@@ -178,7 +178,7 @@
         self.refused = refused
         self.calls: list[float] = []
 
-    async def machines(self, after: str) -> MachinePage:
+    async def list_instances(self, after: str) -> InstancePage:
         self.calls.append(self.clock.seconds())
         if len(self.calls) in self.refused:
             raise CloudUnavailableError("429")
@@ -187,37 +187,37 @@
             Instance(name, "10.0.0.1:9000", "big", "east", "running", False, 60.0)
             for name in names[:500]
         ]
-        return MachinePage(rows, len(names) > 500)
+        return InstancePage(rows, len(names) > 500)
 
 
 def listed(refused: set[int]) -> tuple[InstanceManager, PagedCloud, Deferred[None]]:
     clock, unused = SimClock(), None
     cloud: Any = PagedCloud(clock, 4000, refused)
     nobody: Any = unused
-    fleet = InstanceManager(
+    manager = InstanceManager(
         clock, cloud, nobody, settings(), Timeouts(settings(), OperatorSettings()), {}
     )
-    done = ensureDeferred(fleet.refresh())
+    done = ensureDeferred(manager.refresh())
     clock.advance_to(100.0)
-    return fleet, cloud, done
+    return manager, cloud, done
 
 
 def test_pages_of_the_list_leave_half_of_the_rate() -> None:
-    fleet, cloud, _ = listed(refused=set())
-    assert len(fleet.listed) == fleet.counted == 4000
+    manager, cloud, _ = listed(refused=set())
+    assert len(manager.listed) == manager.counted == 4000
     pauses = [b - a for a, b in zip(cloud.calls, cloud.calls[1:], strict=False)]
-    assert len(cloud.calls) == 8 and min(pauses) >= fleet.gap - 1e-9
+    assert len(cloud.calls) == 8 and min(pauses) >= manager.gap - 1e-9
 
 
 def test_a_refused_page_is_asked_for_again() -> None:
-    fleet, cloud, _ = listed(refused={3, 5, 6})
-    assert len(fleet.listed) == 4000 and len(cloud.calls) == 11
+    manager, cloud, _ = listed(refused={3, 5, 6})
+    assert len(manager.listed) == 4000 and len(cloud.calls) == 11
 
 
 def test_a_page_that_stays_refused_ends_the_list_and_keeps_the_count() -> None:
-    fleet, cloud, done = listed(refused=set(range(3, 100)))
+    manager, cloud, done = listed(refused=set(range(3, 100)))
     failures: list[Any] = []
     done.addErrback(failures.append)
     assert failures[0].check(CloudUnavailableError)
     assert len(cloud.calls) == 2 + 1 + PAGE_RETRIES
-    assert fleet.listed == {} and fleet.counted == 1000
+    assert manager.listed == {} and manager.counted == 1000
