--- a/src/beamspar/machines/fault_evidence.py
+++ b/src/beamspar/machines/fault_evidence.py
@@ -31,7 +31,9 @@
         # The machines that a job failed on; None: its owner says that the job is to blame.
         self._places: OrderedDict[str, set[str] | None] = OrderedDict()
 
-    def failed(self, machine: ManagedMachine, job: str, to_blame: bool, now: float) -> list[str]:
+    def attribute_failure(
+        self, machine: ManagedMachine, job: str, to_blame: bool, now: float
+    ) -> list[str]:
         """A task of the job failed there; the jobs that speak against the machine, if it is
         set aside for them."""
         if to_blame:
@@ -42,10 +44,12 @@
         if len(places) < MACHINES_TO_BLAME:
             places.add(machine.info.name)
         self._remember(job, places)
-        machine.errors[job] = now
+        machine.job_failures[job] = now
         span = self.timeouts.worker_lease * MEMORY_LEASES
-        machine.errors = {name: at for name, at in machine.errors.items() if now - at < span}
-        recent = [name for name in machine.errors if not self._job_at_fault(name)]
+        machine.job_failures = {
+            name: at for name, at in machine.job_failures.items() if now - at < span
+        }
+        recent = [name for name in machine.job_failures if not self._job_at_fault(name)]
         bad = len(recent) >= JOBS_TO_BLAME
         if not bad and (len(recent) != 1 or len(places) != 1):
             return []
@@ -54,20 +58,20 @@
         machine.is_degraded = machine.is_degraded or bad
         return recent
 
-    def blame(self, job: str, machines: Iterable[ManagedMachine]) -> None:
+    def mark_job_at_fault(self, job: str, machines: Iterable[ManagedMachine]) -> None:
         """The job's owner says that it fails everywhere: its errors count against no machine."""
         if job in self._places and self._places[job] is None:
             return
         self._remember(job, None)
         for machine in machines:
-            if machine.errors.pop(job, None) is None:
+            if machine.job_failures.pop(job, None) is None:
                 continue
-            recent = [name for name in machine.errors if not self._job_at_fault(name)]
+            recent = [name for name in machine.job_failures if not self._job_at_fault(name)]
             if len(recent) < JOBS_TO_BLAME and machine.is_degraded:
                 machine.is_degraded = False
             if not recent:
                 machine.quarantined_until = 0.0
-                machine.touch()
+                machine.mark_changed()
 
     def _job_at_fault(self, job: str) -> bool:
         places = self._places.get(job, set())
--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -15,7 +15,7 @@
 from beamspar.cluster.registration import Registration
 from beamspar.machines.fault_evidence import FaultEvidence
 from beamspar.machines.machine_summaries import MachineSummaries
-from beamspar.machines.managed_machine import Key, ManagedMachine, Start
+from beamspar.machines.managed_machine import Key, ManagedMachine, SentStart
 from beamspar.machines.worker_client import WorkerClient
 from beamspar.placement import Room, copy, evict_least_recently_used
 from beamspar.protocol.cloud import MachineType
@@ -45,7 +45,7 @@
 # What a task that saves may take, as a share of what its job says.
 SAVE_MARGIN = 1.5
 # Attempts that are over and remembered per machine.
-MOST_OVER = 400
+MAX_TERMINATED = 400
 
 
 class MachineController:
@@ -58,7 +58,7 @@
         workers: WorkerClient,
         timeouts: Timeouts,
         types: Callable[[], dict[str, MachineType]],
-        verdict: Callable[[str, int, str], Any],
+        check_binding: Callable[[str, int, str], Any],
     ) -> None:
         self.clock = clock
         self.registration = registration
@@ -66,7 +66,7 @@
         self.workers = workers
         self.timeouts = timeouts
         self.types = types
-        self.verdict = verdict
+        self.check_binding = check_binding
         self.machines: dict[str, ManagedMachine] = {}
         self.streams: dict[str, tuple[int, int, int]] = {}
         # Per partition and machine, what its owner wants there.
@@ -97,8 +97,8 @@
             for machine in self.machines.values():
                 attempts = [key for key in machine.tasks if key[0].startswith(job + "/")]
                 if attempts:
-                    machine.touch(*attempts)
-                    self.step(machine)
+                    machine.mark_changed(*attempts)
+                    self.reconcile(machine)
 
     def _adopt(self, block_name: str) -> None:
         shard = self.mirror.shards.get(block_name)
@@ -111,7 +111,7 @@
                 if known is None or known.fencing_token != shard.fencing_token:
                     since = self.mirror.silent_since(info.name, shard.previous_holder_may_act)
                     machine = ManagedMachine(info, shard.fencing_token, now, since)
-                    machine.sole = not shard.previous_holder_may_act
+                    machine.is_exclusive = not shard.previous_holder_may_act
                     if known is not None:
                         machine.images = known.images
                     self._recall(machine)
@@ -124,7 +124,7 @@
                         number=shard.fencing_token,
                     )
                     self._take_wants(machine)
-                    self.step(machine)
+                    self.reconcile(machine)
         for name in [n for n in self.machines if n not in names]:
             held = self.mirror.holder_of(name)
             if held is None or held != (self.registration.me, self.machines[name].fencing_token):
@@ -138,9 +138,9 @@
             for key, desired in machines.get(machine.info.name, {}).items():
                 if desired.fencing_token == machine.fencing_token:
                     self._wanted(machine, key, desired, partition)
-        machine.touch_all()
+        machine.mark_all_changed()
 
-    def held(self, name: str) -> ManagedMachine | None:
+    def managed(self, name: str) -> ManagedMachine | None:
         """The machine, if this controller may act for it right now."""
         machine = self.machines.get(name)
         if machine is None or not self.registration.lease_is_valid():
@@ -155,13 +155,13 @@
 
     def report(self, report: WorkerHeartbeat) -> tuple[int, list[Command]] | None:
         """Take in a worker's own report; token and orders to answer with, None for 'not mine'."""
-        machine = self.held(report.machine)
+        machine = self.managed(report.machine)
         if machine is None:
             return None
         if (
             report.agent_epoch,
             report.seq,
-        ) <= machine.report_seq or report.agent_epoch < machine.min_agent_epoch:
+        ) <= machine.last_heartbeat_id or report.agent_epoch < machine.min_agent_epoch:
             # A late copy: an answer would not reach the worker, and counting it as
             # answered would put off the proof that a silent worker's lease ran out.
             log.info("{machine}: late copy of a report", machine=report.machine)
@@ -173,24 +173,24 @@
                 n=report.observed_fencing_token,
             )
             return None
-        machine.report_seq = (report.agent_epoch, report.seq)
-        machine.reported_at = self.clock.seconds()
+        machine.last_heartbeat_id = (report.agent_epoch, report.seq)
+        machine.last_heartbeat_at = self.clock.seconds()
         self._observe(machine, report)
         self._answered(machine)
-        if machine.calm:
+        if machine.is_converged:
             # Nothing was due, and nothing is new: most reports of machines with hundreds of tasks.
             return machine.command_token, []
         # Stops ride on every answer while they are due: an order of ours may be waiting for
         # a machine that hangs, and while it does no other is sent.
         commands = self._commands(machine)
-        self.step(machine)
+        self.reconcile(machine)
         return machine.command_token, commands
 
     def _observe(self, machine: ManagedMachine, report: WorkerHeartbeat) -> None:
         """Believe a report as far as it is newer, and an absence only when fresh."""
         if report.agent_epoch < machine.min_agent_epoch or report.machine != machine.info.name:
             return
-        if (report.agent_epoch, report.seq) <= (machine.agent_epoch, machine.seq):
+        if (report.agent_epoch, report.seq) <= (machine.agent_epoch, machine.observed_seq):
             return
         now = self.clock.seconds()
         if report.agent_epoch > machine.agent_epoch:
@@ -201,17 +201,19 @@
                 if start.agent_epoch < report.agent_epoch:
                     # The session's end killed it, and orders of that session are void.
                     del machine.starts[key]
-                    machine.over[key] = AttemptState.GONE
-            machine.touch_all()
+                    machine.terminated[key] = AttemptState.GONE
+            machine.mark_all_changed()
             if machine.agent_epoch:
                 log.info("{machine}: session {s}", machine=report.machine, s=report.agent_epoch)
-        machine.agent_epoch, machine.seq = report.agent_epoch, report.seq
-        machine.lost = False
-        fresh, noticed = machine.fresh, machine.termination_notice_s
+        machine.agent_epoch, machine.observed_seq = report.agent_epoch, report.seq
+        machine.is_expired = False
+        fresh, noticed = machine.has_confirmed_token, machine.termination_notice_s
         machine.termination_notice_s = report.termination_notice_s
-        machine.fresh = machine.fresh or report.observed_fencing_token == machine.command_token
+        machine.has_confirmed_token = (
+            machine.has_confirmed_token or report.observed_fencing_token == machine.command_token
+        )
         # A worker that knows our number takes no answer of a former holder.
-        machine.sole = machine.sole or machine.fresh
+        machine.is_exclusive = machine.is_exclusive or machine.has_confirmed_token
         old = machine.tasks
         news: list[tuple[Key, TaskStatus]] = []
         gone: list[Key] = []
@@ -223,10 +225,12 @@
                 if key not in old or old[key].status != task.status
             ]
             gone = [key for key in old if key not in machine.tasks]
-        if fresh != machine.fresh or (noticed is None) != (machine.termination_notice_s is None):
-            machine.touch_all()
+        if fresh != machine.has_confirmed_token or (noticed is None) != (
+            machine.termination_notice_s is None
+        ):
+            machine.mark_all_changed()
         if news or gone:
-            machine.touch(*gone, *(key for key, _ in news))
+            machine.mark_changed(*gone, *(key for key, _ in news))
         for key, task in news:
             self._seen(machine, key, task)
         if machine.tasks and any(t.status != "ended" for t in machine.tasks.values()):
@@ -236,7 +240,9 @@
         """Only a worker that knows our number takes no answer of a former holder."""
         now = self.clock.seconds()
         machine.answered_at = now
-        machine.last_answer = now if machine.fresh else max(machine.last_answer, now)
+        machine.last_possible_answer_at = (
+            now if machine.has_confirmed_token else max(machine.last_possible_answer_at, now)
+        )
 
     def _seen(self, machine: ManagedMachine, key: Key, task: TaskStatus) -> None:
         desired = machine.desired_attempts.get(key)
@@ -245,7 +251,7 @@
             self._cache(machine, desired.image, desired.image_gb)
         if task.status == "ended" and task.exit_reason == "error":
             blamed = desired is not None and desired.job_to_blame
-            verdict = self.faults.failed(machine, job, blamed, self.clock.seconds())
+            verdict = self.faults.attribute_failure(machine, job, blamed, self.clock.seconds())
             if verdict:
                 name = machine.info.name
                 log.warn("{machine} fails tasks of {jobs}: set aside", machine=name, jobs=verdict)
@@ -259,14 +265,14 @@
             self._recall(self.machines[name])
 
     def _recall(self, machine: ManagedMachine) -> None:
-        self.learn_images(machine, self.caches.get(machine.info.name, {}))
+        self.add_known_images(machine, self.caches.get(machine.info.name, {}))
 
-    def learn_images(self, machine: ManagedMachine, known: dict[str, float]) -> None:
+    def add_known_images(self, machine: ManagedMachine, known: dict[str, float]) -> None:
         """What others knew of the machine's cache, as far as we don't."""
         if known.keys() - machine.images.keys():
             machine.images = {**known, **machine.images}
             self._trim(machine)
-            machine.touch()
+            machine.mark_changed()
 
     def _cache(self, machine: ManagedMachine, image: str, size_gb: float) -> None:
         """The machine keeps the most recently used images within its cache."""
@@ -302,9 +308,9 @@
             ):
                 touched.append(name)
         for name in touched:
-            machine = self.held(name)
+            machine = self.managed(name)
             if machine:
-                self.step(machine)
+                self.reconcile(machine)
         answers = []
         for desired in message.desired_attempts:
             machine = self.machines.get(desired.machine)
@@ -314,7 +320,7 @@
                     continue
                 status = self._status(machine, key, desired)
                 if status:
-                    machine.told[key] = (status.state, status.exit_reason)
+                    machine.acknowledged_statuses[key] = (status.state, status.exit_reason)
                     answers.append(status)
         return answers
 
@@ -350,11 +356,11 @@
             if key not in new and machine.desired_attempts.get(key) is desired:
                 del machine.desired_attempts[key]
                 machine.partition_of.pop(key, None)
-                machine.told.pop(key, None)
+                machine.acknowledged_statuses.pop(key, None)
                 changed.append(key)
-                if key in machine.starts and key not in machine.over:
+                if key in machine.starts and key not in machine.terminated:
                     # Nobody wants it any more, yet our start may still be under way.
-                    machine.unwanted.add(key)
+                    machine.orphaned.add(key)
         for key, desired in new.items():
             if machine.fencing_token != desired.fencing_token:
                 continue
@@ -364,19 +370,19 @@
             if before != desired:
                 changed.append(key)
                 if desired.job_to_blame:
-                    self.faults.blame(key[0].partition("/")[0], self.machines.values())
+                    self.faults.mark_job_at_fault(key[0].partition("/")[0], self.machines.values())
                 if key in machine.tasks and machine.tasks[key].status != "fetching":
                     self._cache(machine, desired.image, desired.image_gb)
             machine.unknown_since.pop(key, None)
         if changed:
-            machine.touch(*changed)
+            machine.mark_changed(*changed)
         return bool(changed)
 
     def _mark(
         self, machine: ManagedMachine, key: Key, desired: DesiredAttempt
     ) -> tuple[str, str | None] | None:
         """The attempt's state and why it ended, as its owner should know them; None: not known."""
-        over = machine.over.get(key)
+        over = machine.terminated.get(key)
         if over is not None:
             return over, None
         task = machine.tasks.get(key)
@@ -384,7 +390,7 @@
             return None
         if task.status != "ended":
             return task.status, None
-        if desired.action == DesiredAction.CLEAR and machine.in_doubt(key):
+        if desired.action == DesiredAction.CLEAR and machine.has_indeterminate_start(key):
             return AttemptState.KEPT, None
         return AttemptState.ENDED, task.exit_reason
 
@@ -403,15 +409,15 @@
     def _tell(self, machine: ManagedMachine) -> None:
         """Push to the owners what changed; what is lost is told again."""
         by_owner: dict[str, list[AttemptStatus]] = {}
-        for key in machine.open:
+        for key in machine.pending_keys:
             desired = machine.desired_attempts.get(key)
             mark = self._mark(machine, key, desired) if desired is not None else None
-            if desired is None or mark is None or machine.told.get(key) == mark:
+            if desired is None or mark is None or machine.acknowledged_statuses.get(key) == mark:
                 continue
             owner = self.owners.get(machine.partition_of.get(key, ""))
             status = self._status(machine, key, desired)
             if status is not None and owner:
-                machine.told[key] = mark
+                machine.acknowledged_statuses[key] = mark
                 by_owner.setdefault(owner, []).append(status)
         for owner, statuses in by_owner.items():
             self.push(owner, statuses)
@@ -422,8 +428,8 @@
             machine = self.machines.get(status.machine)
             if machine is not None and machine.fencing_token == status.fencing_token:
                 key = (status.task, status.attempt)
-                machine.told.pop(key, None)
-                machine.touch(key)
+                machine.acknowledged_statuses.pop(key, None)
+                machine.mark_changed(key)
 
     # -- orders
 
@@ -442,7 +448,7 @@
             (
                 (k, w)
                 for k, w in machine.desired_attempts.items()
-                if w.rank > desired.rank and machine.live(k) and k != key
+                if w.rank > desired.rank and machine.is_live(k) and k != key
             ),
             key=lambda item: (-item[1].rank, item[1].gang, not item[1].saves, item[1].gpus),
         )
@@ -465,7 +471,7 @@
         for k, w in chosen:
             if k not in machine.preempted:
                 machine.preempted[k] = self._grace(w)
-                machine.touch(k)
+                machine.mark_changed(k)
                 name = machine.info.name
                 log.info("{machine}: {k} makes room for {key}", machine=name, k=k[0], key=key[0])
         return True
@@ -480,14 +486,16 @@
         """Orders that the difference between wants and reports calls for."""
         commands: list[Command] = []
         cancellations = bool(self.mirror.cancelled or self.mirror.announced_cancellations)
-        open_tasks = [(key, machine.tasks[key]) for key in machine.open if key in machine.tasks]
+        open_tasks = [
+            (key, machine.tasks[key]) for key in machine.pending_keys if key in machine.tasks
+        ]
         for key, task in open_tasks:
             if task.status == "ended":
                 continue
             desired = machine.desired_attempts.get(key)
             if cancellations and self.mirror.is_cancelled(key[0].partition("/")[0]):
                 grace: float | None = 0.0
-            elif key in machine.unwanted:
+            elif key in machine.orphaned:
                 grace = 0.0
             elif desired is not None and desired.action == DesiredAction.STOP:
                 grace = self._grace(desired)
@@ -504,25 +512,25 @@
             desired = machine.desired_attempts.get(key)
             # After a clear the worker has forgotten the attempt, so a start
             # still under way would run it once more: never clear in doubt.
-            clearable = task.status == "ended" and not machine.in_doubt(key)
+            clearable = task.status == "ended" and not machine.has_indeterminate_start(key)
             if clearable and (
-                (desired and desired.action == DesiredAction.CLEAR) or key in machine.unwanted
+                (desired and desired.action == DesiredAction.CLEAR) or key in machine.orphaned
             ):
                 commands.append(ClearCommand(key[0], key[1]))
         return commands
 
     def _starts(self, machine: ManagedMachine) -> list[Command]:
         commands: list[Command] = []
-        if not machine.fresh:
+        if not machine.has_confirmed_token:
             return commands
         missing = [
             (key, machine.desired_attempts[key])
-            for key in machine.open
+            for key in machine.pending_keys
             if key in machine.desired_attempts
             and key not in machine.tasks
-            and key not in machine.over
+            and key not in machine.terminated
         ]
-        paused = machine.paused_until > self.clock.seconds()
+        paused = machine.starts_paused_until > self.clock.seconds()
         for key, desired in sorted(missing, key=lambda item: item[1].rank):
             start = machine.starts.get(key)
             cancelled = self.mirror.is_cancelled(key[0].partition("/")[0])
@@ -532,18 +540,18 @@
                 and desired.action in (DesiredAction.RUN, DesiredAction.HOLD)
             ):
                 continue
-            if start is not None and start.answered and not start.doubt:
+            if start is not None and start.is_answered and not start.is_indeterminate:
                 # It was there, and a newer report does not list it.
                 self._mark_over(machine, key, AttemptState.GONE)
             elif desired.action == DesiredAction.HOLD:
-                if not self.summaries.usable(machine) or not (
+                if not self.summaries.is_usable(machine) or not (
                     desired.preempt or self._fits(machine, key, desired)
                 ):
                     self._mark_over(machine, key, AttemptState.REFUSED)
             elif desired.action == DesiredAction.RUN and not cancelled:
                 if start is not None:
                     commands.append(StartCommand(*key))
-                elif not self.summaries.usable(machine):
+                elif not self.summaries.is_usable(machine):
                     self._mark_over(machine, key, AttemptState.REFUSED)
                 elif self._fits(machine, key, desired):
                     commands.append(StartCommand(*key))
@@ -553,18 +561,22 @@
                 # A fresh report does not list it, older numbers are fenced out and
                 # this one never sent it.
                 self._mark_over(machine, key, AttemptState.GONE)
-            elif machine.void(start):
+            elif machine.is_superseded(start):
                 self._mark_over(machine, key, AttemptState.GONE)
-            elif not machine.ordering:
+            elif not machine.is_sending_commands:
                 self._raise_token(machine)
                 return commands
-        for key in list(machine.unwanted):
-            if key in machine.over or key in machine.tasks:
+        for key in list(machine.orphaned):
+            if key in machine.terminated or key in machine.tasks:
                 continue
             start = machine.starts.get(key)
-            if start is None or (start.answered and not start.doubt) or machine.void(start):
-                machine.unwanted.discard(key)
-            elif not machine.ordering:
+            if (
+                start is None
+                or (start.is_answered and not start.is_indeterminate)
+                or machine.is_superseded(start)
+            ):
+                machine.orphaned.discard(key)
+            elif not machine.is_sending_commands:
                 self._raise_token(machine)
                 return commands
         return commands
@@ -578,8 +590,8 @@
         """
         if self.mirror.revision > machine.command_token:
             machine.command_token = self.mirror.revision
-            machine.fresh = False
-            machine.touch_all()
+            machine.has_confirmed_token = False
+            machine.mark_all_changed()
             log.info(
                 "{machine}: token raised to {token}, to void starts in doubt",
                 machine=machine.info.name,
@@ -587,40 +599,46 @@
             )
 
     def _mark_over(self, machine: ManagedMachine, key: Key, state: str) -> None:
-        machine.over[key] = state
-        if len(machine.over) > MOST_OVER:
+        machine.terminated[key] = state
+        if len(machine.terminated) > MAX_TERMINATED:
             # A number lasts for weeks now; nobody asks for the oldest any more.
-            unwanted = [k for k in machine.over if k not in machine.desired_attempts]
-            for old in unwanted[: MOST_OVER // 2]:
-                del machine.over[old]
-        machine.touch(key)
+            unwanted = [k for k in machine.terminated if k not in machine.desired_attempts]
+            for old in unwanted[: MAX_TERMINATED // 2]:
+                del machine.terminated[old]
+        machine.mark_changed(key)
         machine.starts.pop(key, None)
-        machine.unwanted.discard(key)
+        machine.orphaned.discard(key)
         log.info("{machine}: {key} {state}", machine=machine.info.name, key=key, state=state)
 
-    def step(self, machine: ManagedMachine) -> None:
+    def reconcile(self, machine: ManagedMachine) -> None:
         """Compare wants with what is known, send what is missing, tell what changed."""
-        if self.held(machine.info.name) is not machine:
+        if self.managed(machine.info.name) is not machine:
             return
         now = self.clock.seconds()
         starts = self._starts(machine)
         due = self._commands(machine) + starts
         commands = due if self.mirror.is_current() else [c for c in due if c not in starts]
         self._tell(machine)
-        machine.open = {key: None for key in machine.open if not self._settled(machine, key)}
-        machine.calm = (
-            machine.fresh
+        machine.pending_keys = {
+            key: None for key in machine.pending_keys if not self._settled(machine, key)
+        }
+        machine.is_converged = (
+            machine.has_confirmed_token
             and not due
-            and not machine.failed_orders
-            and not machine.unwanted
-            and all(key in machine.desired_attempts for key in machine.open if key in machine.tasks)
+            and not machine.failed_sends
+            and not machine.orphaned
+            and all(
+                key in machine.desired_attempts
+                for key in machine.pending_keys
+                if key in machine.tasks
+            )
         )
-        if machine.ordering or now < machine.next_order:
+        if machine.is_sending_commands or now < machine.next_send_at:
             return
         # One that has not answered orders is asked again, or it would stay out of use.
-        if not machine.fresh or commands or machine.failed_orders:
-            machine.ordering = True
-            spawn(self._send(machine, commands if machine.fresh else []), "orders")
+        if not machine.has_confirmed_token or commands or machine.failed_sends:
+            machine.is_sending_commands = True
+            spawn(self._send(machine, commands if machine.has_confirmed_token else []), "orders")
 
     def _settled(self, machine: ManagedMachine, key: Key) -> bool:
         """Is the attempt as it is wanted, and does its owner know? Then nothing is due for it
@@ -629,7 +647,7 @@
         if desired is None:
             return task is None
         mark = self._mark(machine, key, desired)
-        if mark is None or machine.told.get(key) != mark:
+        if mark is None or machine.acknowledged_statuses.get(key) != mark:
             return False
         if task is None:
             # It is over, and that was told.
@@ -639,7 +657,7 @@
             and desired.action in (DesiredAction.RUN, DesiredAction.HOLD)
             and machine.termination_notice_s is None
             and key not in machine.preempted
-            and key not in machine.unwanted
+            and key not in machine.orphaned
             and not self.mirror.is_cancelled(key[0].partition("/")[0])
         )
 
@@ -649,9 +667,9 @@
         for command in commands:
             if isinstance(command, StartCommand):
                 key = (command.task, command.attempt)
-                start = machine.starts.setdefault(key, Start(epoch, token))
-                if machine.void(start):
-                    start.doubt = start.answered = False
+                start = machine.starts.setdefault(key, SentStart(epoch, token))
+                if machine.is_superseded(start):
+                    start.is_indeterminate = start.is_answered = False
                 start.agent_epoch, start.fencing_token = epoch, token
                 sent.append((key, start))
                 log.info(
@@ -667,42 +685,44 @@
             )
         except CallFailedError as error:
             for _, start in sent:
-                start.doubt = True
-            machine.failed_orders += 1
+                start.is_indeterminate = True
+            machine.failed_sends += 1
             pause = self.timeouts.retry if commands else self.timeouts.report
-            machine.next_order = self.clock.seconds() + pause
+            machine.next_send_at = self.clock.seconds() + pause
             log.info("orders to {machine} failed: {error}", machine=machine.info.name, error=error)
-            machine.ordering = False
+            machine.is_sending_commands = False
             return
-        machine.ordering = False
-        machine.failed_orders = 0
+        machine.is_sending_commands = False
+        machine.failed_sends = 0
         for key, start in sent:
             if done:
-                start.answered = True
+                start.is_answered = True
             elif start.agent_epoch == report.agent_epoch and machine.starts.get(key) is start:
                 # Refused for the number: a higher one is out, so it can't run.
-                start.doubt = True
+                start.is_indeterminate = True
         # By the session that was sent: what we know of it may have changed meanwhile.
         outdated = epoch != report.agent_epoch
         if not done:
-            machine.next_order = self.clock.seconds() + (0.0 if outdated else self.timeouts.retry)
+            machine.next_send_at = self.clock.seconds() + (0.0 if outdated else self.timeouts.retry)
         self._observe(machine, report)
-        if not machine.fresh and not (outdated and self.repeats_at_once):
+        if not machine.has_confirmed_token and not (outdated and self.repeats_at_once):
             # Not the word we wait for (a session that must end first): no haste.
-            machine.next_order = max(machine.next_order, self.clock.seconds() + self.timeouts.retry)
+            machine.next_send_at = max(
+                machine.next_send_at, self.clock.seconds() + self.timeouts.retry
+            )
         if self.machines.get(machine.info.name) is machine:
-            self.step(machine)
+            self.reconcile(machine)
 
-    def pause(self, machine: ManagedMachine, until: float) -> None:
+    def pause_starts(self, machine: ManagedMachine, until: float) -> None:
         """Start nothing new there until then. What runs goes on, and reports are answered."""
-        machine.paused_until = until
+        machine.starts_paused_until = until
         self.clock.callLater(max(until - self.clock.seconds(), 0.0) + 0.001, self._resume, machine)
 
     def _resume(self, machine: ManagedMachine) -> None:
         if self.machines.get(machine.info.name) is machine:
             # What was wanted meanwhile is due now.
-            machine.touch_all()
-            self.step(machine)
+            machine.mark_all_changed()
+            self.reconcile(machine)
 
     # -- time
 
@@ -715,36 +735,39 @@
         # its worker: a controller that was frozen took machines for silent that had moved.
         known = min(now, self.mirror.watched_at)
         for machine in list(self.machines.values()):
-            if not machine.lost and known > machine.last_answer + self.timeouts.worker_gone:
+            if (
+                not machine.is_expired
+                and known > machine.last_possible_answer_at + self.timeouts.worker_gone
+            ):
                 self._expire(machine)
-            if machine.calm:
+            if machine.is_converged:
                 continue
-            if machine.fresh:
+            if machine.has_confirmed_token:
                 self._check_unknown_tasks(machine, now)
-            self.step(machine)
+            self.reconcile(machine)
 
     def _expire(self, machine: ManagedMachine) -> None:
         """Nobody answered the worker for longer than its lease: all on it is gone."""
         log.warn("{machine} is silent beyond its lease", machine=machine.info.name)
-        machine.lost = True
-        machine.fresh = False
+        machine.is_expired = True
+        machine.has_confirmed_token = False
         machine.min_agent_epoch = machine.agent_epoch + 1 if machine.agent_epoch else 0
         for key in set(machine.desired_attempts) | set(machine.starts) | set(machine.tasks):
-            if key not in machine.over:
+            if key not in machine.terminated:
                 self._mark_over(machine, key, AttemptState.GONE)
         machine.tasks.clear()
-        machine.touch_all()
+        machine.mark_all_changed()
         self._tell(machine)
 
     def _check_unknown_tasks(self, machine: ManagedMachine, now: float) -> None:
         for key in list(machine.unknown_since):
             if key not in machine.tasks or key in machine.desired_attempts:
                 del machine.unknown_since[key]
-        for key in machine.open:
+        for key in machine.pending_keys:
             if (
                 key not in machine.tasks
                 or key in machine.desired_attempts
-                or key in machine.unwanted
+                or key in machine.orphaned
             ):
                 continue
             since = machine.unknown_since.setdefault(key, now)
@@ -756,14 +779,14 @@
         """A task that no owner speaks for: the stored record decides."""
         machine.being_checked.add(key)
         try:
-            bound = await self.verdict(key[0], key[1], machine.info.name)
+            bound = await self.check_binding(key[0], key[1], machine.info.name)
         finally:
             machine.being_checked.discard(key)
         if bound is False and key in machine.tasks and key not in machine.desired_attempts:
             log.info("{machine}: {key} belongs to nobody", machine=machine.info.name, key=key)
-            machine.unwanted.add(key)
-            machine.touch(key)
-            self.step(machine)
+            machine.orphaned.add(key)
+            machine.mark_changed(key)
+            self.reconcile(machine)
 
     # -- summaries
 
@@ -779,9 +802,9 @@
     def drain(self, names: list[str]) -> None:
         """The leader's list replaces the one before; who is on it no longer serves again."""
         for name, machine in self.machines.items():
-            if machine.draining != (name in names):
-                machine.draining = name in names
-                machine.touch()
+            if machine.is_draining != (name in names):
+                machine.is_draining = name in names
+                machine.mark_changed()
 
     def rooms(self) -> list[Room]:
         """Copies for the owner in this process to reckon with."""
--- a/src/beamspar/machines/machine_summaries.py
+++ b/src/beamspar/machines/machine_summaries.py
@@ -23,18 +23,18 @@
         self.types = types
         self.changes = 0
 
-    def usable(self, machine: ManagedMachine) -> bool:
+    def is_usable(self, machine: ManagedMachine) -> bool:
         """May new work be started there now?"""
         return (
-            machine.fresh
-            and not machine.lost
+            machine.has_confirmed_token
+            and not machine.is_expired
             and machine.termination_notice_s is None
-            and not machine.draining
-            and machine.paused_until <= self.clock.seconds()
+            and not machine.is_draining
+            and machine.starts_paused_until <= self.clock.seconds()
             and machine.quarantined_until <= self.clock.seconds()
             # Nor is one that hears no orders, or whose lease runs out for want of reports.
-            and machine.failed_orders < 2
-            and self.clock.seconds() - machine.reported_at < self.timeouts.silent
+            and machine.failed_sends < 2
+            and self.clock.seconds() - machine.last_heartbeat_at < self.timeouts.silent
         )
 
     def free(self, machine: ManagedMachine, but: Key | None = None) -> tuple[float, float, float]:
@@ -42,7 +42,7 @@
         kind = self.types().get(machine.info.kind)
         if kind is None:
             return 0.0, 0.0, 0.0
-        cpus, gpus, memory = machine.taken(but)
+        cpus, gpus, memory = machine.reserved_resources(but)
         return kind.cpus - cpus, kind.gpus - gpus, kind.memory_gb - memory
 
     def room(self, machine: ManagedMachine) -> Room:
@@ -57,7 +57,7 @@
                 if k not in machine.desired_attempts and t.status != "ended"
             )
             for key, desired in machine.desired_attempts.items():
-                if not machine.live(key):
+                if not machine.is_live(key):
                     continue
                 tasks += 1
                 for rank in range(min(desired.rank, 4)) if key not in machine.preempted else ():
@@ -80,17 +80,17 @@
                     {
                         desired.image
                         for key, desired in machine.desired_attempts.items()
-                        if machine.live(key) and machine.unfetched(key, desired)
+                        if machine.is_live(key) and machine.is_awaiting_image(key, desired)
                     }
                 ),
             )
             self.changes += 1
-            machine.changed = self.changes
-        usable = self.usable(machine)
+            machine.last_change = self.changes
+        usable = self.is_usable(machine)
         if machine.room.usable != usable:
             machine.room.usable = usable
             self.changes += 1
-            machine.changed = self.changes
+            machine.last_change = self.changes
         return machine.room
 
     def views(
@@ -102,36 +102,36 @@
         changed: list[ManagedMachine] = []
         silent: list[ManagedMachine] = []
         for machine in machines:
-            # Counted anew where something changed, which moves `machine.changed`.
+            # Counted anew where something changed, which moves `machine.last_change`.
             self.room(machine)
-            if machine.changed > since:
+            if machine.last_change > since:
                 changed.append(machine)
                 continue
-            is_silent = now - machine.reported_at > self.timeouts.silent / 2
-            if is_silent or machine.was_silent:
+            is_silent = now - machine.last_heartbeat_at > self.timeouts.silent / 2
+            if is_silent or machine.was_reported_silent:
                 silent.append(machine)
         count = self.changes
         if len(changed) > most:
-            changed.sort(key=lambda machine: machine.changed)
+            changed.sort(key=lambda machine: machine.last_change)
             del changed[most:]
-            count = changed[-1].changed
-        silent.sort(key=lambda machine: machine.reported_at)
+            count = changed[-1].last_change
+        silent.sort(key=lambda machine: machine.last_heartbeat_at)
         told = changed + silent[: max(most - len(changed), 0)]
         return [self._view(machine, now) for machine in told], count
 
     def _view(self, machine: ManagedMachine, now: float) -> MachineStatus:
-        silent_s = now - machine.reported_at
+        silent_s = now - machine.last_heartbeat_at
         # Told while it lasts, and once more when it is over.
-        machine.was_silent = silent_s > self.timeouts.silent / 2
+        machine.was_reported_silent = silent_s > self.timeouts.silent / 2
         return MachineStatus(
             self.room(machine),
             machine.fencing_token,
-            machine.fresh,
-            machine.lost,
+            machine.has_confirmed_token,
+            machine.is_expired,
             machine.quarantined_until > now,
             machine.is_degraded,
             machine.termination_notice_s is not None,
-            machine.draining,
+            machine.is_draining,
             silent_s,
             now - machine.idle_since,
         )
--- a/src/beamspar/sharing/transfer.py
+++ b/src/beamspar/sharing/transfer.py
@@ -83,7 +83,7 @@
             ]
             waiting[name] = [machine for machine in machines if machine is not None]
             for machine in waiting[name]:
-                self.machine_controller.pause(machine, now + for_s)
+                self.machine_controller.pause_starts(machine, now + for_s)
         ready: list[str] = []
         while waiting:
             for name in [name for name, held in waiting.items() if not any(map(_starting, held))]:
@@ -135,17 +135,17 @@
             machine.info.name,
             number,
             machine.fencing_token,
-            machine.sole,
-            now - machine.last_answer,
+            machine.is_exclusive,
+            now - machine.last_possible_answer_at,
             machine.agent_epoch,
-            machine.seq,
-            *machine.report_seq,
+            machine.observed_seq,
+            *machine.last_heartbeat_id,
             machine.min_agent_epoch,
-            now - machine.reported_at,
+            now - machine.last_heartbeat_at,
             now - machine.idle_since,
             max(machine.quarantined_until - now, 0.0),
             machine.is_degraded,
-            machine.draining,
+            machine.is_draining,
             dict(machine.images),
         )
 
@@ -187,27 +187,29 @@
         if state.sole:
             # The sender answers no more, and nobody before it can: what it answered last counts.
             # Without this a machine that died as it moved was lost for a lease and a half.
-            answered = min(machine.last_answer, now - state.answered_ago_s)
-            machine.last_answer = max(machine.answered_at, answered)
-            machine.sole = True
+            answered = min(machine.last_possible_answer_at, now - state.answered_ago_s)
+            machine.last_possible_answer_at = max(machine.answered_at, answered)
+            machine.is_exclusive = True
         # Copies of older reports that arrive late are known as such.
-        if (machine.agent_epoch, machine.seq) < (state.agent_epoch, state.sequence):
-            machine.agent_epoch, machine.seq = state.agent_epoch, state.sequence
-        if machine.report_seq == (0, -1):
-            machine.reported_at = now - max(state.silent_s, 0.0)
+        if (machine.agent_epoch, machine.observed_seq) < (state.agent_epoch, state.sequence):
+            machine.agent_epoch, machine.observed_seq = state.agent_epoch, state.sequence
+        if machine.last_heartbeat_id == (0, -1):
+            machine.last_heartbeat_at = now - max(state.silent_s, 0.0)
         reported = (state.report_agent_epoch, state.report_sequence)
-        machine.report_seq = max(machine.report_seq, reported)
+        machine.last_heartbeat_id = max(machine.last_heartbeat_id, reported)
         machine.min_agent_epoch = max(machine.min_agent_epoch, state.min_agent_epoch)
         machine.quarantined_until = max(machine.quarantined_until, now + state.set_aside_s)
         machine.is_degraded = machine.is_degraded or state.is_degraded
-        machine.draining = machine.draining or state.draining
+        machine.is_draining = machine.is_draining or state.draining
         if not machine.tasks:
             machine.idle_since = min(machine.idle_since, now - max(state.idle_s, 0.0))
-        self.machine_controller.learn_images(machine, state.images)
-        machine.touch_all()
-        self.machine_controller.step(machine)
+        self.machine_controller.add_known_images(machine, state.images)
+        machine.mark_all_changed()
+        self.machine_controller.reconcile(machine)
 
 
 def _starting(machine: ManagedMachine) -> bool:
     """Is an order of ours under way there, or a start that may still be carried out?"""
-    return machine.ordering or any(machine.in_doubt(key) for key in machine.starts)
+    return machine.is_sending_commands or any(
+        machine.has_indeterminate_start(key) for key in machine.starts
+    )
--- a/tests/standins/sharing.py
+++ b/tests/standins/sharing.py
@@ -118,6 +118,6 @@
                 continue
             holder = self.nodes[holders[0]].machine_controller if len(holders) == 1 else None
             held = holder.machines.get(name) if holder else None
-            if held is None or not holder.summaries.usable(held):
+            if held is None or not holder.summaries.is_usable(held):
                 found[name] = f"held by {holders}"
         return found
--- a/tests/test_failure_backoff.py
+++ b/tests/test_failure_backoff.py
@@ -67,32 +67,32 @@
 
 def test_two_jobs_speak_against_a_machine_unless_their_owners_blame_them() -> None:
     faults, one = evidence(), machine("host-1")
-    assert faults.failed(one, "j-1", False, 1.0) == ["j-1"]
-    assert faults.failed(one, "j-2", False, 2.0) == ["j-1", "j-2"]
+    assert faults.attribute_failure(one, "j-1", False, 1.0) == ["j-1"]
+    assert faults.attribute_failure(one, "j-2", False, 2.0) == ["j-1", "j-2"]
     assert one.is_degraded and one.quarantined_until > 2.0
-    faults.blame("j-1", [one])
+    faults.mark_job_at_fault("j-1", [one])
     assert not one.is_degraded
-    faults.blame("j-2", [one])
+    faults.mark_job_at_fault("j-2", [one])
     assert one.quarantined_until == 0.0
-    assert faults.failed(one, "j-2", True, 3.0) == []
-    assert faults.failed(one, "j-1", False, 3.0) == [], "it was blamed before"
+    assert faults.attribute_failure(one, "j-2", True, 3.0) == []
+    assert faults.attribute_failure(one, "j-1", False, 3.0) == [], "it was blamed before"
 
 
 def test_a_faulty_machine_is_found_beside_a_job_to_blame() -> None:
     faults, one = evidence(), machine("host-1")
-    faults.blame("j-broken", [one])
-    assert faults.failed(one, "j-broken", True, 1.0) == []
-    assert faults.failed(one, "j-1", False, 1.0) == ["j-1"]
-    assert faults.failed(one, "j-2", False, 2.0) == ["j-1", "j-2"]
+    faults.mark_job_at_fault("j-broken", [one])
+    assert faults.attribute_failure(one, "j-broken", True, 1.0) == []
+    assert faults.attribute_failure(one, "j-1", False, 1.0) == ["j-1"]
+    assert faults.attribute_failure(one, "j-2", False, 2.0) == ["j-1", "j-2"]
     assert one.is_degraded
 
 
 def test_memory_is_bounded() -> None:
     faults, one = evidence(), machine("host-1")
     for number in range(MOST_JOBS * 2):
-        faults.failed(one, f"j-{number}", False, float(number))
+        faults.attribute_failure(one, f"j-{number}", False, float(number))
     assert len(faults._places) == MOST_JOBS
-    assert len(one.errors) <= faults.timeouts.worker_lease * 6 + 1
+    assert len(one.job_failures) <= faults.timeouts.worker_lease * 6 + 1
 
 
 def test_a_want_of_this_release_is_read_by_one_without_the_field() -> None:
--- a/tests/test_many_tasks.py
+++ b/tests/test_many_tasks.py
@@ -119,13 +119,13 @@
                 live = [
                     desired
                     for key, desired in machine.desired_attempts.items()
-                    if machine.live(key)
+                    if machine.is_live(key)
                 ]
                 cpus = sum(desired.cpus for desired in live)
-                assert machine.taken()[0] == pytest.approx(cpus)
+                assert machine.reserved_resources()[0] == pytest.approx(cpus)
                 for key, desired in machine.desired_attempts.items():
-                    own = desired.cpus if machine.live(key) else 0.0
-                    assert machine.taken(key)[0] == pytest.approx(cpus - own)
+                    own = desired.cpus if machine.is_live(key) else 0.0
+                    assert machine.reserved_resources(key)[0] == pytest.approx(cpus - own)
     assert world.running("j-after") == 40
 
 
--- a/tests/test_open_attempts.py
+++ b/tests/test_open_attempts.py
@@ -16,39 +16,42 @@
     commands = sorted(map(str, holder._commands(machine)))
     missing = {
         key
-        for key in machine.open
-        if key in machine.desired_attempts and key not in machine.tasks and key not in machine.over
+        for key in machine.pending_keys
+        if key in machine.desired_attempts
+        and key not in machine.tasks
+        and key not in machine.terminated
     }
     return commands, missing
 
 
 @pytest.mark.parametrize("seed", [3, 4])
 def test_nothing_is_due_for_what_is_not_open(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    step = MachineController.step
+    step = MachineController.reconcile
     # An exception in a step is logged by whoever took it, so misses are kept.
     missed: list[Any] = []
     steps = {"all": 0, "with something closed": 0}
 
     def checked(self: MachineController, machine: ManagedMachine) -> None:
         found = due(self, machine)
-        known = machine.open
-        machine.open = dict.fromkeys([*machine.tasks, *machine.desired_attempts])
+        known = machine.pending_keys
+        machine.pending_keys = dict.fromkeys([*machine.tasks, *machine.desired_attempts])
         everything = due(self, machine)
         unacknowledged = {
             key
             for key, desired in machine.desired_attempts.items()
-            if (mark := self._mark(machine, key, desired)) and machine.told.get(key) != mark
+            if (mark := self._mark(machine, key, desired))
+            and machine.acknowledged_statuses.get(key) != mark
         }
         steps["all"] += 1
-        steps["with something closed"] += len(known.keys() & machine.open.keys()) < len(
-            machine.open
+        steps["with something closed"] += len(known.keys() & machine.pending_keys.keys()) < len(
+            machine.pending_keys
         )
-        machine.open = known
+        machine.pending_keys = known
         if found != everything or not unacknowledged <= known.keys():
             missed.append((machine.info.name, found, everything, unacknowledged - known.keys()))
         step(self, machine)
 
-    monkeypatch.setattr(MachineController, "step", checked)
+    monkeypatch.setattr(MachineController, "reconcile", checked)
     random_faults(seed)
     assert missed == []
     assert steps["with something closed"] > steps["all"] / 10
--- a/tests/test_quiet_work.py
+++ b/tests/test_quiet_work.py
@@ -90,7 +90,7 @@
     world = settled_world(30)
     steps: Counter[str] = Counter()
     reports: Counter[str] = Counter()
-    step, report = MachineController.step, MachineController.report
+    step, report = MachineController.reconcile, MachineController.report
 
     def counted_step(self: MachineController, machine: Any) -> None:
         steps[machine.info.name] += 1
@@ -100,7 +100,7 @@
         reports[message.machine] += 1
         return report(self, message)
 
-    monkeypatch.setattr(MachineController, "step", counted_step)
+    monkeypatch.setattr(MachineController, "reconcile", counted_step)
     monkeypatch.setattr(MachineController, "report", counted_report)
     world.run(world.clock.seconds() + QUIET_S)
     assert sum(reports.values()) > 30 * QUIET_S / 4
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -74,7 +74,7 @@
     _, _, holder = held_fleet(50)
     first, known = holder.views(0, most=20)
     again = first[0].room.name
-    holder.machines[again].touch()
+    holder.machines[again].mark_changed()
     second, known = holder.views(known, most=20)
     third, known = holder.views(known, most=20)
     assert known == holder.changes
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -208,7 +208,7 @@
             for machine in (
                 node.machine_controller.machines.values() if node.machine_controller else ()
             )
-            for state in machine.over.values()
+            for state in machine.terminated.values()
         ]
         assert over.count("refused") <= step["refused"], (where, step, over.count("refused"))
     if "budget_writes" in step:
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -82,7 +82,7 @@
     while not lost_s and world.clock.seconds() < since + 80:
         world.run(world.clock.seconds() + 0.5)
         held = world.nodes[target].machine_controller.machines.get(machine)
-        if held is not None and held.lost:
+        if held is not None and held.is_expired:
             lost_s = world.clock.seconds() - since
     assert world.checker.broken == []
     # A worker's lease; or that of the former holder as well.
@@ -199,7 +199,7 @@
         held.is_degraded,
         held.agent_epoch,
         held.min_agent_epoch,
-        held.paused_until,
+        held.starts_paused_until,
     )
     status, answer = world.say(member, path, fill(message))
     assert status == (400 if says is None else 200), (status, answer)
@@ -209,7 +209,7 @@
         held.is_degraded,
         held.agent_epoch,
         held.min_agent_epoch,
-        held.paused_until,
+        held.starts_paused_until,
     )
     assert before == after
     for raw in (b"", b"[", b"\xff", b"null"):
@@ -272,13 +272,13 @@
     request = ReleaseRequest(source, incarnation, [ahead])
     assert node.sharing.transfer.accept(request) == ReleaseReply([], [machine])
     # Without `sole` one before the sender may still answer: the longest lease counts.
-    before = held.last_answer = world.clock.seconds() + 20.0
+    before = held.last_possible_answer_at = world.clock.seconds() + 20.0
     held.answered_at = -1e9
     node.sharing.transfer._take_over(held, replace(right, sole=False))
-    assert held.last_answer == before and not held.is_taken_over
+    assert held.last_possible_answer_at == before and not held.is_taken_over
     request = ReleaseRequest(source, incarnation, [right])
     assert node.sharing.transfer.accept(request) == ReleaseReply([machine])
-    assert held.is_taken_over and held.last_answer < world.clock.seconds()
+    assert held.is_taken_over and held.last_possible_answer_at < world.clock.seconds()
 
 
 @pytest.mark.parametrize("way", ["asked for", "leave"])
@@ -328,7 +328,7 @@
     until = world.clock.seconds() + 2.0
     for node in world.nodes.values():
         for machine in node.machine_controller.machines.values():
-            node.machine_controller.pause(machine, until)
+            node.machine_controller.pause_starts(machine, until)
     world.submit("j-1", parcels=6)
     world.run(until - 0.1)
     assert world.running("j-1") == 0
