--- /dev/null
+++ b/src/beamspar/machines/command_sending.py
@@ -0,0 +1,114 @@
+"""Sends commands to workers, and keeps account of starts whose outcome is unknown."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from twisted.logger import Logger
+
+from beamspar.machines.managed_machine import AttemptKey, ManagedMachine, SentStart
+from beamspar.machines.worker_client import CommandResult, WorkerClient
+from beamspar.machines.worker_observation import WorkerObserver
+from beamspar.protocol.workers import Command, StartCommand
+from beamspar.settings import Timeouts
+from beamspar.transport.http import CallFailedError, Clock, spawn
+
+log = Logger(namespace="machines")
+
+
+class CommandSender:
+    """Sends to each machine one message at a time, and paces what has to be repeated."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        workers: WorkerClient,
+        observer: WorkerObserver,
+        timeouts: Timeouts,
+        reconcile: Callable[[ManagedMachine], None],
+        repeats_at_once: Callable[[], bool],
+    ) -> None:
+        self.clock = clock
+        self.workers = workers
+        self.observer = observer
+        self.timeouts = timeouts
+        # Looks at the machine anew after an answer.
+        self.reconcile = reconcile
+        # Is a message that only lacked the worker's epoch repeated without a pause?
+        self.repeats_at_once = repeats_at_once
+
+    def begin_send(self, machine: ManagedMachine, commands: list[Command]) -> None:
+        """Send the commands in the background. None at all ask the worker for a report."""
+        machine.is_sending_commands = True
+        spawn(self._send(machine, commands), "commands")
+
+    async def _send(self, machine: ManagedMachine, commands: list[Command]) -> None:
+        epoch, token = machine.agent_epoch, machine.command_token
+        sent: dict[AttemptKey, SentStart] = {}
+        for command in commands:
+            if isinstance(command, StartCommand):
+                key = AttemptKey(command.task, command.attempt)
+                sent[key] = _record_start(machine, key, epoch, token)
+        try:
+            result = await self.workers.send_commands(machine.info.address, token, epoch, commands)
+        except CallFailedError as error:
+            self._handle_failure(machine, sent, bool(commands), error)
+            return
+        machine.is_sending_commands = False
+        machine.failed_sends = 0
+        _record_outcome(machine, sent, result)
+        # By the epoch that was sent: what we know of it may have changed meanwhile.
+        is_epoch_outdated = epoch != result.heartbeat.agent_epoch
+        if not result.is_executed:
+            pause_s = 0.0 if is_epoch_outdated else self.timeouts.retry
+            machine.next_send_at = self.clock.seconds() + pause_s
+        self.observer.observe(machine, result.heartbeat)
+        may_repeat_at_once = is_epoch_outdated and self.repeats_at_once()
+        if not machine.has_confirmed_token and not may_repeat_at_once:
+            # Not the answer we wait for (an epoch that must end first): no haste.
+            earliest = self.clock.seconds() + self.timeouts.retry
+            machine.next_send_at = max(machine.next_send_at, earliest)
+        self.reconcile(machine)
+
+    def _handle_failure(
+        self,
+        machine: ManagedMachine,
+        sent: dict[AttemptKey, SentStart],
+        had_commands: bool,
+        error: CallFailedError,
+    ) -> None:
+        """The worker may still execute what was sent."""
+        for start in sent.values():
+            start.is_indeterminate = True
+        machine.failed_sends += 1
+        pause_s = self.timeouts.retry if had_commands else self.timeouts.report
+        machine.next_send_at = self.clock.seconds() + pause_s
+        log.info("commands to {machine} failed: {error}", machine=machine.info.name, error=error)
+        machine.is_sending_commands = False
+
+
+def _record_start(machine: ManagedMachine, key: AttemptKey, epoch: int, token: int) -> SentStart:
+    """Note the start before it is sent: from then on the worker may execute it."""
+    start = machine.starts.setdefault(key, SentStart(epoch, token))
+    if machine.is_superseded(start):
+        start.is_indeterminate = start.is_answered = False
+    start.agent_epoch, start.fencing_token = epoch, token
+    log.info(
+        "start {task} attempt {attempt} on {machine} under fencing token {token}",
+        task=key.task,
+        attempt=key.attempt,
+        machine=machine.info.name,
+        token=token,
+    )
+    return start
+
+
+def _record_outcome(
+    machine: ManagedMachine, sent: dict[AttemptKey, SentStart], result: CommandResult
+) -> None:
+    for key, start in sent.items():
+        if result.is_executed:
+            start.is_answered = True
+        elif start.agent_epoch == result.heartbeat.agent_epoch and machine.starts.get(key) is start:
+            # Refused for the token: a higher one is out, so it can't run.
+            start.is_indeterminate = True
--- a/src/beamspar/machines/fault_evidence.py
+++ b/src/beamspar/machines/fault_evidence.py
@@ -1,9 +1,10 @@
-"""Tells faulty machines from faulty jobs by the errors that a holder sees.
+"""Tells faulty machines from faulty jobs by the failures that a machine controller sees.
 
 Many jobs that fail on one machine speak against the machine, one job that fails on many machines
-against the job. A holder sees its own machines only, so with a broken job's tasks spread over
-several holders each saw too few failures to blame the job, set good machines aside and had them
-returned. The job's owner sees them all, and says which jobs are to blame with what it wants.
+against the job. A machine controller sees its own machines only, so with a broken job's tasks
+spread over several controllers each saw too few failures to hold the job at fault, quarantined
+good machines and had them returned. The job controller sees them all, and says with each desired
+attempt whether its job is at fault.
 """
 
 from __future__ import annotations
@@ -17,68 +18,77 @@
 
 # Jobs whose failures are remembered; the oldest are forgotten first.
 MOST_JOBS = 1000
-# Different jobs that fail on a machine before the machine counts as bad.
+# Different jobs that fail on a machine before the machine counts as degraded.
 JOBS_TO_BLAME = 2
-# How long failures count, and a bad machine is set aside, in workers' leases.
+# How long failures count, and a degraded machine is quarantined, in workers' leases.
 MEMORY_LEASES = 6
 
 
 class FaultEvidence:
-    """Owns what a holder knows of the places where jobs failed."""
+    """Owns what a machine controller knows of the machines where jobs failed."""
 
     def __init__(self, timeouts: Timeouts) -> None:
         self.timeouts = timeouts
-        # The machines that a job failed on; None: its owner says that the job is to blame.
-        self._places: OrderedDict[str, set[str] | None] = OrderedDict()
+        # The machines that a job failed on; None: its job controller says the job is at fault.
+        self._machines_of: OrderedDict[str, set[str] | None] = OrderedDict()
 
     def attribute_failure(
-        self, machine: ManagedMachine, job: str, to_blame: bool, now: float
+        self, machine: ManagedMachine, job: str, is_job_at_fault: bool, now: float
     ) -> list[str]:
         """A task of the job failed there; the jobs that speak against the machine, if it is
-        set aside for them."""
-        if to_blame:
+        quarantined for them."""
+        if is_job_at_fault:
             self._remember(job, None)
-        places = self._places.get(job, set())
-        if places is None:
+        failed_on = self._machines_of.get(job, set())
+        if failed_on is None:
             return []
-        if len(places) < MACHINES_TO_BLAME:
-            places.add(machine.info.name)
-        self._remember(job, places)
+        if len(failed_on) < MACHINES_TO_BLAME:
+            failed_on.add(machine.info.name)
+        self._remember(job, failed_on)
+        memory_s = self.timeouts.worker_lease * MEMORY_LEASES
         machine.job_failures[job] = now
-        span = self.timeouts.worker_lease * MEMORY_LEASES
         machine.job_failures = {
-            name: at for name, at in machine.job_failures.items() if now - at < span
+            name: at for name, at in machine.job_failures.items() if now - at < memory_s
         }
-        recent = [name for name in machine.job_failures if not self._job_at_fault(name)]
-        bad = len(recent) >= JOBS_TO_BLAME
-        if not bad and (len(recent) != 1 or len(places) != 1):
+        evidence = self._evidence_against(machine)
+        is_degraded = len(evidence) >= JOBS_TO_BLAME
+        is_first_failure = len(evidence) == 1 and len(failed_on) == 1
+        if not is_degraded and not is_first_failure:
             return []
-        aside_s = span if bad else self.timeouts.worker_lease
-        machine.quarantined_until = max(machine.quarantined_until, now + aside_s)
-        machine.is_degraded = machine.is_degraded or bad
-        return recent
+        quarantine_s = memory_s if is_degraded else self.timeouts.worker_lease
+        machine.quarantined_until = max(machine.quarantined_until, now + quarantine_s)
+        machine.is_degraded = machine.is_degraded or is_degraded
+        return evidence
 
     def mark_job_at_fault(self, job: str, machines: Iterable[ManagedMachine]) -> None:
-        """The job's owner says that it fails everywhere: its errors count against no machine."""
-        if job in self._places and self._places[job] is None:
+        """The job controller says that the job fails everywhere: its failures count against no
+        machine."""
+        if job in self._machines_of and self._machines_of[job] is None:
             return
         self._remember(job, None)
         for machine in machines:
-            if machine.job_failures.pop(job, None) is None:
-                continue
-            recent = [name for name in machine.job_failures if not self._job_at_fault(name)]
-            if len(recent) < JOBS_TO_BLAME and machine.is_degraded:
-                machine.is_degraded = False
-            if not recent:
-                machine.quarantined_until = 0.0
-                machine.mark_changed()
+            if machine.job_failures.pop(job, None) is not None:
+                self._acquit(machine)
 
-    def _job_at_fault(self, job: str) -> bool:
-        places = self._places.get(job, set())
-        return places is None or len(places) >= MACHINES_TO_BLAME
+    def _acquit(self, machine: ManagedMachine) -> None:
+        """End the quarantine if nothing else speaks against the machine."""
+        evidence = self._evidence_against(machine)
+        if len(evidence) < JOBS_TO_BLAME and machine.is_degraded:
+            machine.is_degraded = False
+        if not evidence:
+            machine.quarantined_until = 0.0
+            machine.mark_changed()
 
-    def _remember(self, job: str, places: set[str] | None) -> None:
-        self._places[job] = places
-        self._places.move_to_end(job)
-        while len(self._places) > MOST_JOBS:
-            self._places.popitem(last=False)
+    def _evidence_against(self, machine: ManagedMachine) -> list[str]:
+        """The jobs that failed there of late and are not at fault themselves."""
+        return [job for job in machine.job_failures if not self._is_job_at_fault(job)]
+
+    def _is_job_at_fault(self, job: str) -> bool:
+        failed_on = self._machines_of.get(job, set())
+        return failed_on is None or len(failed_on) >= MACHINES_TO_BLAME
+
+    def _remember(self, job: str, failed_on: set[str] | None) -> None:
+        self._machines_of[job] = failed_on
+        self._machines_of.move_to_end(job)
+        while len(self._machines_of) > MOST_JOBS:
+            self._machines_of.popitem(last=False)
--- a/src/beamspar/machines/machine_summaries.py
+++ b/src/beamspar/machines/machine_summaries.py
@@ -1,16 +1,22 @@
-"""What a holder's machines have room for, and what its heartbeats tell the leader of them."""
+"""What a controller's machines have room for, and what its heartbeats tell the leader of them."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 
-from beamspar.machines.managed_machine import Key, ManagedMachine
+from beamspar.machines.managed_machine import AttemptKey, Attempts, ManagedMachine
+from beamspar.machines.resources import NO_RESOURCES, Resources
 from beamspar.placement import Room
 from beamspar.protocol.cloud import MachineType
 from beamspar.protocol.peer_messages import MachineStatus
 from beamspar.settings import Timeouts
 from beamspar.transport.http import Clock
 
+# Priority ranks for which a room tells what preemption would add.
+PRIORITY_RANKS = 4
+# After so many failed sends in a row a machine gets no new work.
+MAX_FAILED_SENDS = 2
+
 
 class MachineSummaries:
     """Owns the count of changes by which heartbeats tell only what is new."""
@@ -32,67 +38,37 @@
             and not machine.is_draining
             and machine.starts_paused_until <= self.clock.seconds()
             and machine.quarantined_until <= self.clock.seconds()
-            # Nor is one that hears no orders, or whose lease runs out for want of reports.
-            and machine.failed_sends < 2
+            # Nor is one that commands don't reach, or whose lease runs out for want of
+            # heartbeats.
+            and machine.failed_sends < MAX_FAILED_SENDS
             and self.clock.seconds() - machine.last_heartbeat_at < self.timeouts.silent
         )
 
-    def free(self, machine: ManagedMachine, but: Key | None = None) -> tuple[float, float, float]:
-        """CPUs, accelerators and memory that no live want takes, one of them left out."""
+    def free_resources(
+        self, machine: ManagedMachine, excluding: AttemptKey | None = None
+    ) -> Resources:
+        """What no live attempt uses, one of them left out; nothing while the type is unknown."""
         kind = self.types().get(machine.info.kind)
         if kind is None:
-            return 0.0, 0.0, 0.0
-        cpus, gpus, memory = machine.reserved_resources(but)
-        return kind.cpus - cpus, kind.gpus - gpus, kind.memory_gb - memory
+            return NO_RESOURCES
+        cpus, gpus, memory_gb = machine.reserved_resources(excluding)
+        return Resources(kind.cpus - cpus, kind.gpus - gpus, kind.memory_gb - memory_gb)
 
     def room(self, machine: ManagedMachine) -> Room:
         """The machine's room, counted anew only when something there has changed."""
         if machine.room is None or machine.info.kind not in self.types():
-            cpus, gpus, memory = self.free(machine)
-            lower = [[0.0, 0.0, 0.0] for _ in range(4)]
-            # What no owner speaks for yet keeps the machine from being idle, too.
-            tasks = sum(
-                1
-                for k, t in machine.tasks.items()
-                if k not in machine.desired_attempts and t.status != "ended"
-            )
-            for key, desired in machine.desired_attempts.items():
-                if not machine.is_live(key):
-                    continue
-                tasks += 1
-                for rank in range(min(desired.rank, 4)) if key not in machine.preempted else ():
-                    lower[rank][0] += desired.cpus
-                    lower[rank][1] += desired.gpus
-                    lower[rank][2] += desired.memory_gb
-            info = machine.info
-            machine.room = Room(
-                info.name,
-                info.kind,
-                info.zone,
-                info.spot,
-                cpus,
-                gpus,
-                memory,
-                dict(machine.images),
-                [(low[0], low[1], low[2]) for low in lower],
-                tasks=tasks,
-                fetching=len(
-                    {
-                        desired.image
-                        for key, desired in machine.desired_attempts.items()
-                        if machine.is_live(key) and machine.is_awaiting_image(key, desired)
-                    }
-                ),
-            )
-            self.changes += 1
-            machine.last_change = self.changes
-        usable = self.is_usable(machine)
-        if machine.room.usable != usable:
-            machine.room.usable = usable
-            self.changes += 1
-            machine.last_change = self.changes
+            machine.room = _count_room(machine, self.free_resources(machine))
+            self._count_change(machine)
+        is_usable = self.is_usable(machine)
+        if machine.room.usable != is_usable:
+            machine.room.usable = is_usable
+            self._count_change(machine)
         return machine.room
 
+    def _count_change(self, machine: ManagedMachine) -> None:
+        self.changes += 1
+        machine.last_change = self.changes
+
     def views(
         self, machines: Iterable[ManagedMachine], since: int, most: int
     ) -> tuple[list[MachineStatus], int]:
@@ -106,9 +82,7 @@
             self.room(machine)
             if machine.last_change > since:
                 changed.append(machine)
-                continue
-            is_silent = now - machine.last_heartbeat_at > self.timeouts.silent / 2
-            if is_silent or machine.was_reported_silent:
+            elif self._is_silent(machine, now) or machine.was_reported_silent:
                 silent.append(machine)
         count = self.changes
         if len(changed) > most:
@@ -116,13 +90,16 @@
             del changed[most:]
             count = changed[-1].last_change
         silent.sort(key=lambda machine: machine.last_heartbeat_at)
-        told = changed + silent[: max(most - len(changed), 0)]
-        return [self._view(machine, now) for machine in told], count
+        reported = changed + silent[: max(most - len(changed), 0)]
+        return [self._status(machine, now) for machine in reported], count
+
+    def _is_silent(self, machine: ManagedMachine, now: float) -> bool:
+        """Has there been no heartbeat for so long that the leader should know?"""
+        return now - machine.last_heartbeat_at > self.timeouts.silent / 2
 
-    def _view(self, machine: ManagedMachine, now: float) -> MachineStatus:
-        silent_s = now - machine.last_heartbeat_at
+    def _status(self, machine: ManagedMachine, now: float) -> MachineStatus:
         # Told while it lasts, and once more when it is over.
-        machine.was_reported_silent = silent_s > self.timeouts.silent / 2
+        machine.was_reported_silent = self._is_silent(machine, now)
         return MachineStatus(
             self.room(machine),
             machine.fencing_token,
@@ -132,6 +109,55 @@
             machine.is_degraded,
             machine.termination_notice_s is not None,
             machine.is_draining,
-            silent_s,
+            now - machine.last_heartbeat_at,
             now - machine.idle_since,
         )
+
+
+def _count_room(machine: ManagedMachine, free: Resources) -> Room:
+    live = {
+        key: desired for key, desired in machine.desired_attempts.items() if machine.is_live(key)
+    }
+    info = machine.info
+    return Room(
+        info.name,
+        info.kind,
+        info.zone,
+        info.spot,
+        free.cpus,
+        free.gpus,
+        free.memory_gb,
+        dict(machine.images),
+        _preemptible(machine, live),
+        # Tasks that no job controller has spoken of yet keep the machine from being idle, too.
+        tasks=_count_unknown_tasks(machine) + len(live),
+        fetching=_count_awaited_images(machine, live),
+    )
+
+
+def _preemptible(machine: ManagedMachine, live: Attempts) -> list[tuple[float, float, float]]:
+    """By priority rank, the resources of all lower work that is not being preempted already."""
+    lower = [[0.0, 0.0, 0.0] for _ in range(PRIORITY_RANKS)]
+    for key, desired in live.items():
+        if key in machine.preempted:
+            continue
+        for rank in range(min(desired.rank, PRIORITY_RANKS)):
+            lower[rank][0] += desired.cpus
+            lower[rank][1] += desired.gpus
+            lower[rank][2] += desired.memory_gb
+    return [(cpus, gpus, memory_gb) for cpus, gpus, memory_gb in lower]
+
+
+def _count_unknown_tasks(machine: ManagedMachine) -> int:
+    return sum(
+        1
+        for key, task in machine.tasks.items()
+        if key not in machine.desired_attempts and task.status != "ended"
+    )
+
+
+def _count_awaited_images(machine: ManagedMachine, live: Attempts) -> int:
+    awaited = {
+        desired.image for key, desired in live.items() if machine.is_awaiting_image(key, desired)
+    }
+    return len(awaited)
--- /dev/null
+++ b/src/beamspar/machines/resources.py
@@ -0,0 +1,43 @@
+"""Amounts of CPUs, accelerators and memory, and whether they suffice for an attempt."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from beamspar.placement import EPS
+from beamspar.protocol.peer_messages import DesiredAttempt
+
+
+class Resources(NamedTuple):
+    """An amount of each resource that tasks use."""
+
+    cpus: float
+    gpus: float
+    memory_gb: float
+
+    def covers(self, desired: DesiredAttempt) -> bool:
+        """Is there as much of each resource as the attempt asks for?"""
+        return (
+            desired.cpus <= self.cpus + EPS
+            and desired.gpus <= self.gpus + EPS
+            and desired.memory_gb <= self.memory_gb + EPS
+        )
+
+    def plus(self, desired: DesiredAttempt) -> Resources:
+        """These resources and those of the attempt."""
+        return Resources(
+            self.cpus + desired.cpus,
+            self.gpus + desired.gpus,
+            self.memory_gb + desired.memory_gb,
+        )
+
+    def minus(self, desired: DesiredAttempt) -> Resources:
+        """These resources without those of the attempt."""
+        return Resources(
+            self.cpus - desired.cpus,
+            self.gpus - desired.gpus,
+            self.memory_gb - desired.memory_gb,
+        )
+
+
+NO_RESOURCES = Resources(0.0, 0.0, 0.0)
--- /dev/null
+++ b/src/beamspar/machines/status_publishing.py
@@ -0,0 +1,101 @@
+"""Tells job controllers the states of their attempts, and repeats what did not arrive."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Mapping
+
+from beamspar.machines.managed_machine import AttemptKey, ManagedMachine, ObservedStatus
+from beamspar.protocol.peer_messages import (
+    AttemptState,
+    AttemptStatus,
+    DesiredAction,
+    DesiredAttempt,
+    DesiredStateUpdate,
+)
+
+
+def observed_status(
+    machine: ManagedMachine, key: AttemptKey, desired: DesiredAttempt
+) -> ObservedStatus | None:
+    """What the job controller should know of the attempt; None: nothing is known."""
+    terminated = machine.terminated.get(key)
+    if terminated is not None:
+        return ObservedStatus(terminated, None)
+    task = machine.tasks.get(key)
+    if task is None:
+        return None
+    if task.status != "ended":
+        return ObservedStatus(task.status, None)
+    if desired.action == DesiredAction.CLEAR and machine.has_indeterminate_start(key):
+        return ObservedStatus(AttemptState.KEPT, None)
+    return ObservedStatus(AttemptState.ENDED, task.exit_reason)
+
+
+def _message(machine: ManagedMachine, key: AttemptKey, observed: ObservedStatus) -> AttemptStatus:
+    has_ended = observed.state == AttemptState.ENDED
+    return AttemptStatus(
+        machine.info.name,
+        machine.fencing_token,
+        key.task,
+        key.attempt,
+        observed.state,
+        observed.exit_reason,
+        has_ended and bool(machine.tasks[key].saved),
+    )
+
+
+class StatusPublisher:
+    """Decides which statuses are new to their job controllers, by each machine's
+    `acknowledged_statuses`."""
+
+    def __init__(
+        self,
+        owner_of: Callable[[str], str | None],
+        push: Callable[[str, list[AttemptStatus]], None],
+    ) -> None:
+        self.owner_of = owner_of
+        self.push = push
+
+    def publish(self, machine: ManagedMachine) -> None:
+        """Push to the job controllers what has changed on the machine."""
+        by_owner: dict[str, list[AttemptStatus]] = {}
+        for key in machine.pending_keys:
+            desired = machine.desired_attempts.get(key)
+            observed = observed_status(machine, key, desired) if desired is not None else None
+            if observed is None or machine.acknowledged_statuses.get(key) == observed:
+                continue
+            owner = self.owner_of(machine.partition_of.get(key, ""))
+            if owner:
+                machine.acknowledged_statuses[key] = observed
+                by_owner.setdefault(owner, []).append(_message(machine, key, observed))
+        for owner, statuses in by_owner.items():
+            self.push(owner, statuses)
+
+    def answer(
+        self, update: DesiredStateUpdate, machines: Mapping[str, ManagedMachine]
+    ) -> list[AttemptStatus]:
+        """The statuses of all attempts that the update names, as the answer to it."""
+        answers = []
+        for desired in update.desired_attempts:
+            machine = machines.get(desired.machine)
+            if machine is None or machine.fencing_token != desired.fencing_token:
+                continue
+            key = AttemptKey(desired.task, desired.attempt)
+            if machine.partition_of.get(key, update.partition) != update.partition:
+                continue
+            observed = observed_status(machine, key, desired)
+            if observed is not None:
+                machine.acknowledged_statuses[key] = observed
+                answers.append(_message(machine, key, observed))
+        return answers
+
+    def retract(
+        self, statuses: Iterable[AttemptStatus], machines: Mapping[str, ManagedMachine]
+    ) -> None:
+        """These did not arrive: they are pushed again with the next reconciliation."""
+        for status in statuses:
+            machine = machines.get(status.machine)
+            if machine is not None and machine.fencing_token == status.fencing_token:
+                key = AttemptKey(status.task, status.attempt)
+                machine.acknowledged_statuses.pop(key, None)
+                machine.mark_changed(key)
--- a/src/beamspar/machines/worker_client.py
+++ b/src/beamspar/machines/worker_client.py
@@ -1,7 +1,9 @@
-"""Client of the workers: direct orders, and the report that answers them."""
+"""Client of the workers: direct commands, and the heartbeat that answers them."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from beamspar.protocol.codec import InvalidInputError
 from beamspar.protocol.workers import (
     Command,
@@ -11,27 +13,40 @@
 )
 from beamspar.transport.http import CallFailedError, Net
 
+EXECUTED = 200
+# The fencing token or the agent epoch that the commands carried is outdated.
+REFUSED = 409
+
+
+class CommandResult(NamedTuple):
+    """What a worker answers to commands."""
+
+    is_executed: bool
+    # The worker's state after them.
+    heartbeat: WorkerHeartbeat
+
 
 class WorkerClient:
-    """Direct commands to workers."""
+    """Sends direct commands to workers."""
 
-    def __init__(self, net: Net, limit_s: float) -> None:
+    def __init__(self, net: Net, timeout_s: float) -> None:
         self.net = net
-        self.limit_s = limit_s
+        self.timeout_s = timeout_s
 
     async def send_commands(
-        self, address: str, token: int, agent_epoch: int, commands: list[Command]
-    ) -> tuple[bool, WorkerHeartbeat]:
-        """Whether the orders were executed, and the report after them.
+        self, address: str, fencing_token: int, agent_epoch: int, commands: list[Command]
+    ) -> CommandResult:
+        """Whether the commands were executed, and the worker's heartbeat after them.
 
-        CallFailedError means doubt: the orders may be executed minutes later, while
-        number and agent_epoch still match.
+        Raises CallFailedError when the outcome is indeterminate: the commands may be executed
+        minutes later, while fencing token and agent epoch still match.
         """
-        body = encode_commands(token, agent_epoch, commands)
-        answer = await self.net.request("POST", address, "/orders", body, self.limit_s)
-        if answer.status not in (200, 409):
+        body = encode_commands(fencing_token, agent_epoch, commands)
+        answer = await self.net.request("POST", address, "/orders", body, self.timeout_s)
+        if answer.status not in (EXECUTED, REFUSED):
             raise CallFailedError(f"worker {address} answered {answer.status}")
         try:
-            return answer.status == 200, parse_worker_heartbeat(answer.body)
+            heartbeat = parse_worker_heartbeat(answer.body)
         except InvalidInputError as error:
-            raise CallFailedError(f"worker {address}: odd report: {error}") from error
+            raise CallFailedError(f"worker {address}: malformed heartbeat: {error}") from error
+        return CommandResult(answer.status == EXECUTED, heartbeat)
--- /dev/null
+++ b/src/beamspar/machines/worker_observation.py
@@ -0,0 +1,172 @@
+"""Takes in what workers report, in heartbeats and in answers to commands.
+
+A report is believed as far as it is newer than what is known, and the absence of an attempt only
+once the worker has confirmed our command token.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from twisted.logger import Logger
+
+from beamspar.machines.fault_evidence import FaultEvidence
+from beamspar.machines.image_caches import ImageCaches
+from beamspar.machines.managed_machine import AttemptKey, HeartbeatId, ManagedMachine
+from beamspar.protocol.peer_messages import AttemptState
+from beamspar.protocol.workers import TaskStatus, WorkerHeartbeat
+from beamspar.transport.http import Clock
+
+log = Logger(namespace="machines")
+
+
+class WorkerObserver:
+    """Brings managed machines up to date with their workers' reports."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        faults: FaultEvidence,
+        image_caches: ImageCaches,
+        on_room: Callable[[], None],
+    ) -> None:
+        self.clock = clock
+        self.faults = faults
+        self.image_caches = image_caches
+        # Called when an attempt has ended, for there may be room.
+        self.on_room = on_room
+
+    def accept_heartbeat(self, machine: ManagedMachine, heartbeat: WorkerHeartbeat) -> bool:
+        """Take in a worker's own heartbeat; False where it must not be answered."""
+        heartbeat_id = HeartbeatId(heartbeat.agent_epoch, heartbeat.seq)
+        if (
+            heartbeat_id <= machine.last_heartbeat_id
+            or heartbeat.agent_epoch < machine.min_agent_epoch
+        ):
+            # A late copy: an answer would not reach the worker, and counting it as
+            # answered would put off the proof that a silent worker's lease ran out.
+            log.info("{machine}: late copy of a heartbeat", machine=heartbeat.machine)
+            return False
+        if heartbeat.observed_fencing_token > machine.command_token:
+            log.info(
+                "{machine} knows a higher fencing token {token}",
+                machine=heartbeat.machine,
+                token=heartbeat.observed_fencing_token,
+            )
+            return False
+        machine.last_heartbeat_id = heartbeat_id
+        machine.last_heartbeat_at = self.clock.seconds()
+        self.observe(machine, heartbeat)
+        self._record_answer(machine)
+        return True
+
+    def observe(self, machine: ManagedMachine, heartbeat: WorkerHeartbeat) -> None:
+        """Bring the machine up to date, if this is newer than what is known of it."""
+        if (
+            heartbeat.agent_epoch < machine.min_agent_epoch
+            or heartbeat.machine != machine.info.name
+        ):
+            return
+        if (heartbeat.agent_epoch, heartbeat.seq) <= (machine.agent_epoch, machine.observed_seq):
+            return
+        now = self.clock.seconds()
+        if heartbeat.agent_epoch > machine.agent_epoch:
+            self._begin_agent_epoch(machine, heartbeat.agent_epoch)
+        machine.agent_epoch, machine.observed_seq = heartbeat.agent_epoch, heartbeat.seq
+        machine.is_expired = False
+        is_standing_changed = _observe_standing(machine, heartbeat)
+        changed, absent = _observe_tasks(machine, heartbeat.tasks)
+        if is_standing_changed:
+            machine.mark_all_changed()
+        if changed or absent:
+            machine.mark_changed(*absent, *changed)
+        for key, task in changed.items():
+            self._follow_status(machine, key, task)
+        if any(task.status != "ended" for task in machine.tasks.values()):
+            machine.idle_since = now
+
+    def expire(self, machine: ManagedMachine) -> None:
+        """Nobody answered the worker for longer than its lease: all on it is gone."""
+        log.warn("{machine} is silent beyond its lease", machine=machine.info.name)
+        machine.is_expired = True
+        machine.has_confirmed_token = False
+        machine.min_agent_epoch = machine.agent_epoch + 1 if machine.agent_epoch else 0
+        for key in set(machine.desired_attempts) | set(machine.starts) | set(machine.tasks):
+            if key not in machine.terminated:
+                machine.terminate(key, AttemptState.GONE)
+        machine.tasks.clear()
+        machine.mark_all_changed()
+
+    def _begin_agent_epoch(self, machine: ManagedMachine, agent_epoch: int) -> None:
+        # A new epoch has its full lease, answered or not: after an outage the last answer
+        # may be long past while tasks of this epoch run.
+        self._record_answer(machine)
+        for key, start in list(machine.starts.items()):
+            if start.agent_epoch < agent_epoch:
+                # The epoch's end killed it, and commands of that epoch are not executed.
+                del machine.starts[key]
+                machine.terminated[key] = AttemptState.GONE
+        machine.mark_all_changed()
+        if machine.agent_epoch:
+            log.info("{machine}: agent epoch {epoch}", machine=machine.info.name, epoch=agent_epoch)
+
+    def _record_answer(self, machine: ManagedMachine) -> None:
+        """Only a worker that knows our token takes no answer of a former holder."""
+        now = self.clock.seconds()
+        machine.answered_at = now
+        if machine.has_confirmed_token:
+            machine.last_possible_answer_at = now
+        else:
+            machine.last_possible_answer_at = max(machine.last_possible_answer_at, now)
+
+    def _follow_status(self, machine: ManagedMachine, key: AttemptKey, task: TaskStatus) -> None:
+        desired = machine.desired_attempts.get(key)
+        if task.status in ("gathering", "running", "saving") and desired:
+            self.image_caches.record_use(machine, desired.image, desired.image_gb)
+        if task.status != "ended":
+            return
+        if task.exit_reason == "error":
+            is_job_at_fault = desired is not None and desired.job_to_blame
+            self._attribute_failure(machine, key.job, is_job_at_fault)
+        machine.is_degraded = machine.is_degraded and task.exit_reason != "done"
+        self.on_room()
+
+    def _attribute_failure(self, machine: ManagedMachine, job: str, is_job_at_fault: bool) -> None:
+        now = self.clock.seconds()
+        jobs = self.faults.attribute_failure(machine, job, is_job_at_fault, now)
+        if jobs:
+            log.warn(
+                "{machine} fails tasks of {jobs}: quarantined", machine=machine.info.name, jobs=jobs
+            )
+
+
+def _observe_standing(machine: ManagedMachine, heartbeat: WorkerHeartbeat) -> bool:
+    """Does the worker know our token, and is its machine about to go? Whether that changed."""
+    had_confirmed = machine.has_confirmed_token
+    had_notice = machine.termination_notice_s is not None
+    machine.termination_notice_s = heartbeat.termination_notice_s
+    machine.has_confirmed_token = (
+        had_confirmed or heartbeat.observed_fencing_token == machine.command_token
+    )
+    # A worker that knows our token takes no answer of a former holder.
+    machine.is_exclusive = machine.is_exclusive or machine.has_confirmed_token
+    has_notice = machine.termination_notice_s is not None
+    return had_confirmed != machine.has_confirmed_token or had_notice != has_notice
+
+
+def _observe_tasks(
+    machine: ManagedMachine, reported: list[TaskStatus]
+) -> tuple[dict[AttemptKey, TaskStatus], list[AttemptKey]]:
+    """Replace the machine's tasks; those whose status is new, and those that are absent now."""
+    known = machine.tasks
+    # Most heartbeats of machines with hundreds of tasks bring nothing new.
+    if list(known.values()) == reported:
+        return {}, []
+    machine.tasks = {AttemptKey(task.task, task.attempt): task for task in reported}
+    changed = {
+        key: task
+        for key, task in machine.tasks.items()
+        if key not in known or known[key].status != task.status
+    }
+    absent = [key for key in known if key not in machine.tasks]
+    return changed, absent
--- a/src/beamspar/sharing/transfer.py
+++ b/src/beamspar/sharing/transfer.py
@@ -14,7 +14,7 @@
 
 from beamspar.cluster.registration import Registration
 from beamspar.machines.machine_controller import MachineController
-from beamspar.machines.managed_machine import ManagedMachine
+from beamspar.machines.managed_machine import NO_HEARTBEAT, HeartbeatId, ManagedMachine
 from beamspar.protocol.peer_messages import VIEWS_AT_ONCE, decode
 from beamspar.settings import Timeouts
 from beamspar.sharing.messages import (
@@ -193,9 +193,9 @@
         # Copies of older reports that arrive late are known as such.
         if (machine.agent_epoch, machine.observed_seq) < (state.agent_epoch, state.sequence):
             machine.agent_epoch, machine.observed_seq = state.agent_epoch, state.sequence
-        if machine.last_heartbeat_id == (0, -1):
+        if machine.last_heartbeat_id == NO_HEARTBEAT:
             machine.last_heartbeat_at = now - max(state.silent_s, 0.0)
-        reported = (state.report_agent_epoch, state.report_sequence)
+        reported = HeartbeatId(state.report_agent_epoch, state.report_sequence)
         machine.last_heartbeat_id = max(machine.last_heartbeat_id, reported)
         machine.min_agent_epoch = max(machine.min_agent_epoch, state.min_agent_epoch)
         machine.quarantined_until = max(machine.quarantined_until, now + state.set_aside_s)
--- a/tests/test_failure_backoff.py
+++ b/tests/test_failure_backoff.py
@@ -91,7 +91,7 @@
     faults, one = evidence(), machine("host-1")
     for number in range(MOST_JOBS * 2):
         faults.attribute_failure(one, f"j-{number}", False, float(number))
-    assert len(faults._places) == MOST_JOBS
+    assert len(faults._machines_of) == MOST_JOBS
     assert len(one.job_failures) <= faults.timeouts.worker_lease * 6 + 1
 
 
--- a/tests/test_open_attempts.py
+++ b/tests/test_open_attempts.py
@@ -8,12 +8,13 @@
 
 from beamspar.machines.machine_controller import MachineController
 from beamspar.machines.managed_machine import ManagedMachine
+from beamspar.machines.status_publishing import observed_status
 from tests.test_random import test_random_faults as random_faults
 
 
 def due(holder: MachineController, machine: ManagedMachine) -> tuple[list[str], set[Any]]:
     """Orders for what the machine reports, and attempts that are neither there nor over."""
-    commands = sorted(map(str, holder._commands(machine)))
+    commands = sorted(map(str, holder.planner.stops_and_clears(machine)))
     missing = {
         key
         for key in machine.pending_keys
@@ -39,7 +40,7 @@
         unacknowledged = {
             key
             for key, desired in machine.desired_attempts.items()
-            if (mark := self._mark(machine, key, desired))
+            if (mark := observed_status(machine, key, desired))
             and machine.acknowledged_statuses.get(key) != mark
         }
         steps["all"] += 1
