--- a/src/beamspar/machines/command_sending.py
+++ b/src/beamspar/machines/command_sending.py
@@ -2,11 +2,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 from twisted.logger import Logger
 
 from beamspar.machines.managed_machine import AttemptKey, ManagedMachine, SentStart
+from beamspar.machines.reconciler import Reconciler
 from beamspar.machines.worker_client import CommandResult, WorkerClient
 from beamspar.machines.worker_observation import WorkerObserver
 from beamspar.protocol.workers import Command, StartCommand
@@ -25,17 +24,13 @@
         workers: WorkerClient,
         observer: WorkerObserver,
         timeouts: Timeouts,
-        reconcile: Callable[[ManagedMachine], None],
-        repeats_at_once: Callable[[], bool],
+        reconciler: Reconciler,
     ) -> None:
         self.clock = clock
         self.workers = workers
         self.observer = observer
         self.timeouts = timeouts
-        # Looks at the machine anew after an answer.
-        self.reconcile = reconcile
-        # Is a message that only lacked the worker's epoch repeated without a pause?
-        self.repeats_at_once = repeats_at_once
+        self.reconciler = reconciler
 
     def begin_send(self, machine: ManagedMachine, commands: list[Command]) -> None:
         """Send the commands in the background. None at all ask the worker for a report."""
@@ -63,12 +58,12 @@
             pause_s = 0.0 if is_epoch_outdated else self.timeouts.retry
             machine.next_send_at = self.clock.seconds() + pause_s
         self.observer.observe(machine, result.heartbeat)
-        may_repeat_at_once = is_epoch_outdated and self.repeats_at_once()
+        may_repeat_at_once = is_epoch_outdated and self.reconciler.repeats_at_once
         if not machine.has_confirmed_token and not may_repeat_at_once:
             # Not the answer we wait for (an epoch that must end first): no haste.
             earliest = self.clock.seconds() + self.timeouts.retry
             machine.next_send_at = max(machine.next_send_at, earliest)
-        self.reconcile(machine)
+        self.reconciler.reconcile(machine)
 
     def _handle_failure(
         self,
--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -51,8 +51,23 @@
     commands: list[Command]
 
 
+PushStatuses = Callable[[str, list[AttemptStatus]], None]
+OnReleased = Callable[[ManagedMachine, str, int], None]
+
+
 class MachineController:
-    """Owns the machines of this controller's shards."""
+    """Owns the machines of this controller's shards.
+
+    What others set once all actors of the process are made:
+
+    - `push` sends statuses to the controller that owns their jobs;
+    - `on_room` is called when an attempt has ended;
+    - `on_released` is called for each machine that became another controller's, with its new
+      holder and fencing token;
+    - `repeats_at_once`: commands that only lacked the worker's epoch are repeated without a pause;
+    - `caches` is the cache map as the leader passes it on: heartbeats don't list what is cached,
+      so a new holder would think its machines cold.
+    """
 
     def __init__(
         self,
@@ -68,42 +83,22 @@
         self.mirror = registration.mirror
         self.timeouts = timeouts
         self.machines: dict[str, ManagedMachine] = {}
-        # These are set once all actors of the process are made. `push` sends statuses to the
-        # controller that owns their jobs; `on_room` is called when an attempt has ended.
-        self.push: Callable[[str, list[AttemptStatus]], None] = lambda owner, statuses: None
+        self.push: PushStatuses = lambda owner, statuses: None
         self.on_room: Callable[[], None] = lambda: None
-        # Called for each machine that became another controller's, with its new holder and
-        # fencing token.
-        self.on_released: Callable[[ManagedMachine, str, int], None] = (
-            lambda machine, holder, fencing_token: None
-        )
-        # Commands that only lacked the worker's epoch are repeated at once, not after a pause.
+        self.on_released: OnReleased = lambda machine, holder, fencing_token: None
         self.repeats_at_once = False
-        # The cache map as the leader passes it on: heartbeats don't list what is cached, so
-        # a new holder would think its machines cold.
         self.caches: dict[str, dict[str, float]] = {}
         self.summaries = MachineSummaries(clock, timeouts, types)
         self.image_caches = ImageCaches(types)
         faults = FaultEvidence(timeouts)
         self.desired_state = DesiredState(self.machines, faults, self.image_caches)
-        self.observer = WorkerObserver(
-            clock, faults, self.image_caches, on_room=lambda: self.on_room()
-        )
+        self.observer = WorkerObserver(clock, faults, self.image_caches, lambda: self.on_room())
         self.publisher = StatusPublisher(
-            self.desired_state.owner_of, push=lambda owner, statuses: self.push(owner, statuses)
+            self.desired_state.owner_of, lambda owner, statuses: self.push(owner, statuses)
         )
         self.planner = CommandPlanner(clock, self.mirror, self.summaries, timeouts)
-        self.sender = CommandSender(
-            clock,
-            workers,
-            self.observer,
-            timeouts,
-            self._reconcile_if_present,
-            repeats_at_once=lambda: self.repeats_at_once,
-        )
-        self.orphans = OrphanDetector(
-            clock, timeouts, check_binding, lambda machine: self.reconcile(machine)
-        )
+        self.sender = CommandSender(clock, workers, self.observer, timeouts, self)
+        self.orphans = OrphanDetector(clock, timeouts, check_binding, self)
         self.mirror.listeners.append(self._mirror_changed)
 
     # -- shards come and go
@@ -228,10 +223,6 @@
         if not machine.has_confirmed_token or commands or machine.failed_sends:
             self.sender.begin_send(machine, commands if machine.has_confirmed_token else [])
 
-    def _reconcile_if_present(self, machine: ManagedMachine) -> None:
-        if self.machines.get(machine.info.name) is machine:
-            self.reconcile(machine)
-
     def pause_starts(self, machine: ManagedMachine, until: float) -> None:
         """Start nothing new there until then. What runs goes on, and heartbeats are answered."""
         machine.starts_paused_until = until
--- a/src/beamspar/machines/managed_machine.py
+++ b/src/beamspar/machines/managed_machine.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from dataclasses import KW_ONLY, InitVar, dataclass, field
 from typing import NamedTuple
 
 from twisted.logger import Logger
@@ -56,19 +57,17 @@
     exit_reason: str | None
 
 
+@dataclass(eq=False, slots=True)
 class SentStart:
     """A start command that was sent: in which agent epoch, under which fencing token, and what
     is known of its execution."""
 
-    __slots__ = ("agent_epoch", "fencing_token", "is_answered", "is_indeterminate")
-
-    def __init__(self, agent_epoch: int, fencing_token: int) -> None:
-        self.agent_epoch = agent_epoch
-        self.fencing_token = fencing_token
-        # A worker's answer said that it was executed.
-        self.is_answered = False
-        # A copy of it may still be under way.
-        self.is_indeterminate = False
+    agent_epoch: int
+    fencing_token: int
+    # A worker's answer said that it was executed.
+    is_answered: bool = False
+    # A copy of it may still be under way.
+    is_indeterminate: bool = False
 
     @property
     def is_known_executed(self) -> bool:
@@ -76,86 +75,98 @@
         return self.is_answered and not self.is_indeterminate
 
 
+@dataclass(eq=False)
 class ManagedMachine:
     """Owns what is known of one machine under one fencing token of its shard."""
 
-    def __init__(
-        self, info: Machine, fencing_token: int, now: float, last_possible_answer_at: float
-    ) -> None:
-        self.info = info
-        self.fencing_token = fencing_token
-        # What commands carry: the shard's fencing token, or a higher one that supersedes
-        # indeterminate starts.
-        self.command_token = fencing_token
-        # The newest message of its worker, be it a heartbeat or the answer to commands.
-        self.agent_epoch = 0
-        self.observed_seq = -1
-        # Epochs below this one have ended.
-        self.min_agent_epoch = 0
-        # Its own heartbeats only: one that can't reach us answers commands all the same.
-        self.last_heartbeat_id = NO_HEARTBEAT
-        self.last_heartbeat_at = now
-        # The worker knows our command token: it executes nothing that carries a lower one.
-        self.has_confirmed_token = False
-        # Nobody who held it before us can answer its worker any more.
-        self.is_exclusive = False
-        # When somebody entitled may have answered its worker last.
-        self.last_possible_answer_at = last_possible_answer_at
-        # When we answered it last ourselves.
-        self.answered_at = NEVER
-        # Nobody answered its worker for longer than the worker's lease.
-        self.is_expired = False
-        # What its former holder knew was taken over.
-        self.is_taken_over = False
-
-        # The attempts that the worker reports, that were started, and that certainly never run
-        # again under this fencing token.
-        self.tasks: dict[AttemptKey, TaskStatus] = {}
-        self.starts: dict[AttemptKey, SentStart] = {}
-        self.terminated: dict[AttemptKey, AttemptState] = {}
-        # What job controllers want, and the partition that each wish came from.
-        self.desired_attempts: dict[AttemptKey, DesiredAttempt] = {}
-        self.partition_of: dict[AttemptKey, str] = {}
-        # What their job controllers were told of them.
-        self.acknowledged_statuses: dict[AttemptKey, ObservedStatus] = {}
-        # Reported tasks that no job controller wants: since when, whose stored record is being
-        # read, and those that are to be stopped.
-        self.unknown_since: dict[AttemptKey, float] = {}
-        self.being_checked: set[AttemptKey] = set()
-        self.orphaned: set[AttemptKey] = set()
-        # Attempts that stop for work of a higher priority, with their time to save.
-        self.preempted: dict[AttemptKey, float] = {}
-        # Attempts at which something may be due. All others ran as wanted, and their job
-        # controller knew it, when they were looked at last: a machine may have hundreds, and
-        # few change.
-        self.pending_keys: dict[AttemptKey, None] = {}
-        # Nothing is due here before something changes: the regular check passes it by.
-        self.is_converged = False
-
-        self.is_sending_commands = False
-        self.failed_sends = 0
-        self.next_send_at = now
-        # Until when nothing new is started there, for it is about to move.
-        self.starts_paused_until = NEVER
-        # The leader means to return it: it takes nothing new.
-        self.is_draining = False
-        self.termination_notice_s: float | None = None
-        self.idle_since = now
-
-        # When jobs failed there last; until when it gets no new work for that.
-        self.job_failures: dict[str, float] = {}
-        self.quarantined_until = 0.0
-        self.is_degraded = False
-
-        # Cached images and their sizes, the least recently used first.
-        self.images: dict[str, float] = {}
-        # Counted anew after a change: the room there, and what its live attempts use of it.
-        self.room: Room | None = None
-        self.reserved: Resources | None = None
-        # The count of changes at its last one, and whether heartbeats to the leader told that
-        # it was silent.
-        self.last_change = 0
-        self.was_reported_silent = False
+    info: Machine
+    fencing_token: int
+    now: InitVar[float]
+    # When somebody entitled may have answered its worker last.
+    last_possible_answer_at: float
+    _: KW_ONLY
+
+    # -- its worker
+
+    # What commands carry: the shard's fencing token, or a higher one that supersedes
+    # indeterminate starts.
+    command_token: int = field(init=False)
+    # The worker knows our command token: it executes nothing that carries a lower one.
+    has_confirmed_token: bool = False
+    # The newest message of the worker, be it a heartbeat or the answer to commands.
+    agent_epoch: int = 0
+    observed_seq: int = -1
+    # Epochs below this one have ended.
+    min_agent_epoch: int = 0
+    # Its own heartbeats only: one that can't reach us answers commands all the same.
+    last_heartbeat_id: HeartbeatId = NO_HEARTBEAT
+    last_heartbeat_at: float = field(init=False)
+    # When we answered it last ourselves.
+    answered_at: float = NEVER
+    # Nobody who held the machine before us can answer its worker any more.
+    is_exclusive: bool = False
+    # Nobody answered the worker for longer than its lease.
+    is_expired: bool = False
+    # What its former holder knew was taken over.
+    is_taken_over: bool = False
+
+    # -- attempts: reported ones, started ones, and those that certainly never run again under
+    # this fencing token
+
+    tasks: dict[AttemptKey, TaskStatus] = field(default_factory=dict)
+    starts: dict[AttemptKey, SentStart] = field(default_factory=dict)
+    terminated: dict[AttemptKey, AttemptState] = field(default_factory=dict)
+    # What job controllers want, by which partition, and what they were told.
+    desired_attempts: Attempts = field(default_factory=dict)
+    partition_of: dict[AttemptKey, str] = field(default_factory=dict)
+    acknowledged_statuses: dict[AttemptKey, ObservedStatus] = field(default_factory=dict)
+    # Reported tasks that no job controller wants: since when, whose stored record is being
+    # read, and those that are to be stopped.
+    unknown_since: dict[AttemptKey, float] = field(default_factory=dict)
+    being_checked: set[AttemptKey] = field(default_factory=set)
+    orphaned: set[AttemptKey] = field(default_factory=set)
+    # Attempts that stop for work of a higher priority, with their time to save.
+    preempted: dict[AttemptKey, float] = field(default_factory=dict)
+    # Attempts at which something may be due. All others ran as wanted, and their job controller
+    # knew it, when they were looked at last: a machine may have hundreds, and few change.
+    pending_keys: dict[AttemptKey, None] = field(default_factory=dict)
+    # Nothing is due here before something changes: the regular check passes it by.
+    is_converged: bool = False
+
+    # -- commands
+
+    is_sending_commands: bool = False
+    failed_sends: int = 0
+    next_send_at: float = field(init=False)
+
+    # -- whether it gets new work
+
+    # Until when nothing new is started there, for it is about to move.
+    starts_paused_until: float = NEVER
+    # The leader means to return it: it takes nothing new.
+    is_draining: bool = False
+    termination_notice_s: float | None = None
+    idle_since: float = field(init=False)
+    # When jobs failed there last; until when it is quarantined for that.
+    job_failures: dict[str, float] = field(default_factory=dict)
+    quarantined_until: float = 0.0
+    # Several jobs failed there, and none has been done since.
+    is_degraded: bool = False
+    # Cached images and their sizes, the least recently used first.
+    images: dict[str, float] = field(default_factory=dict)
+
+    # -- what is told of it
+
+    # Counted anew after a change: its room, and what its live attempts use.
+    room: Room | None = None
+    reserved: Resources | None = None
+    # The count of changes at its last one, and whether the leader was told that it is silent.
+    last_change: int = 0
+    was_reported_silent: bool = False
+
+    def __post_init__(self, now: float) -> None:
+        self.command_token = self.fencing_token
+        self.last_heartbeat_at = self.next_send_at = self.idle_since = now
 
     def mark_changed(self, *attempts: AttemptKey) -> None:
         """What it holds or is has changed: its room is to be counted anew, and the next
--- a/src/beamspar/machines/orphan_detection.py
+++ b/src/beamspar/machines/orphan_detection.py
@@ -7,6 +7,7 @@
 from twisted.logger import Logger
 
 from beamspar.machines.managed_machine import AttemptKey, ManagedMachine
+from beamspar.machines.reconciler import Reconciler
 from beamspar.settings import Timeouts
 from beamspar.transport.http import Clock, spawn
 
@@ -25,12 +26,12 @@
         clock: Clock,
         timeouts: Timeouts,
         check_binding: CheckBinding,
-        reconcile: Callable[[ManagedMachine], None],
+        reconciler: Reconciler,
     ) -> None:
         self.clock = clock
         self.timeouts = timeouts
         self.check_binding = check_binding
-        self.reconcile = reconcile
+        self.reconciler = reconciler
 
     def check(self, machine: ManagedMachine, now: float) -> None:
         """Begin to check those tasks of the machine that no job controller has spoken of for
@@ -59,7 +60,7 @@
             log.info("{machine}: {key} is orphaned", machine=machine.info.name, key=key)
             machine.orphaned.add(key)
             machine.mark_changed(key)
-            self.reconcile(machine)
+            self.reconciler.reconcile(machine)
 
 
 def _is_unknown(machine: ManagedMachine, key: AttemptKey) -> bool:
