--- a/src/beamspar/machines/desired_state.py
+++ b/src/beamspar/machines/desired_state.py
@@ -27,6 +27,15 @@
 NO_UPDATE = UpdateId(0, 0, 0)
 
 
+class AppliedUpdate(NamedTuple):
+    """What became of an update."""
+
+    # The attempts that it names, in its order.
+    attempts: list[tuple[AttemptKey, DesiredAttempt]]
+    # The machines where it changes something.
+    changed_machines: list[str]
+
+
 class DesiredState:
     """Owns what each partition wants on each machine, managed here or not."""
 
@@ -49,16 +58,19 @@
         """The controller that owns the jobs of the partition, if it has spoken."""
         return self._owners.get(partition)
 
-    def apply(self, update: DesiredStateUpdate) -> list[str] | None:
-        """Take in an update; the machines where it changes something, None if it is outdated."""
+    def apply(self, update: DesiredStateUpdate) -> AppliedUpdate | None:
+        """Take in an update, unless it is outdated."""
         update_id = UpdateId(update.version, update.incarnation, update.sequence)
         if update_id <= self._latest.get(update.partition, NO_UPDATE):
             return None
         self._latest[update.partition] = update_id
         self._owners[update.partition] = update.owner
+        attempts = [
+            (AttemptKey(desired.task, desired.attempt), desired)
+            for desired in update.desired_attempts
+        ]
         by_machine: dict[str, Attempts] = {}
-        for desired in update.desired_attempts:
-            key = AttemptKey(desired.task, desired.attempt)
+        for key, desired in attempts:
             by_machine.setdefault(desired.machine, {})[key] = desired
         known = self._desired.setdefault(update.partition, {})
         if update.machines is None:
@@ -73,7 +85,7 @@
             machine = self.machines.get(name)
             if machine is not None and self._replace(machine, update.partition, before, now):
                 changed.append(name)
-        return changed
+        return AppliedUpdate(attempts, changed)
 
     def restore(self, machine: ManagedMachine) -> None:
         """Apply to a machine that has just come what was wanted there before."""
--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -189,14 +189,14 @@
 
         Returns the statuses of the attempts that it names, as far as they are known.
         """
-        changed = self.desired_state.apply(update)
-        if changed is None:
+        applied = self.desired_state.apply(update)
+        if applied is None:
             return []
-        for name in changed:
+        for name in applied.changed_machines:
             machine = self.managed(name)
             if machine:
                 self.reconcile(machine)
-        return self.publisher.answer(update, self.machines)
+        return self.publisher.answer(update.partition, applied.attempts, self.machines)
 
     def unacknowledged(self, statuses: list[AttemptStatus]) -> None:
         """These did not reach their job controller: they are pushed again with the next
--- a/src/beamspar/machines/managed_machine.py
+++ b/src/beamspar/machines/managed_machine.py
@@ -5,6 +5,7 @@
 from dataclasses import KW_ONLY, InitVar, dataclass, field
 from typing import NamedTuple
 
+import msgspec
 from twisted.logger import Logger
 
 from beamspar.machines.resources import Resources
@@ -50,7 +51,7 @@
 NO_HEARTBEAT = HeartbeatId(0, -1)
 
 
-class ObservedStatus(NamedTuple):
+class ObservedStatus(msgspec.Struct, frozen=True):
     """The state of an attempt, and why it ended, as its job controller should know them."""
 
     state: str
--- a/src/beamspar/machines/status_publishing.py
+++ b/src/beamspar/machines/status_publishing.py
@@ -10,7 +10,6 @@
     AttemptStatus,
     DesiredAction,
     DesiredAttempt,
-    DesiredStateUpdate,
 )
 
 
@@ -72,16 +71,18 @@
             self.push(owner, statuses)
 
     def answer(
-        self, update: DesiredStateUpdate, machines: Mapping[str, ManagedMachine]
+        self,
+        partition: str,
+        attempts: Iterable[tuple[AttemptKey, DesiredAttempt]],
+        machines: Mapping[str, ManagedMachine],
     ) -> list[AttemptStatus]:
-        """The statuses of all attempts that the update names, as the answer to it."""
+        """The statuses of attempts that an update of the partition names, as far as known."""
         answers = []
-        for desired in update.desired_attempts:
+        for key, desired in attempts:
             machine = machines.get(desired.machine)
             if machine is None or machine.fencing_token != desired.fencing_token:
                 continue
-            key = AttemptKey(desired.task, desired.attempt)
-            if machine.partition_of.get(key, update.partition) != update.partition:
+            if machine.partition_of.get(key, partition) != partition:
                 continue
             observed = observed_status(machine, key, desired)
             if observed is not None:
