--- a/src/beamspar/machines/command_planning.py
+++ b/src/beamspar/machines/command_planning.py
@@ -142,7 +142,7 @@
         self, machine: ManagedMachine, key: AttemptKey, desired: DesiredAttempt
     ) -> NextStep:
         if key in machine.starts:
-            # The worker executes it once, however often it is sent.
+            # Repeated until it is answered: it does nothing where the worker has the attempt.
             return NextStep.START
         if not self.summaries.is_usable(machine):
             return NextStep.REFUSE
@@ -242,7 +242,7 @@
         if observed is None or machine.acknowledged_statuses.get(key) != observed:
             return False
         if task is None:
-            # It is terminated, and that was told.
+            # It is terminated, and its job controller knows.
             return True
         return (
             task.status != "ended"
--- a/src/beamspar/machines/command_sending.py
+++ b/src/beamspar/machines/command_sending.py
@@ -33,7 +33,7 @@
         self.reconciler = reconciler
 
     def begin_send(self, machine: ManagedMachine, commands: list[Command]) -> None:
-        """Send the commands in the background. None at all ask the worker for a report."""
+        """Send the commands in the background. An empty list asks the worker for a heartbeat."""
         machine.is_sending_commands = True
         spawn(self._send(machine, commands), "commands")
 
--- a/src/beamspar/machines/desired_state.py
+++ b/src/beamspar/machines/desired_state.py
@@ -55,7 +55,7 @@
         self._desired: dict[str, dict[str, Attempts]] = {}
 
     def owner_of(self, partition: str) -> str | None:
-        """The controller that owns the jobs of the partition, if it has spoken."""
+        """The controller that owns the jobs of the partition, if an update of it has arrived."""
         return self._owners.get(partition)
 
     def apply(self, update: DesiredStateUpdate) -> AppliedUpdate | None:
@@ -98,8 +98,8 @@
     def _replace(
         self, machine: ManagedMachine, partition: str, before: Attempts, now: Attempts
     ) -> bool:
-        """One partition's wishes on one machine replace its earlier ones; whether that changes
-        something."""
+        """What one partition wants on one machine replaces what it wanted before; whether that
+        changes something."""
         changed = []
         for key, desired in before.items():
             if key not in now and _drop_desired(machine, key, desired):
@@ -130,11 +130,11 @@
 def _set_desired(
     machine: ManagedMachine, key: AttemptKey, desired: DesiredAttempt, partition: str
 ) -> bool:
-    """One partition's wish for an attempt takes effect, unless it only holds room while
-    another's stands.
+    """What one partition wants of an attempt takes effect, unless it only reserves room while
+    another partition wants that attempt.
 
     A repeated submission may be on its way to being accepted by another controller, under the
-    same names: until its record is refused, what it holds must not replace what the stored
+    same names: until its record is refused, what it reserves must not replace what the stored
     record wants. Tasks that ran were taken for refused, and started elsewhere.
     """
     if (
@@ -148,7 +148,7 @@
 
 
 def _drop_desired(machine: ManagedMachine, key: AttemptKey, desired: DesiredAttempt) -> bool:
-    """The wish is not made any more; False where another's has replaced it."""
+    """The partition does not want this any more; False where another's has replaced it."""
     if machine.desired_attempts.get(key) is not desired:
         return False
     del machine.desired_attempts[key]
--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -1,8 +1,8 @@
 """The machine controller: alone answers the heartbeats of its machines and sends them commands.
 
-It is soft state: what it must know it learns from job controllers' desired state and workers'
-heartbeats. What it says of an attempt is `gone` only on proof, and `gone` is final: it will not
-start that attempt again under that fencing token.
+Its state is soft: it is learned anew from job controllers' desired state and workers' heartbeats.
+An attempt is declared `gone` only on proof, and `gone` is final: it will not be started again under
+that fencing token.
 """
 
 from __future__ import annotations
@@ -206,14 +206,14 @@
     # -- reconciliation
 
     def reconcile(self, machine: ManagedMachine) -> None:
-        """Compare the desired with the observed state, send what is missing, tell what
+        """Compare the desired with the observed state, send what is missing, publish what
         changed."""
         if self.managed(machine.info.name) is not machine:
             return
         now = self.clock.seconds()
         starts = self.planner.plan_starts(machine)
         due = self.planner.stops_and_clears(machine) + starts
-        # Nothing is started by a mirror that may not know what its user has cancelled.
+        # Nothing is started from a mirror that may lack a cancellation.
         commands = due if self.mirror.is_current() else [c for c in due if c not in starts]
         self.publisher.publish(machine)
         self.planner.update_convergence(machine, due)
@@ -270,7 +270,7 @@
         """What others knew of the machine's cache, as far as we don't."""
         self.image_caches.add_known(machine, known)
 
-    # -- what is told of the machines
+    # -- summaries
 
     @property
     def changes(self) -> int:
--- a/src/beamspar/machines/machine_summaries.py
+++ b/src/beamspar/machines/machine_summaries.py
@@ -1,4 +1,4 @@
-"""What a controller's machines have room for, and what its heartbeats tell the leader of them."""
+"""What a controller's machines have room for, and what its heartbeats report to the leader."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from beamspar.settings import Timeouts
 from beamspar.transport.http import Clock
 
-# Priority ranks for which a room tells what preemption would add.
+# Priority ranks for which a room has what preemption would add.
 PRIORITY_RANKS = 4
 # After so many failed sends in a row a machine gets no new work.
 MAX_FAILED_SENDS = 2
 
 
 class MachineSummaries:
-    """Owns the count of changes by which heartbeats tell only what is new."""
+    """Owns the count of changes by which heartbeats report only what is new."""
 
     def __init__(
         self, clock: Clock, timeouts: Timeouts, types: Callable[[], dict[str, MachineType]]
@@ -73,7 +73,7 @@
         self, machines: Iterable[ManagedMachine], since: int, most: int
     ) -> tuple[list[MachineStatus], int]:
         """What has changed after that count of changes, silent machines always; and the count
-        up to which this tells: of more changes than fit into one message, the earlier ones."""
+        up to which this goes: of more changes than fit into one message, the earlier ones."""
         now = self.clock.seconds()
         changed: list[ManagedMachine] = []
         silent: list[ManagedMachine] = []
@@ -98,7 +98,7 @@
         return now - machine.last_heartbeat_at > self.timeouts.silent / 2
 
     def _status(self, machine: ManagedMachine, now: float) -> MachineStatus:
-        # Told while it lasts, and once more when it is over.
+        # Reported while it lasts, and once more when it is over.
         machine.was_reported_silent = self._is_silent(machine, now)
         return MachineStatus(
             self.room(machine),
@@ -129,7 +129,7 @@
         free.memory_gb,
         dict(machine.images),
         _preemptible(machine, live),
-        # Tasks that no job controller has spoken of yet keep the machine from being idle, too.
+        # Tasks that no job controller has named yet keep the machine from being idle, too.
         tasks=_count_unknown_tasks(machine) + len(live),
         fetching=_count_awaited_images(machine, live),
     )
--- a/src/beamspar/machines/managed_machine.py
+++ b/src/beamspar/machines/managed_machine.py
@@ -117,7 +117,7 @@
     tasks: dict[AttemptKey, TaskStatus] = field(default_factory=dict)
     starts: dict[AttemptKey, SentStart] = field(default_factory=dict)
     terminated: dict[AttemptKey, AttemptState] = field(default_factory=dict)
-    # What job controllers want, by which partition, and what they were told.
+    # What job controllers want, by which partition, and the statuses that they know.
     desired_attempts: Attempts = field(default_factory=dict)
     partition_of: dict[AttemptKey, str] = field(default_factory=dict)
     acknowledged_statuses: dict[AttemptKey, ObservedStatus] = field(default_factory=dict)
@@ -151,17 +151,17 @@
     # When jobs failed there last; until when it is quarantined for that.
     job_failures: dict[str, float] = field(default_factory=dict)
     quarantined_until: float = 0.0
-    # Several jobs failed there, and none has been done since.
+    # Several jobs failed there, and no task has been done since.
     is_degraded: bool = False
     # Cached images and their sizes, the least recently used first.
     images: dict[str, float] = field(default_factory=dict)
 
-    # -- what is told of it
+    # -- its summary
 
     # Counted anew after a change: its room, and what its live attempts use.
     room: Room | None = None
     reserved: Resources | None = None
-    # The count of changes at its last one, and whether the leader was told that it is silent.
+    # The count of changes at its last one, and whether the leader knows that it is silent.
     last_change: int = 0
     was_reported_silent: bool = False
 
@@ -222,7 +222,7 @@
         return start is not None and start.is_indeterminate and not self.is_superseded(start)
 
     def is_superseded(self, start: SentStart) -> bool:
-        """Has the worker told us that it executes no command as old as this one any more?"""
+        """Has the worker confirmed that it executes no command as old as this one any more?"""
         return self.has_confirmed_token and start.fencing_token < self.command_token
 
     def is_live(self, key: AttemptKey) -> bool:
--- a/src/beamspar/machines/orphan_detection.py
+++ b/src/beamspar/machines/orphan_detection.py
@@ -34,7 +34,7 @@
         self.reconciler = reconciler
 
     def check(self, machine: ManagedMachine, now: float) -> None:
-        """Begin to check those tasks of the machine that no job controller has spoken of for
+        """Begin to check those tasks of the machine that no job controller has named for
         long."""
         for key in list(machine.unknown_since):
             if key not in machine.tasks or key in machine.desired_attempts:
@@ -55,7 +55,7 @@
             is_bound = await self.check_binding(key.task, key.attempt, machine.info.name)
         finally:
             machine.being_checked.discard(key)
-        # None is no answer; and a job controller may have spoken meanwhile.
+        # None is no answer; and a job controller may have named it meanwhile.
         if is_bound is False and key in machine.tasks and key not in machine.desired_attempts:
             log.info("{machine}: {key} is orphaned", machine=machine.info.name, key=key)
             machine.orphaned.add(key)
--- a/src/beamspar/machines/status_publishing.py
+++ b/src/beamspar/machines/status_publishing.py
@@ -1,4 +1,4 @@
-"""Tells job controllers the states of their attempts, and repeats what did not arrive."""
+"""Publishes the states of attempts to their job controllers; repeats what did not arrive."""
 
 from __future__ import annotations
 
--- a/tests/test_failure_backoff.py
+++ b/tests/test_failure_backoff.py
@@ -23,12 +23,12 @@
 
 
 def machine(name: str) -> ManagedMachine:
-    """A held machine that has not failed anything yet."""
+    """A managed machine that has not failed anything yet."""
     return ManagedMachine(Machine(name, f"{name}:9000", "small", "east"), 7, 0.0, 0.0)
 
 
 def evidence() -> FaultEvidence:
-    """A holder's evidence, with the stand-ins' durations."""
+    """A machine controller's evidence, with the stand-ins' durations."""
     settings: Settings = World().settings["rig-0"]
     return FaultEvidence(Timeouts(settings, OperatorSettings()))
 
@@ -65,7 +65,7 @@
     assert backoff.may_start(200, 0, 0, 1.1) == 200
 
 
-def test_two_jobs_speak_against_a_machine_unless_their_owners_blame_them() -> None:
+def test_two_jobs_speak_against_a_machine_unless_their_job_controllers_blame_them() -> None:
     faults, one = evidence(), machine("host-1")
     assert faults.attribute_failure(one, "j-1", False, 1.0) == ["j-1"]
     assert faults.attribute_failure(one, "j-2", False, 2.0) == ["j-1", "j-2"]
@@ -95,9 +95,9 @@
     assert len(one.job_failures) <= faults.timeouts.worker_lease * 6 + 1
 
 
-def test_a_want_of_this_release_is_read_by_one_without_the_field() -> None:
-    class OldWant(msgspec.Struct, array_like=True):
+def test_a_desired_attempt_of_this_release_is_read_by_one_without_the_field() -> None:
+    class OldDesiredAttempt(msgspec.Struct, array_like=True):
         machine: str
         number: int
 
-    assert msgspec.json.decode(b'["host-1",7,"j-1/0",1]', type=OldWant).number == 7
+    assert msgspec.json.decode(b'["host-1",7,"j-1/0",1]', type=OldDesiredAttempt).number == 7
--- a/tests/test_machine_controller.py
+++ b/tests/test_machine_controller.py
@@ -1,4 +1,4 @@
-"""A holder between two owners that speak of the same attempt."""
+"""A machine controller between two job controllers that name the same attempt."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 from tests.test_budget import settings
 
 
-class Silent:
+class SilentWorkers:
     """Workers that never answer."""
 
-    async def order(self, *rest: Any) -> Any:
+    async def send_commands(self, *rest: Any) -> Any:
         await Deferred()
 
 
@@ -31,41 +31,43 @@
     registration.mirror.observe("c/fence/rig-0", {"inc": 1}, 3)
     registration.incarnation, registration.fence_version, registration.started = 1, 3, True
     registration.renewed_at = registration.mirror.watched_at = 0.0
-    holder = MachineController(clock, registration, Silent(), timeouts, dict, lambda *rest: None)  # type: ignore[arg-type]
+    controller = MachineController(
+        clock, registration, SilentWorkers(), timeouts, dict, lambda *rest: None
+    )  # type: ignore[arg-type]
     machine = {"name": "m-1", "address": "m-1:9", "kind": "small", "zone": "east", "spot": False}
     registration.mirror.observe("c/block/m-1", {"holder": "rig-0", "machines": [machine]}, 7)
-    return holder
+    return controller
 
 
-def desired_attempts(partition: str, action: str | None, seq: int) -> DesiredStateUpdate:
+def update(partition: str, action: str | None, seq: int) -> DesiredStateUpdate:
     listed = [DesiredAttempt("m-1", 7, "j-1/0", 1, action, 1.0)] if action else []
     return DesiredStateUpdate(partition.partition(".")[0], partition, 5, 1, seq, listed)
 
 
-def test_a_hold_does_not_replace_what_another_owner_has_stored() -> None:
-    holder = make()
-    machine = holder.machines["m-1"]
+def test_a_reservation_does_not_replace_what_another_job_controller_has_stored() -> None:
+    controller = make()
+    machine = controller.machines["m-1"]
     key = ("j-1/0", 1)
-    holder.sync(desired_attempts("rig-0.1", DesiredAction.RUN, 1))
-    assert holder.sync(desired_attempts("rig-1.1", DesiredAction.HOLD, 1)) == []
+    controller.sync(update("rig-0.1", DesiredAction.RUN, 1))
+    assert controller.sync(update("rig-1.1", DesiredAction.HOLD, 1)) == []
     assert (
         machine.desired_attempts[key].action == DesiredAction.RUN
         and machine.partition_of[key] == "rig-0.1"
     )
     # Its accept was refused: it wants nothing any more.
-    holder.sync(desired_attempts("rig-1.1", None, 2))
+    controller.sync(update("rig-1.1", None, 2))
     assert machine.desired_attempts[key].action == DesiredAction.RUN
 
 
-def test_what_is_stored_replaces_a_hold() -> None:
-    holder = make()
-    machine = holder.machines["m-1"]
+def test_what_is_stored_replaces_a_reservation() -> None:
+    controller = make()
+    machine = controller.machines["m-1"]
     key = ("j-1/0", 1)
-    holder.sync(desired_attempts("rig-1.1", DesiredAction.HOLD, 1))
-    holder.sync(desired_attempts("rig-0.1", DesiredAction.RUN, 1))
+    controller.sync(update("rig-1.1", DesiredAction.HOLD, 1))
+    controller.sync(update("rig-0.1", DesiredAction.RUN, 1))
     assert (
         machine.desired_attempts[key].action == DesiredAction.RUN
         and machine.partition_of[key] == "rig-0.1"
     )
-    holder.sync(desired_attempts("rig-1.1", None, 2))
+    controller.sync(update("rig-1.1", None, 2))
     assert machine.desired_attempts[key].action == DesiredAction.RUN
--- a/tests/test_moving_machines.py
+++ b/tests/test_moving_machines.py
@@ -1,4 +1,4 @@
-"""Machines, jobs and limits in trouble at the moment at which a block moves."""
+"""Machines, jobs and limits in trouble at the moment at which a shard moves."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
     return begin
 
 
-def deaf(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
-    """Reports arrive, nothing reaches the machines."""
+def commands_lost(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
+    """Heartbeats arrive, nothing reaches the machines."""
     for node in world.names:
         for name in machines:
             world.network.cut(node, name, "drop", both=False)
             world.clock.callLater(LATER_S, world.network.heal, node, name)
 
 
-def mute(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
+def heartbeats_lost(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
     for name in machines:
         world.mute(name)
     world.clock.callLater(LATER_S, world.network.barred.clear)
 
 
-def old_reports(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
+def old_heartbeats(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
     """Copies of all that the machines ever reported arrive on either side."""
     for name in machines:
         for number, body in enumerate(world.cloud.workers[name].copies):
@@ -46,8 +46,8 @@
                 world.clock.callLater(0.01 * number, world.call, node, "POST", "/v1/report", body)
 
 
-def held_orders(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
-    """What the source orders from now on reaches the machines after the move."""
+def delayed_commands(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
+    """What the source sends from now on reaches the machines after the move."""
     for name in machines:
         world.network.cut(source, name, "hold", both=False)
         world.clock.callLater(6.0, world.network.heal, source, name)
@@ -66,7 +66,7 @@
 
 
 def cancel(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
-    """Users call off what runs there, and then both holders end."""
+    """Users cancel what runs there, and then both controllers end."""
     jobs = {
         task.partition("/")[0]
         for task, places in world.checker.on.items()
@@ -91,14 +91,14 @@
 TROUBLES = {
     "hang": hang(6.0),
     "hang beyond the lease": hang(30.0),
-    "deaf": deaf,
-    "mute": mute,
-    "old reports": old_reports,
-    "held orders": held_orders,
+    "commands lost": commands_lost,
+    "heartbeats lost": heartbeats_lost,
+    "old heartbeats": old_heartbeats,
+    "delayed commands": delayed_commands,
     "zone cut": zone_cut,
-    "cancelled, both end": cancel,
+    "jobs cancelled, both controllers end": cancel,
     "smaller limits": lower_limits,
-    "both end": end_both,
+    "both controllers end": end_both,
 }
 MOMENTS = ["prepare", "commit", "release"]
 # Each trouble at one of the moments unless all are asked for.
--- a/tests/test_open_attempts.py
+++ b/tests/test_open_attempts.py
@@ -1,4 +1,4 @@
-"""A holder's step looks at open attempts only, and misses nothing that a look at all would find."""
+"""Reconciliation looks at pending attempts only, and misses nothing that is due elsewhere."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from tests.test_random import test_random_faults as random_faults
 
 
-def due(holder: MachineController, machine: ManagedMachine) -> tuple[list[str], set[Any]]:
-    """Orders for what the machine reports, and attempts that are neither there nor over."""
-    commands = sorted(map(str, holder.planner.stops_and_clears(machine)))
+def due(controller: MachineController, machine: ManagedMachine) -> tuple[list[str], set[Any]]:
+    """Commands for what the machine reports, and attempts that are neither there nor terminated."""
+    commands = sorted(map(str, controller.planner.stops_and_clears(machine)))
     missing = {
         key
         for key in machine.pending_keys
@@ -26,11 +26,11 @@
 
 
 @pytest.mark.parametrize("seed", [3, 4])
-def test_nothing_is_due_for_what_is_not_open(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    step = MachineController.reconcile
-    # An exception in a step is logged by whoever took it, so misses are kept.
+def test_nothing_is_due_for_what_is_not_pending(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    reconcile = MachineController.reconcile
+    # An exception in a reconciliation is logged by its caller, so misses are kept.
     missed: list[Any] = []
-    steps = {"all": 0, "with something closed": 0}
+    counts = {"all": 0, "with something settled": 0}
 
     def checked(self: MachineController, machine: ManagedMachine) -> None:
         found = due(self, machine)
@@ -43,16 +43,16 @@
             if (mark := observed_status(machine, key, desired))
             and machine.acknowledged_statuses.get(key) != mark
         }
-        steps["all"] += 1
-        steps["with something closed"] += len(known.keys() & machine.pending_keys.keys()) < len(
+        counts["all"] += 1
+        counts["with something settled"] += len(known.keys() & machine.pending_keys.keys()) < len(
             machine.pending_keys
         )
         machine.pending_keys = known
         if found != everything or not unacknowledged <= known.keys():
             missed.append((machine.info.name, found, everything, unacknowledged - known.keys()))
-        step(self, machine)
+        reconcile(self, machine)
 
     monkeypatch.setattr(MachineController, "reconcile", checked)
     random_faults(seed)
     assert missed == []
-    assert steps["with something closed"] > steps["all"] / 10
+    assert counts["with something settled"] > counts["all"] / 10
