--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -110,8 +110,9 @@
             self._follow_cancellation(key.removeprefix(keys.CANCELLATION_PREFIX))
 
     def _follow_cancellation(self, job: str) -> None:
+        prefix = job + "/"
         for machine in self.machines.values():
-            attempts = [key for key in machine.tasks if key.job == job]
+            attempts = [key for key in machine.tasks if key.task.startswith(prefix)]
             if attempts:
                 machine.mark_changed(*attempts)
                 self.reconcile(machine)
