--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -1,55 +1,73 @@
-"""The holder: alone answers the reports of its machines and gives them orders.
+"""The machine controller: alone answers the heartbeats of its machines and sends them commands.
 
-It is soft state: what it must know it learns from owners' wants and workers'
-reports. What it says of an attempt is `gone` only on proof, and `gone` is final:
-it will not start that attempt again under that number.
+Its state is soft: it is learned anew from job controllers' desired state and workers' heartbeats.
+An attempt is declared `gone` only on proof, and `gone` is final: it will not be started again under
+that fencing token.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import NamedTuple
 
 from twisted.logger import Logger
 
 from beamspar.cluster.registration import Registration
+from beamspar.machines.command_planning import CommandPlanner
+from beamspar.machines.command_sending import CommandSender
+from beamspar.machines.desired_state import DesiredState
 from beamspar.machines.fault_evidence import FaultEvidence
+from beamspar.machines.image_caches import ImageCaches
 from beamspar.machines.machine_summaries import MachineSummaries
-from beamspar.machines.managed_machine import Key, ManagedMachine, Start
+from beamspar.machines.managed_machine import ManagedMachine
+from beamspar.machines.orphan_detection import CheckBinding, OrphanDetector
+from beamspar.machines.status_publishing import StatusPublisher
 from beamspar.machines.worker_client import WorkerClient
-from beamspar.placement import Room, copy, evict_least_recently_used
+from beamspar.machines.worker_observation import WorkerObserver
+from beamspar.placement import Room, copy
 from beamspar.protocol.cloud import MachineType
 from beamspar.protocol.peer_messages import (
     VIEWS_AT_ONCE,
-    AttemptState,
     AttemptStatus,
-    DesiredAction,
-    DesiredAttempt,
     DesiredStateUpdate,
     MachineStatus,
 )
-from beamspar.protocol.workers import (
-    ClearCommand,
-    Command,
-    StartCommand,
-    StopCommand,
-    TaskStatus,
-    WorkerHeartbeat,
-)
+from beamspar.protocol.workers import Command, WorkerHeartbeat
 from beamspar.settings import Timeouts
 from beamspar.state import keys
-from beamspar.transport.http import CallFailedError, Clock, spawn
+from beamspar.state.control_records import Machine, MachineShard
+from beamspar.transport.http import Clock
+
+log = Logger(namespace="machines")
+
+# How much later than a pause its end is looked at, so that the pause is certainly over.
+RESUME_DELAY_S = 0.001
+
 
-log = Logger(namespace="holder")
+class HeartbeatAnswer(NamedTuple):
+    """What a worker's heartbeat is answered with."""
 
-# What a task that saves may take, as a share of what its job says.
-SAVE_MARGIN = 1.5
-# Attempts that are over and remembered per machine.
-MOST_OVER = 400
+    fencing_token: int
+    commands: list[Command]
+
+
+PushStatuses = Callable[[str, list[AttemptStatus]], None]
+OnReleased = Callable[[ManagedMachine, str, int], None]
 
 
 class MachineController:
-    """Owns the state of the machines in this controller's blocks."""
+    """Owns the machines of this controller's shards.
+
+    What others set once all actors of the process are made:
+
+    - `push` sends statuses to the controller that owns their jobs;
+    - `on_room` is called when an attempt has ended;
+    - `on_released` is called for each machine that became another controller's, with its new
+      holder and fencing token;
+    - `repeats_at_once`: commands that only lacked the worker's epoch are repeated without a pause;
+    - `caches` is the cache map as the leader passes it on: heartbeats don't list what is cached,
+      so a new holder would think its machines cold.
+    """
 
     def __init__(
         self,
@@ -58,651 +76,165 @@
         workers: WorkerClient,
         timeouts: Timeouts,
         types: Callable[[], dict[str, MachineType]],
-        verdict: Callable[[str, int, str], Any],
+        check_binding: CheckBinding,
     ) -> None:
         self.clock = clock
         self.registration = registration
         self.mirror = registration.mirror
-        self.workers = workers
         self.timeouts = timeouts
-        self.types = types
-        self.verdict = verdict
         self.machines: dict[str, ManagedMachine] = {}
-        self.streams: dict[str, tuple[int, int, int]] = {}
-        # Per partition and machine, what its owner wants there.
-        self.stream_wants: dict[str, dict[str, dict[Key, DesiredAttempt]]] = {}
-        self.owners: dict[str, str] = {}
-        self.push: Callable[[str, list[AttemptStatus]], None] = lambda owner, statuses: None
+        self.push: PushStatuses = lambda owner, statuses: None
         self.on_room: Callable[[], None] = lambda: None
-        # Told of each machine that became another controller's, with its new holder and number.
-        self.on_released: Callable[[ManagedMachine, str, int], None] = lambda machine, holder, n: (
-            None
-        )
-        self.faults = FaultEvidence(timeouts)
-        # An order that only lacked the worker's session is repeated at once, not after a pause.
+        self.on_released: OnReleased = lambda machine, holder, fencing_token: None
         self.repeats_at_once = False
-        self.summaries = MachineSummaries(clock, timeouts, types)
-        # The cache map as the leader passes it on: reports don't list what is cached, so
-        # a new holder would think its machines cold.
         self.caches: dict[str, dict[str, float]] = {}
-        registration.mirror.listeners.append(self._changed)
+        self.summaries = MachineSummaries(clock, timeouts, types)
+        self.image_caches = ImageCaches(types)
+        faults = FaultEvidence(timeouts)
+        self.desired_state = DesiredState(self.machines, faults, self.image_caches)
+        self.observer = WorkerObserver(clock, faults, self.image_caches, lambda: self.on_room())
+        self.publisher = StatusPublisher(
+            self.desired_state.owner_of, lambda owner, statuses: self.push(owner, statuses)
+        )
+        self.planner = CommandPlanner(clock, self.mirror, self.summaries, timeouts)
+        self.sender = CommandSender(clock, workers, self.observer, timeouts, self)
+        self.orphans = OrphanDetector(clock, timeouts, check_binding, self)
+        self.mirror.listeners.append(self._mirror_changed)
 
-    # -- blocks
+    # -- shards come and go
 
-    def _changed(self, key: str) -> None:
+    def _mirror_changed(self, key: str) -> None:
         if key.startswith(keys.SHARD_PREFIX):
             self._adopt(key.removeprefix(keys.SHARD_PREFIX))
         elif key.startswith(keys.CANCELLATION_PREFIX):
-            job = key.removeprefix(keys.CANCELLATION_PREFIX)
-            for machine in self.machines.values():
-                attempts = [key for key in machine.tasks if key[0].startswith(job + "/")]
-                if attempts:
-                    machine.touch(*attempts)
-                    self.step(machine)
-
-    def _adopt(self, block_name: str) -> None:
-        shard = self.mirror.shards.get(block_name)
-        now = self.clock.seconds()
-        names = set()
+            self._follow_cancellation(key.removeprefix(keys.CANCELLATION_PREFIX))
+
+    def _follow_cancellation(self, job: str) -> None:
+        prefix = job + "/"
+        for machine in self.machines.values():
+            attempts = [key for key in machine.tasks if key.task.startswith(prefix)]
+            if attempts:
+                machine.mark_changed(*attempts)
+                self.reconcile(machine)
+
+    def _adopt(self, shard_name: str) -> None:
+        """Manage the shard's machines if they are ours, and none that are not ours any more."""
+        shard = self.mirror.shards.get(shard_name)
+        names: set[str] = set()
         if shard and shard.holder == self.registration.me and self.registration.registered:
             for info in shard.machines:
                 names.add(info.name)
                 known = self.machines.get(info.name)
                 if known is None or known.fencing_token != shard.fencing_token:
-                    since = self.mirror.silent_since(info.name, shard.previous_holder_may_act)
-                    machine = ManagedMachine(info, shard.fencing_token, now, since)
-                    machine.sole = not shard.previous_holder_may_act
-                    if known is not None:
-                        machine.images = known.images
-                    self._recall(machine)
-                    self.machines[info.name] = machine
-                    log.info(
-                        "holding {machine} ({kind}, {zone}) under {number}",
-                        machine=info.name,
-                        kind=info.kind,
-                        zone=info.zone,
-                        number=shard.fencing_token,
-                    )
-                    self._take_wants(machine)
-                    self.step(machine)
-        for name in [n for n in self.machines if n not in names]:
-            held = self.mirror.holder_of(name)
-            if held is None or held != (self.registration.me, self.machines[name].fencing_token):
-                log.info("no longer holding {machine}", machine=name)
-                machine = self.machines.pop(name)
-                if held is not None and held[0] != self.registration.me:
-                    self.on_released(machine, *held)
-
-    def _take_wants(self, machine: ManagedMachine) -> None:
-        for partition, machines in self.stream_wants.items():
-            for key, desired in machines.get(machine.info.name, {}).items():
-                if desired.fencing_token == machine.fencing_token:
-                    self._wanted(machine, key, desired, partition)
-        machine.touch_all()
-
-    def held(self, name: str) -> ManagedMachine | None:
+                    self._add(info, shard, known)
+        for name in [name for name in self.machines if name not in names]:
+            self._release_if_moved(name)
+
+    def _add(self, info: Machine, shard: MachineShard, known: ManagedMachine | None) -> None:
+        """Manage a machine that is new, or known under a lower fencing token."""
+        now = self.clock.seconds()
+        silent_since = self.mirror.silent_since(info.name, shard.previous_holder_may_act)
+        machine = ManagedMachine(info, shard.fencing_token, now, silent_since)
+        machine.is_exclusive = not shard.previous_holder_may_act
+        if known is not None:
+            machine.images = known.images
+        self._restore_images(machine)
+        self.machines[info.name] = machine
+        log.info(
+            "managing {machine} ({kind}, {zone}) under fencing token {token}",
+            machine=info.name,
+            kind=info.kind,
+            zone=info.zone,
+            token=shard.fencing_token,
+        )
+        self.desired_state.restore(machine)
+        self.reconcile(machine)
+
+    def _release_if_moved(self, name: str) -> None:
+        holder = self.mirror.holder_of(name)
+        if holder == (self.registration.me, self.machines[name].fencing_token):
+            return
+        log.info("no longer managing {machine}", machine=name)
+        machine = self.machines.pop(name)
+        if holder is not None and holder[0] != self.registration.me:
+            self.on_released(machine, *holder)
+
+    def managed(self, name: str) -> ManagedMachine | None:
         """The machine, if this controller may act for it right now."""
         machine = self.machines.get(name)
         if machine is None or not self.registration.lease_is_valid():
             return None
-        return (
-            machine
-            if self.mirror.holder_of(name) == (self.registration.me, machine.fencing_token)
-            else None
-        )
+        holder = self.mirror.holder_of(name)
+        return machine if holder == (self.registration.me, machine.fencing_token) else None
 
-    # -- reports
+    # -- messages
 
-    def report(self, report: WorkerHeartbeat) -> tuple[int, list[Command]] | None:
-        """Take in a worker's own report; token and orders to answer with, None for 'not mine'."""
-        machine = self.held(report.machine)
-        if machine is None:
+    def report(self, heartbeat: WorkerHeartbeat) -> HeartbeatAnswer | None:
+        """Take in a worker's own heartbeat; what to answer with, None if it is not to be
+        answered here."""
+        machine = self.managed(heartbeat.machine)
+        if machine is None or not self.observer.accept_heartbeat(machine, heartbeat):
             return None
-        if (
-            report.agent_epoch,
-            report.seq,
-        ) <= machine.report_seq or report.agent_epoch < machine.min_agent_epoch:
-            # A late copy: an answer would not reach the worker, and counting it as
-            # answered would put off the proof that a silent worker's lease ran out.
-            log.info("{machine}: late copy of a report", machine=report.machine)
-            return None
-        if report.observed_fencing_token > machine.command_token:
-            log.info(
-                "{machine} knows a higher number {n}",
-                machine=report.machine,
-                n=report.observed_fencing_token,
-            )
-            return None
-        machine.report_seq = (report.agent_epoch, report.seq)
-        machine.reported_at = self.clock.seconds()
-        self._observe(machine, report)
-        self._answered(machine)
-        if machine.calm:
-            # Nothing was due, and nothing is new: most reports of machines with hundreds of tasks.
-            return machine.command_token, []
-        # Stops ride on every answer while they are due: an order of ours may be waiting for
+        if machine.is_converged:
+            # Nothing was due, and nothing is new: most heartbeats of machines with hundreds of
+            # tasks.
+            return HeartbeatAnswer(machine.command_token, [])
+        # Stops ride on every answer while they are due: a message of ours may be waiting for
         # a machine that hangs, and while it does no other is sent.
-        commands = self._commands(machine)
-        self.step(machine)
-        return machine.command_token, commands
+        commands = self.planner.stops_and_clears(machine)
+        self.reconcile(machine)
+        return HeartbeatAnswer(machine.command_token, commands)
 
-    def _observe(self, machine: ManagedMachine, report: WorkerHeartbeat) -> None:
-        """Believe a report as far as it is newer, and an absence only when fresh."""
-        if report.agent_epoch < machine.min_agent_epoch or report.machine != machine.info.name:
-            return
-        if (report.agent_epoch, report.seq) <= (machine.agent_epoch, machine.seq):
-            return
-        now = self.clock.seconds()
-        if report.agent_epoch > machine.agent_epoch:
-            # A new session has its full lease, answered or not: after an outage the
-            # last answer may be long past while tasks of this session run.
-            self._answered(machine)
-            for key, start in list(machine.starts.items()):
-                if start.agent_epoch < report.agent_epoch:
-                    # The session's end killed it, and orders of that session are void.
-                    del machine.starts[key]
-                    machine.over[key] = AttemptState.GONE
-            machine.touch_all()
-            if machine.agent_epoch:
-                log.info("{machine}: session {s}", machine=report.machine, s=report.agent_epoch)
-        machine.agent_epoch, machine.seq = report.agent_epoch, report.seq
-        machine.lost = False
-        fresh, noticed = machine.fresh, machine.termination_notice_s
-        machine.termination_notice_s = report.termination_notice_s
-        machine.fresh = machine.fresh or report.observed_fencing_token == machine.command_token
-        # A worker that knows our number takes no answer of a former holder.
-        machine.sole = machine.sole or machine.fresh
-        old = machine.tasks
-        news: list[tuple[Key, TaskStatus]] = []
-        gone: list[Key] = []
-        if list(old.values()) != report.tasks:
-            machine.tasks = {(t.task, t.attempt): t for t in report.tasks}
-            news = [
-                (key, task)
-                for key, task in machine.tasks.items()
-                if key not in old or old[key].status != task.status
-            ]
-            gone = [key for key in old if key not in machine.tasks]
-        if fresh != machine.fresh or (noticed is None) != (machine.termination_notice_s is None):
-            machine.touch_all()
-        if news or gone:
-            machine.touch(*gone, *(key for key, _ in news))
-        for key, task in news:
-            self._seen(machine, key, task)
-        if machine.tasks and any(t.status != "ended" for t in machine.tasks.values()):
-            machine.idle_since = now
-
-    def _answered(self, machine: ManagedMachine) -> None:
-        """Only a worker that knows our number takes no answer of a former holder."""
-        now = self.clock.seconds()
-        machine.answered_at = now
-        machine.last_answer = now if machine.fresh else max(machine.last_answer, now)
-
-    def _seen(self, machine: ManagedMachine, key: Key, task: TaskStatus) -> None:
-        desired = machine.desired_attempts.get(key)
-        job = key[0].partition("/")[0]
-        if task.status in ("gathering", "running", "saving") and desired:
-            self._cache(machine, desired.image, desired.image_gb)
-        if task.status == "ended" and task.exit_reason == "error":
-            blamed = desired is not None and desired.job_to_blame
-            verdict = self.faults.failed(machine, job, blamed, self.clock.seconds())
-            if verdict:
-                name = machine.info.name
-                log.warn("{machine} fails tasks of {jobs}: set aside", machine=name, jobs=verdict)
-        if task.status == "ended":
-            machine.is_degraded = machine.is_degraded and task.exit_reason != "done"
-            self.on_room()
+    def sync(self, update: DesiredStateUpdate) -> list[AttemptStatus]:
+        """Take in what a job controller wants of one partition; outdated updates are ignored.
 
-    def recall(self, caches: dict[str, dict[str, float]]) -> None:
-        """What others knew of our machines' caches, as far as we don't."""
-        for name in caches.keys() & self.machines.keys():
-            self._recall(self.machines[name])
-
-    def _recall(self, machine: ManagedMachine) -> None:
-        self.learn_images(machine, self.caches.get(machine.info.name, {}))
-
-    def learn_images(self, machine: ManagedMachine, known: dict[str, float]) -> None:
-        """What others knew of the machine's cache, as far as we don't."""
-        if known.keys() - machine.images.keys():
-            machine.images = {**known, **machine.images}
-            self._trim(machine)
-            machine.touch()
-
-    def _cache(self, machine: ManagedMachine, image: str, size_gb: float) -> None:
-        """The machine keeps the most recently used images within its cache."""
-        machine.images.pop(image, None)
-        machine.images[image] = size_gb
-        self._trim(machine)
-
-    def _trim(self, machine: ManagedMachine) -> None:
-        if machine.info.kind in self.types():
-            evict_least_recently_used(machine.images, self.types()[machine.info.kind])
-
-    # -- wants
-
-    def sync(self, message: DesiredStateUpdate) -> list[AttemptStatus]:
-        """An owner's full wish list for one partition; older lists are ignored."""
-        stamp = (message.version, message.incarnation, message.sequence)
-        if stamp <= self.streams.get(message.partition, (0, 0, 0)):
+        Returns the statuses of the attempts that it names, as far as they are known.
+        """
+        applied = self.desired_state.apply(update)
+        if applied is None:
             return []
-        self.streams[message.partition] = stamp
-        self.owners[message.partition] = message.owner
-        said: dict[str, dict[Key, DesiredAttempt]] = {}
-        for desired in message.desired_attempts:
-            said.setdefault(desired.machine, {})[(desired.task, desired.attempt)] = desired
-        old = self.stream_wants.setdefault(message.partition, {})
-        names = {*old, *said} if message.machines is None else set(message.machines) | said.keys()
-        touched = []
-        for name in names:
-            before, now = old.pop(name, {}), said.get(name, {})
-            if now:
-                old[name] = now
-            if name in self.machines and self._take(
-                self.machines[name], message.partition, before, now
-            ):
-                touched.append(name)
-        for name in touched:
-            machine = self.held(name)
+        for name in applied.changed_machines:
+            machine = self.managed(name)
             if machine:
-                self.step(machine)
-        answers = []
-        for desired in message.desired_attempts:
-            machine = self.machines.get(desired.machine)
-            if machine and machine.fencing_token == desired.fencing_token:
-                key = (desired.task, desired.attempt)
-                if machine.partition_of.get(key, message.partition) != message.partition:
-                    continue
-                status = self._status(machine, key, desired)
-                if status:
-                    machine.told[key] = (status.state, status.exit_reason)
-                    answers.append(status)
-        return answers
-
-    def _wanted(
-        self, machine: ManagedMachine, key: Key, desired: DesiredAttempt, partition: str
-    ) -> bool:
-        """One partition's want of an attempt takes effect, unless it only holds room while
-        another's stands.
-
-        A repeated submission may be on its way to being accepted by another controller, under
-        the same names: until its record is refused, what it holds must not replace what the
-        stored record wants. Tasks that ran were taken for refused, and started elsewhere.
-        """
-        if (
-            desired.action == DesiredAction.HOLD
-            and machine.partition_of.get(key, partition) != partition
-        ):
-            return False
-        machine.desired_attempts[key] = desired
-        machine.partition_of[key] = partition
-        return True
-
-    def _take(
-        self,
-        machine: ManagedMachine,
-        partition: str,
-        old: dict[Key, DesiredAttempt],
-        new: dict[Key, DesiredAttempt],
-    ) -> bool:
-        """One partition's wants on one machine replace what it wanted before."""
-        changed: list[Key] = []
-        for key, desired in old.items():
-            if key not in new and machine.desired_attempts.get(key) is desired:
-                del machine.desired_attempts[key]
-                machine.partition_of.pop(key, None)
-                machine.told.pop(key, None)
-                changed.append(key)
-                if key in machine.starts and key not in machine.over:
-                    # Nobody wants it any more, yet our start may still be under way.
-                    machine.unwanted.add(key)
-        for key, desired in new.items():
-            if machine.fencing_token != desired.fencing_token:
-                continue
-            before = machine.desired_attempts.get(key)
-            if not self._wanted(machine, key, desired, partition):
-                continue
-            if before != desired:
-                changed.append(key)
-                if desired.job_to_blame:
-                    self.faults.blame(key[0].partition("/")[0], self.machines.values())
-                if key in machine.tasks and machine.tasks[key].status != "fetching":
-                    self._cache(machine, desired.image, desired.image_gb)
-            machine.unknown_since.pop(key, None)
-        if changed:
-            machine.touch(*changed)
-        return bool(changed)
-
-    def _mark(
-        self, machine: ManagedMachine, key: Key, desired: DesiredAttempt
-    ) -> tuple[str, str | None] | None:
-        """The attempt's state and why it ended, as its owner should know them; None: not known."""
-        over = machine.over.get(key)
-        if over is not None:
-            return over, None
-        task = machine.tasks.get(key)
-        if task is None:
-            return None
-        if task.status != "ended":
-            return task.status, None
-        if desired.action == DesiredAction.CLEAR and machine.in_doubt(key):
-            return AttemptState.KEPT, None
-        return AttemptState.ENDED, task.exit_reason
-
-    def _status(
-        self, machine: ManagedMachine, key: Key, desired: DesiredAttempt
-    ) -> AttemptStatus | None:
-        mark = self._mark(machine, key, desired)
-        if mark is None:
-            return None
-        state, why = mark
-        saved = state == AttemptState.ENDED and bool(machine.tasks[key].saved)
-        return AttemptStatus(
-            machine.info.name, machine.fencing_token, key[0], key[1], state, why, saved
-        )
-
-    def _tell(self, machine: ManagedMachine) -> None:
-        """Push to the owners what changed; what is lost is told again."""
-        by_owner: dict[str, list[AttemptStatus]] = {}
-        for key in machine.open:
-            desired = machine.desired_attempts.get(key)
-            mark = self._mark(machine, key, desired) if desired is not None else None
-            if desired is None or mark is None or machine.told.get(key) == mark:
-                continue
-            owner = self.owners.get(machine.partition_of.get(key, ""))
-            status = self._status(machine, key, desired)
-            if status is not None and owner:
-                machine.told[key] = mark
-                by_owner.setdefault(owner, []).append(status)
-        for owner, statuses in by_owner.items():
-            self.push(owner, statuses)
+                self.reconcile(machine)
+        return self.publisher.answer(update.partition, applied.attempts, self.machines)
 
     def unacknowledged(self, statuses: list[AttemptStatus]) -> None:
-        """These did not reach their owner: they are told again with the next heartbeat."""
-        for status in statuses:
-            machine = self.machines.get(status.machine)
-            if machine is not None and machine.fencing_token == status.fencing_token:
-                key = (status.task, status.attempt)
-                machine.told.pop(key, None)
-                machine.touch(key)
-
-    # -- orders
-
-    def _fits(self, machine: ManagedMachine, key: Key, desired: DesiredAttempt) -> bool:
-        cpus, gpus, memory = self.summaries.free(machine, key)
-        return (
-            desired.cpus <= cpus + 1e-6
-            and desired.gpus <= gpus + 1e-6
-            and (desired.memory_gb <= memory + 1e-6)
-        )
+        """These did not reach their job controller: they are pushed again with the next
+        heartbeat."""
+        self.publisher.retract(statuses, self.machines)
 
-    def _preempt(self, machine: ManagedMachine, key: Key, desired: DesiredAttempt) -> bool:
-        """Choose lower work to stop for this want; whether that will make room."""
-        cpus, gpus, memory = self.summaries.free(machine, key)
-        victims = sorted(
-            (
-                (k, w)
-                for k, w in machine.desired_attempts.items()
-                if w.rank > desired.rank and machine.live(k) and k != key
-            ),
-            key=lambda item: (-item[1].rank, item[1].gang, not item[1].saves, item[1].gpus),
-        )
-        chosen = []
-        for k, w in victims:
-            if (
-                desired.cpus <= cpus + 1e-6
-                and desired.gpus <= gpus + 1e-6
-                and (desired.memory_gb <= memory + 1e-6)
-            ):
-                break
-            cpus, gpus, memory = cpus + w.cpus, gpus + w.gpus, memory + w.memory_gb
-            chosen.append((k, w))
-        if (
-            desired.cpus > cpus + 1e-6
-            or desired.gpus > gpus + 1e-6
-            or desired.memory_gb > memory + 1e-6
-        ):
-            return False
-        for k, w in chosen:
-            if k not in machine.preempted:
-                machine.preempted[k] = self._grace(w)
-                machine.touch(k)
-                name = machine.info.name
-                log.info("{machine}: {k} makes room for {key}", machine=name, k=k[0], key=key[0])
-        return True
-
-    def _grace(self, desired: DesiredAttempt) -> float:
-        """How long a task that is stopped may take to save; one of a gang waits for the others."""
-        if not desired.saves:
-            return 0.0
-        return desired.save_s * SAVE_MARGIN + (self.timeouts.gang_peer if desired.gang else 0.0)
-
-    def _commands(self, machine: ManagedMachine) -> list[Command]:
-        """Orders that the difference between wants and reports calls for."""
-        commands: list[Command] = []
-        cancellations = bool(self.mirror.cancelled or self.mirror.announced_cancellations)
-        open_tasks = [(key, machine.tasks[key]) for key in machine.open if key in machine.tasks]
-        for key, task in open_tasks:
-            if task.status == "ended":
-                continue
-            desired = machine.desired_attempts.get(key)
-            if cancellations and self.mirror.is_cancelled(key[0].partition("/")[0]):
-                grace: float | None = 0.0
-            elif key in machine.unwanted:
-                grace = 0.0
-            elif desired is not None and desired.action == DesiredAction.STOP:
-                grace = self._grace(desired)
-            elif key in machine.preempted:
-                grace = machine.preempted[key]
-            elif desired is not None and machine.termination_notice_s is not None:
-                # The machine is about to go: save what can be saved, go on elsewhere.
-                grace = self._grace(desired)
-            else:
-                grace = None
-            if grace is not None and not (task.status == "saving" and grace > 0):
-                commands.append(StopCommand(key[0], key[1], grace))
-        for key, task in open_tasks:
-            desired = machine.desired_attempts.get(key)
-            # After a clear the worker has forgotten the attempt, so a start
-            # still under way would run it once more: never clear in doubt.
-            clearable = task.status == "ended" and not machine.in_doubt(key)
-            if clearable and (
-                (desired and desired.action == DesiredAction.CLEAR) or key in machine.unwanted
-            ):
-                commands.append(ClearCommand(key[0], key[1]))
-        return commands
-
-    def _starts(self, machine: ManagedMachine) -> list[Command]:
-        commands: list[Command] = []
-        if not machine.fresh:
-            return commands
-        missing = [
-            (key, machine.desired_attempts[key])
-            for key in machine.open
-            if key in machine.desired_attempts
-            and key not in machine.tasks
-            and key not in machine.over
-        ]
-        paused = machine.paused_until > self.clock.seconds()
-        for key, desired in sorted(missing, key=lambda item: item[1].rank):
-            start = machine.starts.get(key)
-            cancelled = self.mirror.is_cancelled(key[0].partition("/")[0])
-            if (
-                start is None
-                and paused
-                and desired.action in (DesiredAction.RUN, DesiredAction.HOLD)
-            ):
-                continue
-            if start is not None and start.answered and not start.doubt:
-                # It was there, and a newer report does not list it.
-                self._mark_over(machine, key, AttemptState.GONE)
-            elif desired.action == DesiredAction.HOLD:
-                if not self.summaries.usable(machine) or not (
-                    desired.preempt or self._fits(machine, key, desired)
-                ):
-                    self._mark_over(machine, key, AttemptState.REFUSED)
-            elif desired.action == DesiredAction.RUN and not cancelled:
-                if start is not None:
-                    commands.append(StartCommand(*key))
-                elif not self.summaries.usable(machine):
-                    self._mark_over(machine, key, AttemptState.REFUSED)
-                elif self._fits(machine, key, desired):
-                    commands.append(StartCommand(*key))
-                elif not (desired.preempt and self._preempt(machine, key, desired)):
-                    self._mark_over(machine, key, AttemptState.REFUSED)
-            elif start is None:
-                # A fresh report does not list it, older numbers are fenced out and
-                # this one never sent it.
-                self._mark_over(machine, key, AttemptState.GONE)
-            elif machine.void(start):
-                self._mark_over(machine, key, AttemptState.GONE)
-            elif not machine.ordering:
-                self._raise_token(machine)
-                return commands
-        for key in list(machine.unwanted):
-            if key in machine.over or key in machine.tasks:
-                continue
-            start = machine.starts.get(key)
-            if start is None or (start.answered and not start.doubt) or machine.void(start):
-                machine.unwanted.discard(key)
-            elif not machine.ordering:
-                self._raise_token(machine)
-                return commands
-        return commands
-
-    def _raise_token(self, machine: ManagedMachine) -> None:
-        """A start that nobody wants any more may still be under way: make it void.
-
-        The machine is ours by all that the mirror holds, so a lease that we don't know of is
-        newer than that, and so is its number: up to the mirror's revision the token is ours to
-        raise. Repeating the start to stop it at once would start what its user has cancelled.
-        """
-        if self.mirror.revision > machine.command_token:
-            machine.command_token = self.mirror.revision
-            machine.fresh = False
-            machine.touch_all()
-            log.info(
-                "{machine}: token raised to {token}, to void starts in doubt",
-                machine=machine.info.name,
-                token=machine.command_token,
-            )
-
-    def _mark_over(self, machine: ManagedMachine, key: Key, state: str) -> None:
-        machine.over[key] = state
-        if len(machine.over) > MOST_OVER:
-            # A number lasts for weeks now; nobody asks for the oldest any more.
-            unwanted = [k for k in machine.over if k not in machine.desired_attempts]
-            for old in unwanted[: MOST_OVER // 2]:
-                del machine.over[old]
-        machine.touch(key)
-        machine.starts.pop(key, None)
-        machine.unwanted.discard(key)
-        log.info("{machine}: {key} {state}", machine=machine.info.name, key=key, state=state)
-
-    def step(self, machine: ManagedMachine) -> None:
-        """Compare wants with what is known, send what is missing, tell what changed."""
-        if self.held(machine.info.name) is not machine:
+    # -- reconciliation
+
+    def reconcile(self, machine: ManagedMachine) -> None:
+        """Compare the desired with the observed state, send what is missing, publish what
+        changed."""
+        if self.managed(machine.info.name) is not machine:
             return
         now = self.clock.seconds()
-        starts = self._starts(machine)
-        due = self._commands(machine) + starts
+        starts = self.planner.plan_starts(machine)
+        due = self.planner.stops_and_clears(machine) + starts
+        # Nothing is started from a mirror that may lack a cancellation.
         commands = due if self.mirror.is_current() else [c for c in due if c not in starts]
-        self._tell(machine)
-        machine.open = {key: None for key in machine.open if not self._settled(machine, key)}
-        machine.calm = (
-            machine.fresh
-            and not due
-            and not machine.failed_orders
-            and not machine.unwanted
-            and all(key in machine.desired_attempts for key in machine.open if key in machine.tasks)
-        )
-        if machine.ordering or now < machine.next_order:
-            return
-        # One that has not answered orders is asked again, or it would stay out of use.
-        if not machine.fresh or commands or machine.failed_orders:
-            machine.ordering = True
-            spawn(self._send(machine, commands if machine.fresh else []), "orders")
-
-    def _settled(self, machine: ManagedMachine, key: Key) -> bool:
-        """Is the attempt as it is wanted, and does its owner know? Then nothing is due for it
-        before it is touched again."""
-        task, desired = machine.tasks.get(key), machine.desired_attempts.get(key)
-        if desired is None:
-            return task is None
-        mark = self._mark(machine, key, desired)
-        if mark is None or machine.told.get(key) != mark:
-            return False
-        if task is None:
-            # It is over, and that was told.
-            return True
-        return (
-            task.status != "ended"
-            and desired.action in (DesiredAction.RUN, DesiredAction.HOLD)
-            and machine.termination_notice_s is None
-            and key not in machine.preempted
-            and key not in machine.unwanted
-            and not self.mirror.is_cancelled(key[0].partition("/")[0])
-        )
-
-    async def _send(self, machine: ManagedMachine, commands: list[Command]) -> None:
-        epoch, token = machine.agent_epoch, machine.command_token
-        sent = []
-        for command in commands:
-            if isinstance(command, StartCommand):
-                key = (command.task, command.attempt)
-                start = machine.starts.setdefault(key, Start(epoch, token))
-                if machine.void(start):
-                    start.doubt = start.answered = False
-                start.agent_epoch, start.fencing_token = epoch, token
-                sent.append((key, start))
-                log.info(
-                    "start {task} try {attempt} on {machine} under {number}",
-                    task=key[0],
-                    attempt=key[1],
-                    machine=machine.info.name,
-                    number=token,
-                )
-        try:
-            done, report = await self.workers.send_commands(
-                machine.info.address, token, epoch, commands
-            )
-        except CallFailedError as error:
-            for _, start in sent:
-                start.doubt = True
-            machine.failed_orders += 1
-            pause = self.timeouts.retry if commands else self.timeouts.report
-            machine.next_order = self.clock.seconds() + pause
-            log.info("orders to {machine} failed: {error}", machine=machine.info.name, error=error)
-            machine.ordering = False
+        self.publisher.publish(machine)
+        self.planner.update_convergence(machine, due)
+        if machine.is_sending_commands or now < machine.next_send_at:
             return
-        machine.ordering = False
-        machine.failed_orders = 0
-        for key, start in sent:
-            if done:
-                start.answered = True
-            elif start.agent_epoch == report.agent_epoch and machine.starts.get(key) is start:
-                # Refused for the number: a higher one is out, so it can't run.
-                start.doubt = True
-        # By the session that was sent: what we know of it may have changed meanwhile.
-        outdated = epoch != report.agent_epoch
-        if not done:
-            machine.next_order = self.clock.seconds() + (0.0 if outdated else self.timeouts.retry)
-        self._observe(machine, report)
-        if not machine.fresh and not (outdated and self.repeats_at_once):
-            # Not the word we wait for (a session that must end first): no haste.
-            machine.next_order = max(machine.next_order, self.clock.seconds() + self.timeouts.retry)
-        if self.machines.get(machine.info.name) is machine:
-            self.step(machine)
+        # One that has not answered commands is asked again, or it would stay out of use.
+        if not machine.has_confirmed_token or commands or machine.failed_sends:
+            self.sender.begin_send(machine, commands if machine.has_confirmed_token else [])
 
-    def pause(self, machine: ManagedMachine, until: float) -> None:
-        """Start nothing new there until then. What runs goes on, and reports are answered."""
-        machine.paused_until = until
-        self.clock.callLater(max(until - self.clock.seconds(), 0.0) + 0.001, self._resume, machine)
+    def pause_starts(self, machine: ManagedMachine, until: float) -> None:
+        """Start nothing new there until then. What runs goes on, and heartbeats are answered."""
+        machine.starts_paused_until = until
+        delay_s = max(until - self.clock.seconds(), 0.0) + RESUME_DELAY_S
+        self.clock.callLater(delay_s, self._resume_starts, machine)
 
-    def _resume(self, machine: ManagedMachine) -> None:
+    def _resume_starts(self, machine: ManagedMachine) -> None:
         if self.machines.get(machine.info.name) is machine:
             # What was wanted meanwhile is due now.
-            machine.touch_all()
-            self.step(machine)
+            machine.mark_all_changed()
+            self.reconcile(machine)
 
     # -- time
 
@@ -713,57 +245,31 @@
             return
         # Another may hold a machine since the mirror was last known to be whole, and answer
         # its worker: a controller that was frozen took machines for silent that had moved.
-        known = min(now, self.mirror.watched_at)
+        known_until = min(now, self.mirror.watched_at)
         for machine in list(self.machines.values()):
-            if not machine.lost and known > machine.last_answer + self.timeouts.worker_gone:
-                self._expire(machine)
-            if machine.calm:
-                continue
-            if machine.fresh:
-                self._check_unknown_tasks(machine, now)
-            self.step(machine)
-
-    def _expire(self, machine: ManagedMachine) -> None:
-        """Nobody answered the worker for longer than its lease: all on it is gone."""
-        log.warn("{machine} is silent beyond its lease", machine=machine.info.name)
-        machine.lost = True
-        machine.fresh = False
-        machine.min_agent_epoch = machine.agent_epoch + 1 if machine.agent_epoch else 0
-        for key in set(machine.desired_attempts) | set(machine.starts) | set(machine.tasks):
-            if key not in machine.over:
-                self._mark_over(machine, key, AttemptState.GONE)
-        machine.tasks.clear()
-        machine.touch_all()
-        self._tell(machine)
-
-    def _check_unknown_tasks(self, machine: ManagedMachine, now: float) -> None:
-        for key in list(machine.unknown_since):
-            if key not in machine.tasks or key in machine.desired_attempts:
-                del machine.unknown_since[key]
-        for key in machine.open:
-            if (
-                key not in machine.tasks
-                or key in machine.desired_attempts
-                or key in machine.unwanted
-            ):
+            lease_end = machine.last_possible_answer_at + self.timeouts.worker_gone
+            if not machine.is_expired and known_until > lease_end:
+                self.observer.expire(machine)
+                self.publisher.publish(machine)
+            if machine.is_converged:
                 continue
-            since = machine.unknown_since.setdefault(key, now)
-            if now - since > self.timeouts.unknown_task and key not in machine.being_checked:
-                machine.unknown_since[key] = now
-                spawn(self._check_unknown_task(machine, key), "stranger")
-
-    async def _check_unknown_task(self, machine: ManagedMachine, key: Key) -> None:
-        """A task that no owner speaks for: the stored record decides."""
-        machine.being_checked.add(key)
-        try:
-            bound = await self.verdict(key[0], key[1], machine.info.name)
-        finally:
-            machine.being_checked.discard(key)
-        if bound is False and key in machine.tasks and key not in machine.desired_attempts:
-            log.info("{machine}: {key} belongs to nobody", machine=machine.info.name, key=key)
-            machine.unwanted.add(key)
-            machine.touch(key)
-            self.step(machine)
+            if machine.has_confirmed_token:
+                self.orphans.check(machine, now)
+            self.reconcile(machine)
+
+    # -- cached images
+
+    def recall(self, caches: dict[str, dict[str, float]]) -> None:
+        """The cache map has changed for these machines: restore what we don't know of ours."""
+        for name in caches.keys() & self.machines.keys():
+            self._restore_images(self.machines[name])
+
+    def _restore_images(self, machine: ManagedMachine) -> None:
+        self.add_known_images(machine, self.caches.get(machine.info.name, {}))
+
+    def add_known_images(self, machine: ManagedMachine, known: dict[str, float]) -> None:
+        """What others knew of the machine's cache, as far as we don't."""
+        self.image_caches.add_known(machine, known)
 
     # -- summaries
 
@@ -777,14 +283,15 @@
         return self.summaries.views(self.machines.values(), since, most)
 
     def drain(self, names: list[str]) -> None:
-        """The leader's list replaces the one before; who is on it no longer serves again."""
+        """The leader's list of draining machines replaces the one before: a machine that is not
+        on it any more takes new work again."""
         for name, machine in self.machines.items():
-            if machine.draining != (name in names):
-                machine.draining = name in names
-                machine.touch()
+            if machine.is_draining != (name in names):
+                machine.is_draining = name in names
+                machine.mark_changed()
 
     def rooms(self) -> list[Room]:
-        """Copies for the owner in this process to reckon with."""
+        """Copies for the job controller in this process to reserve from."""
         if not self.registration.lease_is_valid():
             return []
         return [copy(self.summaries.room(machine)) for machine in self.machines.values()]
--- a/tests/test_steady_state_cost.py
+++ b/tests/test_steady_state_cost.py
@@ -92,7 +92,7 @@
     world = steady_world(30)
     steps: Counter[str] = Counter()
     reports: Counter[str] = Counter()
-    step, report = MachineController.step, MachineController.report
+    step, report = MachineController.reconcile, MachineController.report
 
     def counted_step(self: MachineController, machine: Any) -> None:
         steps[machine.info.name] += 1
@@ -102,7 +102,7 @@
         reports[message.machine] += 1
         return report(self, message)
 
-    monkeypatch.setattr(MachineController, "step", counted_step)
+    monkeypatch.setattr(MachineController, "reconcile", counted_step)
     monkeypatch.setattr(MachineController, "report", counted_report)
     world.run(world.clock.seconds() + STEADY_S)
     assert sum(reports.values()) > 30 * STEADY_S / 4
