--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -78,7 +78,7 @@
     return control_records.Machine("host-7", "10.1.0.7:9000", "g8", "b", True)
 
 
-def desired() -> Any:
+def desired_attempt() -> Any:
     amounts = (8.5, 1.5, 64.25, "img-07", 6.5)
     return messages.DesiredAttempt(
         "host-7",
@@ -101,7 +101,7 @@
     return Room("host-7", "g8", "b", True, *free, False, 3, 2)
 
 
-def view() -> Any:
+def machine_status() -> Any:
     return messages.MachineStatus(room(), 41, True, True, True, True, True, True, 1.5, 2.5)
 
 
@@ -109,21 +109,21 @@
     return messages.JobClass(JOB, 16, {"b": 5})
 
 
-def heartbeat() -> Any:
-    seen = [msgspec.to_builtins(machine())]
+def member_heartbeat() -> Any:
+    unassigned = [msgspec.to_builtins(machine())]
     caches = {"host-7": {"img-07": 6.5}}
-    told = (7, 9, seen, {"train": job_class()}, 12, caches, ["host-8"], True, 21, 0.25)
-    return messages.MemberHeartbeat("rig-1", 3, [view()], *told)
+    rest = (7, 9, unassigned, {"train": job_class()}, 12, caches, ["host-8"], True, 21, 0.25)
+    return messages.MemberHeartbeat("rig-1", 3, [machine_status()], *rest)
 
 
-def directions() -> Any:
+def heartbeat_response() -> Any:
     caches = {"host-7": {"img-07": 6.5}}
     return messages.HeartbeatResponse(
         True, True, True, (12.5, 96.5), ["host-8"], caches, 13, ["host-9"]
     )
 
 
-def status() -> Any:
+def attempt_status() -> Any:
     return messages.AttemptStatus(
         "host-7", 41, "j-1/3", 2, messages.AttemptState.ENDED, "error", True
     )
@@ -152,18 +152,18 @@
     return [standby.Entry(8 + n, 0.5 + n, decision) for n, decision in enumerate(made)]
 
 
-def handed_over() -> Any:
+def machine_state() -> Any:
     ages = (5, 88, 4, 87, 3, 1.5, 2.5, 3.5)
     return sharing.MachineState("host-7", 42, 41, True, 0.5, *ages, True, True, {"img-07": 6.5})
 
 
-def least_handed_over() -> Any:
+def least_machine_state() -> Any:
     return sharing.MachineState(
         "host-7", 42, 41, False, 0.0, 0, 0, 0, 0, 0, 0.0, 0.0, 0.0, False, False
     )
 
 
-def shares_shown() -> Any:
+def shares_reply() -> Any:
     member = sharing.MemberShare("rig-1", 7, 3, 21.5, 0.25, 6.5, True)
     move = sharing.MoveShown("b-1", "rig-1", "rig-2", "load", "prepared")
     return sharing.SharesReply("rig-1", "rig-2", True, "leaving", [member], [move])
@@ -183,7 +183,7 @@
     return {key: value for key, value in JOB.items() if key not in OPTIONAL}
 
 
-def report() -> Any:
+def worker_heartbeat() -> Any:
     tasks = [workers_protocol.TaskStatus("j-1/3", 2, "ended", "stopped", True)]
     return workers_protocol.WorkerHeartbeat(
         "host-7", "10.1.0.7:9000", "g8", "b", 5, 88, 41, tasks, True, 20.5
@@ -195,7 +195,7 @@
     return cloud_protocol.MachineType("g8", 96.5, 8.5, 768.5, 200.5, 1.5, *prices)
 
 
-def rental() -> Any:
+def instance() -> Any:
     return cloud_protocol.Instance("host-7", "10.1.0.7:9000", "g8", "b", True, "starting", 61.5)
 
 
@@ -237,7 +237,7 @@
 # Sent between controllers: encoded as JSON. "-least" marks all that may be left out left out.
 PEER: dict[str, Callable[[], Any]] = {
     "wants": lambda: [
-        messages.DesiredStateUpdate("rig-1", "rig-1.3", 412, 3, 9, [desired()], ["host-7"])
+        messages.DesiredStateUpdate("rig-1", "rig-1.3", 412, 3, 9, [desired_attempt()], ["host-7"])
     ],
     "wants-least": lambda: [
         messages.DesiredStateUpdate(
@@ -249,7 +249,7 @@
             [messages.DesiredAttempt("host-7", 41, "j-1/3", 2, "stop")],
         )
     ],
-    "states": lambda: messages.AttemptStatusBatch([status()]),
+    "states": lambda: messages.AttemptStatusBatch([attempt_status()]),
     "states-least": lambda: messages.AttemptStatusBatch(
         [messages.AttemptStatus("host-7", 41, "j-1/3", 2, "gone")]
     ),
@@ -277,7 +277,7 @@
     "offer-of-room-least": lambda: messages.CapacityOffers(
         [messages.PlacementOffer("j-1", "host-7")]
     ),
-    "heartbeat": heartbeat,
+    "heartbeat": member_heartbeat,
     "heartbeat-least": lambda: messages.MemberHeartbeat("rig-1", 3, []),
     "heartbeat-parts-least": lambda: messages.MemberHeartbeat(
         "rig-1",
@@ -296,7 +296,7 @@
         [],
         {"train": messages.JobClass({})},
     ),
-    "heartbeat-answer": directions,
+    "heartbeat-answer": heartbeat_response,
     "heartbeat-answer-least": lambda: messages.HeartbeatResponse(False),
     "pulse": lambda: messages.HealthProbeResponse(0.25),
     "relayed-request": lambda: messages.ForwardedRequest("POST", "/submissions", JOB),
@@ -327,8 +327,8 @@
     ),
     "prepare-move": lambda: sharing.PrepareRequest("rig-1", {"b-1": 41}, 7.5),
     "prepare-move-answer": lambda: sharing.PrepareReply(["b-1"]),
-    "release": lambda: sharing.ReleaseRequest("rig-1", 3, [handed_over()]),
-    "release-least": lambda: sharing.ReleaseRequest("rig-1", 3, [least_handed_over()]),
+    "release": lambda: sharing.ReleaseRequest("rig-1", 3, [machine_state()]),
+    "release-least": lambda: sharing.ReleaseRequest("rig-1", 3, [least_machine_state()]),
     "release-answer": lambda: sharing.ReleaseReply(["host-7"], ["host-8"]),
     "release-answer-least": lambda: sharing.ReleaseReply([]),
     "move": lambda: sharing.MoveRequest("b-1", "rig-2"),
@@ -336,7 +336,7 @@
     "leave-least": lambda: sharing.LeaveRequest(),
     "command-answer": lambda: sharing.CommandReply(True, "asked for"),
     "command-answer-least": lambda: sharing.CommandReply(False),
-    "shares": shares_shown,
+    "shares": shares_reply,
     "shares-least": lambda: sharing.SharesReply("rig-1", None, False, "left"),
 }
 # Stored, or exchanged with users, workers, the cloud and the state service: MessagePack.
@@ -369,14 +369,14 @@
     "report-answer": lambda: codec.unpack(
         codec.pack(workers_protocol.heartbeat_response(41, commands()))
     ),
-    "report": report,
+    "report": worker_heartbeat,
     "report-least": lambda: workers_protocol.WorkerHeartbeat(
         "host-7", "10.1.0.7:9000", "g8", "b", 5, 88, 41
     ),
     "task-report-least": lambda: workers_protocol.TaskStatus("j-1/3", 2, "running"),
     "machine-type": machine_type,
     "machine-type-least": lambda: cloud_protocol.MachineType("g8", 96.5),
-    "rental": rental,
+    "rental": instance,
     "rental-least": lambda: cloud_protocol.Instance("host-7"),
     "put": lambda: state.put("a/b", {"n": 1}, 7),
     "put-least": lambda: state.put("a/b", None),
@@ -416,73 +416,73 @@
     return settings.Settings("rig-1", "rig-1:7", "rig-1:8", services, facts, "", siblings)
 
 
-def store(net: Recorder) -> state.StateClient:
+def state_client(net: Recorder) -> state.StateClient:
     """A client of the state service."""
     timeouts = settings.Timeouts(deployment(), settings.OperatorSettings())
     return state.StateClient(SimClock(), net, deployment(), timeouts)  # type: ignore[arg-type]
 
 
-def renter(net: Recorder) -> cloud.CloudClient:
+def cloud_client(net: Recorder) -> cloud.CloudClient:
     """A client of the cloud."""
     return cloud.CloudClient(net, "cloud:1", 1.0)  # type: ignore[arg-type]
 
 
 async def get_key(net: Recorder) -> None:
-    assert await store(net).get("a/b") == state.KeyValue("a/b", {"n": 1}, 412)
+    assert await state_client(net).get("a/b") == state.KeyValue("a/b", {"n": 1}, 412)
 
 
 async def scan_keys(net: Recorder) -> None:
-    found, revision = await store(net).scan("c/x y")
+    found, revision = await state_client(net).scan("c/x y")
     assert found == [state.KeyValue("c/x z", 1, 5), state.KeyValue("c/x&", 2, 6)]
     assert revision == 431
 
 
 async def write_keys(net: Recorder) -> None:
     changes = [state.put("a/b", {"n": 1}, 7), state.drop("c/d")]
-    assert await store(net).transact({"a/b": 0, "c/d": 5}, changes) == 432
+    assert await state_client(net).transact({"a/b": 0, "c/d": 5}, changes) == 432
 
 
 async def compare_keys(net: Recorder) -> None:
-    assert await store(net).transact({"a/b": 412}, []) == 432
+    assert await state_client(net).transact({"a/b": 412}, []) == 432
 
 
 async def leases(net: Recorder) -> None:
-    client = store(net)
+    client = state_client(net)
     assert await client.grant_lease(5.25) == 7
     await client.renew_lease(7)
     await client.revoke_lease(7)
 
 
 async def watch_keys(net: Recorder) -> None:
-    events, revision = await store(net).watch("c/", 431, 2.5)
+    events, revision = await state_client(net).watch("c/", 431, 2.5)
     assert revision == 433
     assert events == [state.WatchEvent(433, "c/9", None, 1), state.WatchEvent(432, None, "c/d")]
 
 
 async def list_types(net: Recorder) -> None:
-    assert await renter(net).types() == [machine_type()]
+    assert await cloud_client(net).types() == [machine_type()]
 
 
-async def rent_machines(net: Recorder) -> None:
-    assert await renter(net).rent("r-17", "g8", "b", True, 12) == ["host-7", "host-8"]
+async def rent_instances(net: Recorder) -> None:
+    assert await cloud_client(net).rent("r-17", "g8", "b", True, 12) == ["host-7", "host-8"]
 
 
-async def return_machines(net: Recorder) -> None:
-    await renter(net).give_back(["host-7", "host-8"])
+async def return_instances(net: Recorder) -> None:
+    await cloud_client(net).give_back(["host-7", "host-8"])
 
 
-async def list_machines(net: Recorder) -> None:
-    client = renter(net)
-    assert await client.machines("") == ([rental()], True)
-    assert await client.machines("host-7") == ([rental()], False)
+async def list_instances(net: Recorder) -> None:
+    client = cloud_client(net)
+    assert await client.machines("") == ([instance()], True)
+    assert await client.machines("host-7") == ([instance()], False)
 
 
-async def direct_orders(net: Recorder) -> None:
+async def send_direct_commands(net: Recorder) -> None:
     client = workers.WorkerClient(net, 1.0)  # type: ignore[arg-type]
-    assert await client.send_commands("host-7:9", 41, 5, commands()) == (True, report())
+    assert await client.send_commands("host-7:9", 41, 5, commands()) == (True, worker_heartbeat())
 
 
-async def relayed_request(net: Recorder) -> None:
+async def forward_request(net: Recorder) -> None:
     tuning, rng = settings.OperatorSettings(), random.Random(1)
     sender = node.Node(SimClock(), net, deployment(), tuning, rng)  # type: ignore[arg-type]
     call = http.Call("POST", "/submissions", {}, codec.pack(JOB))
@@ -490,19 +490,19 @@
     assert await sender.relay("rig-2", call) == answer
 
 
-def row(key: str, data: Any, version: int) -> dict[str, Any]:
+def stored_row(key: str, data: Any, version: int) -> dict[str, Any]:
     """A row as the state service gives it."""
     return {"key": key, "data": data, "entry_rev": version}
 
 
 # What makes the calls and checks what is read of the answers; and the answers.
 CALLS: dict[str, tuple[Callable[[Recorder], Awaitable[None]], list[Any]]] = {
-    "read-a-key": (get_key, [{**row("a/b", {"n": 1}, 412), "permit": 7}]),
+    "read-a-key": (get_key, [{**stored_row("a/b", {"n": 1}, 412), "permit": 7}]),
     "read-below-a-prefix": (
         scan_keys,
         [
-            {"rows": [row("c/x z", 1, 5)], "truncated": True, "ledger_rev": 431},
-            {"rows": [row("c/x&", 2, 6)], "truncated": False, "ledger_rev": 432},
+            {"rows": [stored_row("c/x z", 1, 5)], "truncated": True, "ledger_rev": 431},
+            {"rows": [stored_row("c/x&", 2, 6)], "truncated": False, "ledger_rev": 432},
         ],
     ),
     "transaction": (write_keys, [{"ledger_rev": 432}]),
@@ -521,15 +521,15 @@
         ],
     ),
     "machine-types": (list_types, [{"rig_kinds": [machine_type()]}]),
-    "rent": (rent_machines, [{"rigs": ["host-7", "host-8"]}]),
-    "give-back": (return_machines, [{"rigs": []}]),
+    "rent": (rent_instances, [{"rigs": ["host-7", "host-8"]}]),
+    "give-back": (return_instances, [{"rigs": []}]),
     "list-machines": (
-        list_machines,
-        [{"rigs": [rental()], "truncated": True}, {"rigs": [rental()], "truncated": False}],
+        list_instances,
+        [{"rigs": [instance()], "truncated": True}, {"rigs": [instance()], "truncated": False}],
     ),
-    "direct-orders": (direct_orders, [report()]),
+    "direct-orders": (send_direct_commands, [worker_heartbeat()]),
     "relayed-request": (
-        relayed_request,
+        forward_request,
         [b'{"status":503,"data":{"error":"busy"},"headers":[["Retry-After","2"]]}'],
     ),
 }
@@ -546,14 +546,14 @@
     return net.calls
 
 
-def eventful_day() -> tuple[SharingWorld, set[str]]:
+def deployment_with_failures() -> tuple[SharingWorld, set[str]]:
     """A simulated deployment and the paths of its controllers' own messages to each other.
 
     One job is cancelled, the lead is handed over, one controller leaves and the leader fails.
     """
     world = SharingWorld(11, tuning={"standby": True})
     paths: set[str] = set()
-    marks: set[str] = set()
+    cancellation_records: set[str] = set()
     carry = world.network.request
 
     def request(source: str, method: str, address: str, path: str, *rest: Any) -> Any:
@@ -561,7 +561,9 @@
             paths.add(path)
         if path == "/multi":
             changes = codec.unpack(rest[0]).get("apply", ())
-            marks.update(str(c["data"]) for c in changes if c.get("put") == "c/w/j-long")
+            cancellation_records.update(
+                str(c["data"]) for c in changes if c.get("put") == "c/w/j-long"
+            )
         return carry(source, method, address, path, *rest)
 
     world.network.request = request  # type: ignore[method-assign]
@@ -570,7 +572,7 @@
     world.run(20)
     world.cancel("j-long")
     world.run(20.5)
-    assert marks == {"{'t': 1}"}, "the mark of a cancelled job"
+    assert cancellation_records == {"{'t': 1}"}, "the mark of a cancelled job"
     for path in ("shares", "standby"):
         assert world.say("rig-0", path, {})[0] == 200
     assert world.say(world.leader(), "hand-over", {"to": ""})[0] == 200
@@ -580,12 +582,12 @@
     return world, paths
 
 
-def day_forms() -> dict[str, Any]:
+def deployment_forms() -> dict[str, Any]:
     """Paths and stored records of that day; who leads may differ, so one name stands for all."""
-    world, paths = eventful_day()
+    world, paths = deployment_with_failures()
     found: dict[str, str] = {}
 
-    def note() -> None:
+    def record_forms() -> None:
         for key, (value, *_) in sorted(world.state.items.items()):
             kind = key.split("/")[1] if key.startswith("c/") else ""
             if kind in ("fence", "member", "folio", "leader", "types", "leaving"):
@@ -595,10 +597,10 @@
                     form = form.replace(name, "rig-n")
                 found.setdefault(kind + dead, form)
 
-    note()
+    record_forms()
     world.crash(world.leader(), None)
     world.run(75)
-    note()
+    record_forms()
     return {"paths": sorted(paths), "records": found}
 
 
@@ -607,23 +609,23 @@
     return codec.pack(msgspec.to_builtins(value)).hex()
 
 
-def written() -> dict[str, Any]:
+def current_forms() -> dict[str, Any]:
     """All forms, as the present code makes them."""
     return {
         "peer": {name: messages.encode(build()).decode() for name, build in PEER.items()},
         "outer": {name: outer_form(build()) for name, build in OUTER.items()},
         "calls": {name: calls_of(name) for name in CALLS},
-        "day": day_forms(),
+        "day": deployment_forms(),
     }
 
 
-def pinned() -> dict[str, Any]:
+def recorded_forms() -> dict[str, Any]:
     """All forms, as they were written once."""
     found: dict[str, Any] = json.loads(FIXTURE.read_text())
     return found
 
 
-def kind_of(value: Any) -> Any:
+def type_of(value: Any) -> Any:
     """The type to read an example's bytes as."""
     if isinstance(value, list) and value:
         kinds = dict.fromkeys(type(part) for part in value)
@@ -644,7 +646,7 @@
 
 
 def test_the_same_examples_are_here_and_in_the_file() -> None:
-    forms = pinned()
+    forms = recorded_forms()
     assert set(forms.pop("day")) == {"paths", "records"}
     examples: dict[str, Any] = {"peer": PEER, "outer": OUTER, "calls": CALLS}
     assert {group: set(forms[group]) for group in forms} == {g: set(examples[g]) for g in examples}
@@ -652,36 +654,36 @@
 
 @pytest.mark.parametrize("name", PEER)
 def test_a_message_between_controllers_keeps_its_bytes(name: str) -> None:
-    example, form = PEER[name](), pinned()["peer"][name]
+    example, form = PEER[name](), recorded_forms()["peer"][name]
     assert messages.encode(example).decode() == form
-    assert messages.decode(form.encode(), kind_of(example)) == example
+    assert messages.decode(form.encode(), type_of(example)) == example
 
 
 @pytest.mark.parametrize("name", OUTER)
 def test_what_is_stored_or_sent_elsewhere_keeps_its_bytes(name: str) -> None:
-    example, form = OUTER[name](), pinned()["outer"][name]
+    example, form = OUTER[name](), recorded_forms()["outer"][name]
     assert outer_form(example) == form
-    assert msgspec.convert(codec.unpack(bytes.fromhex(form)), kind_of(example)) == example
+    assert msgspec.convert(codec.unpack(bytes.fromhex(form)), type_of(example)) == example
 
 
 @pytest.mark.parametrize("name", CALLS)
 def test_a_call_keeps_its_path_and_its_bytes(name: str) -> None:
-    assert calls_of(name) == pinned()["calls"][name]
+    assert calls_of(name) == recorded_forms()["calls"][name]
 
 
 def test_a_deployment_keeps_its_paths_and_its_control_records() -> None:
-    assert day_forms() == pinned()["day"]
+    assert deployment_forms() == recorded_forms()["day"]
 
 
-def test_reports_are_read_from_their_bytes() -> None:
+def test_worker_heartbeats_are_read_from_their_bytes() -> None:
     assert (
-        workers_protocol.parse_worker_heartbeat(bytes.fromhex(pinned()["outer"]["report"]))
-        == report()
+        workers_protocol.parse_worker_heartbeat(bytes.fromhex(recorded_forms()["outer"]["report"]))
+        == worker_heartbeat()
     )
 
 
-def test_a_block_is_read_from_its_record() -> None:
-    stored = codec.unpack(bytes.fromhex(pinned()["outer"]["block-record"]))
+def test_a_machine_shard_is_read_from_its_record() -> None:
+    stored = codec.unpack(bytes.fromhex(recorded_forms()["outer"]["block-record"]))
     assert msgspec.convert(stored, control_records.MachineShard) == control_records.MachineShard(
         "rig-1", [machine()], True, 41
     )
@@ -708,4 +710,4 @@
 
 
 if __name__ == "__main__" and os.environ.get(WRITE) == "1":
-    FIXTURE.write_text(json.dumps(written(), indent=1, sort_keys=True) + "\n")
+    FIXTURE.write_text(json.dumps(current_forms(), indent=1, sort_keys=True) + "\n")
