--- /dev/null
+++ b/src/beamspar/node/cancellations.py
@@ -0,0 +1,73 @@
+"""Notices of confirmed cancellations, sent to each peer until it acknowledges them."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from beamspar.node.incarnation import CurrentIncarnation
+from beamspar.node.peer_client import PeerClient
+from beamspar.node.peer_paths import PeerPath
+from beamspar.protocol.peer_messages import CancellationNotice
+from beamspar.transport.http import spawn
+
+
+class CancellationNotices:
+    """Owns the confirmed cancellations that a peer has not acknowledged.
+
+    They are kept beyond a lost registration: a user was told of them.
+    """
+
+    def __init__(
+        self, current: CurrentIncarnation, peers: PeerClient, members: Iterable[str]
+    ) -> None:
+        self.current = current
+        self.peers = peers
+        # Per peer and job, the revision by which the cancellation was stored.
+        self.unacknowledged: dict[str, dict[str, int]] = {member: {} for member in members}
+        # Peers with a notice under way: one at a time.
+        self.notifying: set[str] = set()
+
+    def confirm(self, job: str, revision: int) -> None:
+        """A user is about to be told that the job is cancelled: all members should know.
+
+        The state service tells them too, unless it refuses them alone or is out; they may
+        own the job or hold its machines, and go on with both until their leases end.
+        """
+        registration = self.current.registration
+        if registration is not None and not registration.lost:
+            registration.mirror.observe_cancellations({job: revision})
+        for pending in self.unacknowledged.values():
+            pending[job] = revision
+        self.send_pending()
+
+    def send_pending(self) -> None:
+        """Send what a peer has not acknowledged, until the mirror shows the job's end."""
+        for member, pending in self.unacknowledged.items():
+            self._drop_ended(pending)
+            if pending and member not in self.notifying:
+                self.notifying.add(member)
+                spawn(self._notify(member), "cancellation notice")
+
+    def _drop_ended(self, pending: dict[str, int]) -> None:
+        registration = self.current.registration
+        if registration is None or not registration.started:
+            return
+        mirror = registration.mirror
+        for job in [job for job, revision in pending.items() if revision <= mirror.revision]:
+            if job not in mirror.cancelled:
+                del pending[job]
+
+    async def _notify(self, member: str) -> None:
+        jobs = dict(self.unacknowledged[member])
+        try:
+            acknowledged = await self.peers.notify(
+                member, PeerPath.CANCELLATIONS, CancellationNotice(jobs)
+            )
+        finally:
+            self.notifying.discard(member)
+        if acknowledged:
+            pending = self.unacknowledged[member]
+            for job, revision in jobs.items():
+                if pending.get(job) == revision:
+                    del pending[job]
+            self.send_pending()
--- /dev/null
+++ b/src/beamspar/node/capacity_client.py
@@ -0,0 +1,57 @@
+"""Asks the leader, here or at a peer, for capacity for waiting jobs."""
+
+from __future__ import annotations
+
+from twisted.internet.defer import Deferred, ensureDeferred
+from twisted.logger import Logger
+
+from beamspar.node.incarnation import CurrentIncarnation
+from beamspar.node.peer_client import PeerClient
+from beamspar.node.peer_paths import PeerPath
+from beamspar.protocol.peer_messages import (
+    CapacityOffers,
+    CapacityRequest,
+    CapacityRequestBatch,
+    PlacementOffer,
+    decode,
+)
+from beamspar.settings import Timeouts
+from beamspar.transport.http import CallFailedError
+
+log = Logger(namespace="node")
+
+
+class CapacityClient:
+    """Sends capacity requests to whoever leads now."""
+
+    def __init__(
+        self, me: str, current: CurrentIncarnation, peers: PeerClient, timeouts: Timeouts
+    ) -> None:
+        self.me = me
+        self.current = current
+        self.peers = peers
+        self.timeouts = timeouts
+
+    def request(self, requests: list[CapacityRequest]) -> Deferred[list[PlacementOffer] | None]:
+        """The leader's offers; None when it can't be asked, and soon, for users wait."""
+        return ensureDeferred(self._request(requests))
+
+    async def _request(self, requests: list[CapacityRequest]) -> list[PlacementOffer] | None:
+        actors = self.current.actors
+        leader = actors.registration.mirror.leader if actors is not None else None
+        if actors is None or leader is None:
+            return None
+        if leader == self.me:
+            return actors.leader.offer_capacity(leader, requests).offers
+        if self.peers.has_just_failed(leader):
+            return None
+        message = CapacityRequestBatch(self.me, requests)
+        try:
+            body = await self.peers.call(
+                leader, PeerPath.CAPACITY_REQUESTS, message, self.timeouts.heartbeat
+            )
+            offers: CapacityOffers = decode(body, CapacityOffers)
+        except (CallFailedError, ValueError) as error:
+            log.info("no offers of leader {name}: {error}", name=leader, error=error)
+            return None
+        return offers.offers
--- /dev/null
+++ b/src/beamspar/node/departure.py
@@ -0,0 +1,60 @@
+"""Leaving the service in order, and what a controller answers that has left."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from twisted.logger import Logger
+
+from beamspar.node.incarnation import CurrentIncarnation
+from beamspar.node.peer_paths import PeerPath
+from beamspar.protocol.peer_messages import decode, encode
+from beamspar.state.client import LeaseExpiredError, StateClient, StateUnavailableError
+
+log = Logger(namespace="node")
+
+
+class Departure:
+    """Ends the registration at the end of a leave, and makes a new one when it is undone."""
+
+    def __init__(
+        self, me: str, state: StateClient, current: CurrentIncarnation, rejoin: Callable[[], None]
+    ) -> None:
+        self.me = me
+        self.state = state
+        self.current = current
+        self.rejoin = rejoin
+
+    async def resign(self) -> None:
+        """End the registration: nothing is held here, and others get our jobs at once."""
+        registration = self.current.registration
+        if registration is None:
+            return
+        self.current.has_left, self.current.is_loaded = True, False
+        lease_id = registration.lease_id
+        registration.end("it has left the service")
+        log.warn("{me} has left: the process may be stopped", me=registration.me)
+        try:
+            await self.state.revoke_lease(lease_id)
+        except (StateUnavailableError, LeaseExpiredError) as error:
+            log.info("the lease expires by itself: {error}", error=error)
+
+    def answer(self, name: str, body: bytes) -> bytes | None:
+        """Answer an operator's request, if this controller has left and it is about that.
+
+        Raises ValidationError or JSONDecodeError for one that is malformed.
+        """
+        if not self.current.has_left:
+            return None
+        # Loaded only where it is needed: each module costs time at the start.
+        from beamspar.sharing.messages import CommandReply, LeaveRequest
+        from beamspar.sharing.service import shares_of_one_that_left
+
+        if name == PeerPath.SHARES:
+            return encode(shares_of_one_that_left(self.me))
+        if name == PeerPath.LEAVE:
+            if decode(body, LeaveRequest).undo:
+                self.current.has_left = False
+                self.rejoin()
+            return encode(CommandReply(True))
+        return None
--- /dev/null
+++ b/src/beamspar/node/desired_state_delivery.py
@@ -0,0 +1,64 @@
+"""Carries the desired state of attempts from the job controller here to machine controllers."""
+
+from __future__ import annotations
+
+from twisted.internet.defer import Deferred, ensureDeferred
+from twisted.logger import Logger
+
+from beamspar.machines.machine_controller import MachineController
+from beamspar.node.incarnation import CurrentIncarnation
+from beamspar.node.peer_client import PeerClient
+from beamspar.node.peer_paths import PeerPath
+from beamspar.protocol.peer_messages import (
+    AttemptStatus,
+    AttemptStatusBatch,
+    DesiredStateUpdate,
+    decode,
+)
+from beamspar.settings import Timeouts
+from beamspar.transport.http import CallFailedError
+
+log = Logger(namespace="node")
+
+
+def apply_updates(
+    machine_controller: MachineController, updates: list[DesiredStateUpdate]
+) -> list[AttemptStatus]:
+    """Let the machine controller take the updates in; the statuses that it answers with."""
+    return [status for update in updates for status in machine_controller.sync(update)]
+
+
+class DesiredStateDelivery:
+    """Sends updates to the controller of the machines, here or at a peer."""
+
+    def __init__(
+        self, me: str, current: CurrentIncarnation, peers: PeerClient, timeouts: Timeouts
+    ) -> None:
+        self.me = me
+        self.current = current
+        self.peers = peers
+        self.timeouts = timeouts
+
+    def send(
+        self, member: str, updates: list[DesiredStateUpdate]
+    ) -> Deferred[list[AttemptStatus] | None]:
+        """The statuses that the member answers with; None when the updates may be lost."""
+        return ensureDeferred(self._send(member, updates))
+
+    async def _send(
+        self, member: str, updates: list[DesiredStateUpdate]
+    ) -> list[AttemptStatus] | None:
+        if member == self.me:
+            machine_controller = self.current.machine_controller
+            if machine_controller is None:
+                return None
+            return apply_updates(machine_controller, updates)
+        try:
+            body = await self.peers.call(
+                member, PeerPath.DESIRED_STATE, updates, self.timeouts.request
+            )
+            batch: AttemptStatusBatch = decode(body, AttemptStatusBatch)
+        except (CallFailedError, ValueError) as error:
+            log.debug("desired state for {member}: {error}", member=member, error=error)
+            return None
+        return batch.statuses
--- /dev/null
+++ b/src/beamspar/node/heartbeats.py
@@ -0,0 +1,111 @@
+"""This member's heartbeats to the leader."""
+
+from __future__ import annotations
+
+from twisted.logger import Logger
+
+from beamspar.node.incarnation import CurrentIncarnation
+from beamspar.node.leader_guidance import LeaderGuidance
+from beamspar.node.member_summary import summarize
+from beamspar.node.peer_client import PeerClient
+from beamspar.node.peer_paths import PeerPath
+from beamspar.node.worker_contacts import WorkerContacts
+from beamspar.protocol.peer_messages import HeartbeatResponse, MemberHeartbeat, decode
+from beamspar.settings import Timeouts
+from beamspar.state import keys
+from beamspar.transport.http import CallFailedError, Clock, spawn
+
+log = Logger(namespace="node")
+
+
+class Heartbeats:
+    """Owns how much of this member's state the leader has acknowledged.
+
+    One heartbeat is under way at a time, so that each builds on one that was taken in.
+    """
+
+    def __init__(
+        self,
+        clock: Clock,
+        current: CurrentIncarnation,
+        peers: PeerClient,
+        guidance: LeaderGuidance,
+        contacts: WorkerContacts,
+        timeouts: Timeouts,
+    ) -> None:
+        self.clock = clock
+        self.current = current
+        self.peers = peers
+        self.guidance = guidance
+        self.contacts = contacts
+        self.timeouts = timeouts
+        self.is_sending = False
+        # The leader that the last heartbeat went to.
+        self.sent_to = ""
+        # The count of changes that it has taken in; 0: the next heartbeat tells all.
+        self.acknowledged = 0
+
+    def tell_all_next(self) -> None:
+        """The next heartbeat tells all: the counts of an earlier incarnation mean nothing."""
+        self.acknowledged = 0
+
+    def observe(self, key: str) -> None:
+        """A new leader decides nothing before it has heard us: tell it all at once."""
+        registration = self.current.registration
+        if (
+            key == keys.LEADER
+            and registration is not None
+            and registration.mirror.leader != self.sent_to
+        ):
+            self.clock.callLater(0, self._send_if_registered)
+
+    def _send_if_registered(self) -> None:
+        if self.current.registered() is not None:
+            self.send()
+
+    def send(self) -> None:
+        """Send a heartbeat to the leader, unless one is under way or it can't be reached."""
+        actors = self.current.actors
+        if actors is None:
+            return
+        registration = actors.registration
+        leader = registration.mirror.leader
+        if leader is None or not registration.lease_is_valid() or self.is_sending:
+            return
+        if leader != registration.me and not self.peers.is_reachable(leader):
+            # A full picture with each heartbeat to a leader that is down would be wasted.
+            self.acknowledged = 0
+            return
+        since = self.acknowledged if self.sent_to == leader else 0
+        heartbeat = summarize(actors, self.guidance, self.contacts, since)
+        self.contacts.unassigned.clear()
+        self.sent_to, self.acknowledged = leader, 0
+        if leader == registration.me:
+            response = actors.leader.heartbeat(heartbeat)
+            self._follow(response)
+            if response.accepted:
+                self.acknowledged = heartbeat.count
+        else:
+            self.is_sending = True
+            spawn(self._send_to(leader, heartbeat), "heartbeat")
+
+    async def _send_to(self, leader: str, heartbeat: MemberHeartbeat) -> None:
+        try:
+            body = await self.peers.call(
+                leader, PeerPath.HEARTBEAT, heartbeat, self.timeouts.request
+            )
+            response: HeartbeatResponse = decode(body, HeartbeatResponse)
+            self._follow(response)
+            if response.accepted and self.sent_to == leader:
+                self.acknowledged = heartbeat.count
+        except (CallFailedError, ValueError) as error:
+            log.debug("heartbeat: {error}", error=error)
+        finally:
+            self.is_sending = False
+
+    def _follow(self, response: HeartbeatResponse) -> None:
+        actors = self.current.actors
+        self.guidance.observe(response, actors.registration.mirror.shard_of if actors else {})
+        if actors is not None:
+            actors.machine_controller.drain(response.machines_to_drain)
+            actors.machine_controller.recall(response.caches)
--- /dev/null
+++ b/src/beamspar/node/machine_types.py
@@ -0,0 +1,74 @@
+"""The machine types that the cloud offers, and the stored copy of them."""
+
+from __future__ import annotations
+
+import msgspec
+from twisted.logger import Logger
+
+from beamspar.leader.cloud_client import CloudClient, CloudUnavailableError, NoCapacityError
+from beamspar.node.incarnation import CurrentIncarnation
+from beamspar.protocol.cloud import MachineType
+from beamspar.protocol.codec import convert
+from beamspar.settings import Timeouts
+from beamspar.state import keys
+from beamspar.state.client import (
+    ConflictError,
+    LeaseExpiredError,
+    StateClient,
+    StateUnavailableError,
+    put,
+)
+from beamspar.transport.http import Clock, sleep
+
+log = Logger(namespace="node")
+
+
+class MachineTypes:
+    """Owns the machine types by name. They are fetched once in a process' life."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        cloud: CloudClient,
+        state: StateClient,
+        current: CurrentIncarnation,
+        timeouts: Timeouts,
+    ) -> None:
+        self.clock = clock
+        self.cloud = cloud
+        self.state = state
+        self.current = current
+        self.timeouts = timeouts
+        # Empty until they are known. Actors share this very dictionary.
+        self.by_name: dict[str, MachineType] = {}
+
+    async def fetch(self) -> None:
+        """Machine types from the cloud; the stored copy serves while it is down."""
+        while True:
+            try:
+                types = await self.cloud.types()
+                self.by_name.update({kind.name: kind for kind in types})
+                await self._store()
+                return
+            except (CloudUnavailableError, NoCapacityError) as error:
+                log.info("machine types wait: {error}", error=error)
+            await sleep(self.clock, self.timeouts.report)
+
+    async def _store(self) -> None:
+        while self.current.registration is None or not self.current.registration.started:
+            await sleep(self.clock, self.timeouts.report)
+        if keys.MACHINE_TYPES in self.current.registration.mirror.values:
+            return
+        value = [msgspec.to_builtins(kind) for kind in self.by_name.values()]
+        try:
+            await self.state.transact({keys.MACHINE_TYPES: 0}, [put(keys.MACHINE_TYPES, value)])
+        except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
+            log.info("machine types not stored: {error}", error=error)
+
+    def observe(self, key: str) -> None:
+        """A key of the mirror changed: the stored copy serves where the cloud has not answered."""
+        registration = self.current.registration
+        if key == keys.MACHINE_TYPES and registration and not self.by_name:
+            value = registration.mirror.values.get(keys.MACHINE_TYPES, ([], 0))[0]
+            types: list[MachineType] = convert(value, list[MachineType])
+            self.by_name.update({kind.name: kind for kind in types})
--- /dev/null
+++ b/src/beamspar/node/member_summary.py
@@ -0,0 +1,61 @@
+"""What a heartbeat tells the leader of this controller's jobs and machines."""
+
+from __future__ import annotations
+
+import msgspec
+
+from beamspar.jobs.job import Job
+from beamspar.jobs.job_controller import JobController
+from beamspar.node.incarnation import Actors
+from beamspar.node.leader_guidance import LeaderGuidance
+from beamspar.node.worker_contacts import WorkerContacts
+from beamspar.protocol.peer_messages import JobClass, MemberHeartbeat
+from beamspar.state.job_records import JobStatus
+
+
+def summarize(
+    actors: Actors, guidance: LeaderGuidance, contacts: WorkerContacts, since: int = 0
+) -> MemberHeartbeat:
+    """What changed here after that count of changes; all of it from 0."""
+    registration, machine_controller = actors.registration, actors.machine_controller
+    machines, count = machine_controller.views(since)
+    may_move_machines = actors.sharing is not None
+    return MemberHeartbeat(
+        registration.me,
+        registration.incarnation,
+        machines,
+        since,
+        count,
+        [msgspec.to_builtins(machine) for machine in contacts.unassigned.values()],
+        job_classes(actors.job_controller),
+        guidance.caches_known if since else 0,
+        {} if since else guidance.caches,
+        contacts.unserved_machines(),
+        partial=count < machine_controller.changes,
+        demand=demand(actors.job_controller) if may_move_machines else 0,
+        late_s=actors.job_controller.placer.late_s if may_move_machines else 0.0,
+    )
+
+
+def job_classes(job_controller: JobController) -> dict[str, JobClass]:
+    """Our live jobs by class."""
+    classes: dict[str, JobClass] = {}
+    for job in live_jobs(job_controller):
+        job_class = classes.get(job.spec.job_class)
+        if job_class is None:
+            job_class = classes[job.spec.job_class] = JobClass(msgspec.to_builtins(job.spec))
+        zones, _ = job.places(job_controller.zone_of)
+        for zone, count in zones.items():
+            job_class.zones[zone] = job_class.zones.get(zone, 0) + count
+        job_class.largest = max(job_class.largest, job.spec.tasks)
+    return classes
+
+
+def demand(job_controller: JobController) -> int:
+    """Tasks of our jobs that are bound or waiting."""
+    return sum(job.spec.tasks - job.done_count for job in live_jobs(job_controller))
+
+
+def live_jobs(job_controller: JobController) -> list[Job]:
+    """Our jobs that are neither done nor cancelled."""
+    return [job for job in job_controller.jobs.values() if job.status == JobStatus.LIVE]
--- /dev/null
+++ b/src/beamspar/node/peer_dispatch.py
@@ -0,0 +1,129 @@
+"""Messages from peers and operators, each handed to the actor that it is for."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+
+import msgspec
+import orjson
+from twisted.logger import Logger
+
+from beamspar.node.departure import Departure
+from beamspar.node.desired_state_delivery import apply_updates
+from beamspar.node.forwarding import answer_forwarded
+from beamspar.node.health import Health
+from beamspar.node.incarnation import Actors, CurrentIncarnation
+from beamspar.node.peer_paths import PEER_PREFIX, PeerPath
+from beamspar.protocol.peer_messages import (
+    AttemptStatusBatch,
+    CancellationNotice,
+    CapacityOffers,
+    CapacityRequestBatch,
+    DesiredStateUpdate,
+    HeartbeatResponse,
+    MemberHeartbeat,
+    decode,
+    encode,
+)
+from beamspar.transport.http import Answer, Call
+
+log = Logger(namespace="node")
+
+EMPTY_BODY = b"{}"
+
+
+def _apply_desired_state(actors: Actors, body: bytes) -> bytes:
+    updates: list[DesiredStateUpdate] = decode(body, list[DesiredStateUpdate])
+    return encode(AttemptStatusBatch(apply_updates(actors.machine_controller, updates)))
+
+
+def _observe_statuses(actors: Actors, body: bytes) -> bytes:
+    batch: AttemptStatusBatch = decode(body, AttemptStatusBatch)
+    actors.job_controller.statuses(batch.statuses)
+    return EMPTY_BODY
+
+
+def _offer_capacity(actors: Actors, body: bytes) -> bytes:
+    batch: CapacityRequestBatch = decode(body, CapacityRequestBatch)
+    return encode(actors.leader.offer_capacity(batch.member, batch.requests))
+
+
+def _observe_heartbeat(actors: Actors, body: bytes) -> bytes:
+    heartbeat: MemberHeartbeat = decode(body, MemberHeartbeat)
+    return encode(actors.leader.heartbeat(heartbeat))
+
+
+def _observe_cancellations(actors: Actors, body: bytes) -> bytes:
+    notice: CancellationNotice = decode(body, CancellationNotice)
+    actors.registration.mirror.observe_cancellations(notice.jobs)
+    return EMPTY_BODY
+
+
+# Messages that need a registered controller.
+HANDLERS: dict[str, Callable[[Actors, bytes], bytes]] = {
+    PeerPath.DESIRED_STATE: _apply_desired_state,
+    PeerPath.ATTEMPT_STATUSES: _observe_statuses,
+    PeerPath.CAPACITY_REQUESTS: _offer_capacity,
+    PeerPath.HEARTBEAT: _observe_heartbeat,
+    PeerPath.CANCELLATIONS: _observe_cancellations,
+}
+# What one that is not registered answers. Nothing else is taken in by anybody there: it is
+# refused, so that it is sent again.
+UNREGISTERED_ANSWERS: dict[str, bytes] = {
+    PeerPath.CAPACITY_REQUESTS: encode(CapacityOffers([])),
+    PeerPath.HEARTBEAT: encode(HeartbeatResponse(False)),
+}
+
+
+class PeerDispatch:
+    """Answers what comes to the peers' port."""
+
+    def __init__(
+        self,
+        current: CurrentIncarnation,
+        health: Health,
+        departure: Departure,
+        answer_user: Callable[[Call], Awaitable[Answer]],
+    ) -> None:
+        self.current = current
+        self.health = health
+        self.departure = departure
+        # Answers a user's request that a peer forwards, without forwarding it again.
+        self.answer_user = answer_user
+
+    async def handle(self, call: Call) -> Answer:
+        """Answer a message. Whatever is malformed or for nobody here is refused, and logged."""
+        try:
+            return Answer(200, await self._answer(call))
+        except (msgspec.ValidationError, orjson.JSONDecodeError, KeyError) as error:
+            log.info("refused message {path}: {error}", path=call.path, error=error)
+            return Answer(400)
+
+    async def _answer(self, call: Call) -> bytes:
+        if call.path == f"{PEER_PREFIX}{PeerPath.FORWARDED_REQUEST}":
+            return await answer_forwarded(call.body, self.answer_user)
+        name = call.path.removeprefix(PEER_PREFIX)
+        answer = await self._answer_of_standby(name, call.body)
+        if answer is None:
+            answer = await self._answer_of_sharing(name, call.body)
+        return answer if answer is not None else self._dispatch(name, call.body)
+
+    async def _answer_of_standby(self, name: str, body: bytes) -> bytes | None:
+        actors = self.current.registered()
+        if actors is None or actors.standby is None:
+            return None
+        return await actors.standby.answer(name, body)
+
+    async def _answer_of_sharing(self, name: str, body: bytes) -> bytes | None:
+        actors = self.current.registered()
+        if actors is None or actors.sharing is None:
+            return self.departure.answer(name, body)
+        return await actors.sharing.answer(name, body)
+
+    def _dispatch(self, name: str, body: bytes) -> bytes:
+        if name == PeerPath.HEALTH_PROBE:
+            return encode(self.health.probe_response())
+        actors = self.current.registered()
+        if actors is None:
+            return UNREGISTERED_ANSWERS[name]
+        return HANDLERS[name](actors, body)
--- /dev/null
+++ b/src/beamspar/node/status_delivery.py
@@ -0,0 +1,51 @@
+"""Carries statuses of attempts from the machine controller here to the jobs' controllers."""
+
+from __future__ import annotations
+
+from beamspar.node.incarnation import CurrentIncarnation
+from beamspar.node.peer_client import PeerClient
+from beamspar.node.peer_paths import PeerPath
+from beamspar.protocol.peer_messages import STATUSES_AT_ONCE, AttemptStatus, AttemptStatusBatch
+from beamspar.transport.http import Clock, spawn
+
+
+class StatusDelivery:
+    """Owns the statuses that leave at the end of this turn of the event loop."""
+
+    def __init__(
+        self, clock: Clock, me: str, current: CurrentIncarnation, peers: PeerClient
+    ) -> None:
+        self.clock = clock
+        self.me = me
+        self.current = current
+        self.peers = peers
+        # By the member that owns the attempts' jobs.
+        self.queued: dict[str, list[AttemptStatus]] = {}
+
+    def publish(self, member: str, statuses: list[AttemptStatus]) -> None:
+        """Queue statuses for a member.
+
+        Those of one turn are sent together: many machines are often lost at once.
+        """
+        if not self.queued:
+            self.clock.callLater(0, self._send_queued)
+        self.queued.setdefault(member, []).extend(statuses)
+
+    def _send_queued(self) -> None:
+        queued, self.queued = self.queued, {}
+        for member, statuses in queued.items():
+            if member == self.me:
+                if self.current.job_controller is not None:
+                    self.current.job_controller.statuses(statuses)
+            else:
+                spawn(self._send(member, statuses), "statuses")
+
+    async def _send(self, member: str, statuses: list[AttemptStatus]) -> None:
+        machine_controller = self.current.machine_controller
+        for start in range(0, len(statuses), STATUSES_AT_ONCE):
+            batch = statuses[start : start + STATUSES_AT_ONCE]
+            is_acknowledged = await self.peers.notify(
+                member, PeerPath.ATTEMPT_STATUSES, AttemptStatusBatch(batch)
+            )
+            if not is_acknowledged and machine_controller is not None:
+                machine_controller.unacknowledged(batch)
--- /dev/null
+++ b/src/beamspar/node/user_cancellations.py
@@ -0,0 +1,94 @@
+"""Users' cancellations of jobs."""
+
+from __future__ import annotations
+
+import msgspec
+from twisted.logger import Logger
+
+from beamspar.node.cancellations import CancellationNotices
+from beamspar.node.incarnation import CurrentIncarnation
+from beamspar.node.job_lookup import JobLookup, decode_record
+from beamspar.node.responses import busy, no_such_job, respond
+from beamspar.protocol.jobs import JOB_ID
+from beamspar.state import keys
+from beamspar.state.client import (
+    ConflictError,
+    LeaseExpiredError,
+    RequestPriority,
+    StateClient,
+    StateUnavailableError,
+    put,
+)
+from beamspar.state.job_records import JobRecord, JobStatus
+from beamspar.transport.http import Answer
+
+log = Logger(namespace="api")
+
+# Writes that are tried before the user has to come back: the record changes as tasks end.
+MAX_ATTEMPTS = 6
+
+
+class UserCancellations:
+    """Stores cancellations and lets all members know."""
+
+    def __init__(
+        self,
+        state: StateClient,
+        current: CurrentIncarnation,
+        jobs: JobLookup,
+        notices: CancellationNotices,
+    ) -> None:
+        self.state = state
+        self.current = current
+        self.jobs = jobs
+        self.notices = notices
+
+    async def cancel(self, job: str) -> Answer:
+        """Cancel the job. It is idempotent; a job that is over stays as it ended."""
+        if not JOB_ID.match(job):
+            return no_such_job()
+        try:
+            for _ in range(MAX_ATTEMPTS):
+                answer = await self._try_to_cancel(job)
+                if answer is not None:
+                    return answer
+        except (StateUnavailableError, LeaseExpiredError) as error:
+            log.info("cancellation of {job}: {error}", job=job, error=error)
+        return busy()
+
+    async def _try_to_cancel(self, job: str) -> Answer | None:
+        """One attempt; None if the record changed meanwhile."""
+        end = self.jobs.finished.get(job)
+        if end is not None:
+            return respond(200, {"id": job, "status": end.status})
+        item = await self.state.get(keys.job(job), RequestPriority.URGENT)
+        if item is None:
+            # The next attempt finds the end that this read brings.
+            return no_such_job() if await self.jobs.read(job) is None else None
+        record = decode_record(item.value, JobRecord)
+        if record.status == JobStatus.CANCELLED:
+            self.notices.confirm(job, item.version)
+        elif not await self._store(job, item.version, record):
+            return None
+        return respond(200, {"id": job, "status": JobStatus.CANCELLED})
+
+    async def _store(self, job: str, version: int, record: JobRecord) -> bool:
+        record.status = JobStatus.CANCELLED
+        cancellation = {"t": 1}
+        try:
+            revision = await self.state.transact(
+                {keys.job(job): version},
+                [
+                    put(keys.job(job), msgspec.to_builtins(record)),
+                    put(keys.cancellation(job), cancellation),
+                ],
+                RequestPriority.URGENT,
+            )
+        except ConflictError:
+            return False
+        log.info("{job} cancelled by its user", job=job)
+        registration = self.current.registration
+        if registration is not None:
+            registration.mirror.observe(keys.cancellation(job), cancellation, revision)
+        self.notices.confirm(job, revision)
+        return True
--- /dev/null
+++ b/src/beamspar/node/worker_heartbeats.py
@@ -0,0 +1,76 @@
+"""Workers' heartbeats: answered here, or sent on to whoever holds the machine."""
+
+from __future__ import annotations
+
+from twisted.logger import Logger
+
+from beamspar.node.incarnation import Actors, CurrentIncarnation
+from beamspar.node.peer_client import PeerClient
+from beamspar.node.responses import error, respond
+from beamspar.node.worker_contacts import WorkerContacts
+from beamspar.protocol.codec import InvalidInputError
+from beamspar.protocol.workers import (
+    WorkerHeartbeat,
+    heartbeat_response,
+    parse_worker_heartbeat,
+    redirect_response,
+)
+from beamspar.state.control_records import Machine
+from beamspar.transport.http import Answer, Call
+
+log = Logger(namespace="api")
+
+
+class WorkerHeartbeats:
+    """Hands heartbeats to the machine controller, and notes those of other machines."""
+
+    def __init__(
+        self, current: CurrentIncarnation, peers: PeerClient, contacts: WorkerContacts
+    ) -> None:
+        self.current = current
+        self.peers = peers
+        self.contacts = contacts
+
+    def answer(self, call: Call) -> Answer:
+        """The commands for the worker, another controller's name, or that nobody knows now."""
+        try:
+            heartbeat = parse_worker_heartbeat(call.body)
+        except InvalidInputError as invalid:
+            log.info("malformed worker heartbeat: {error}", error=invalid)
+            return error(400, str(invalid))
+        actors = self.current.actors
+        if actors is None or not actors.registration.lease_is_valid():
+            return respond(503)
+        held = actors.registration.mirror.holder_of(heartbeat.machine)
+        if held is None:
+            self.contacts.observe_unassigned(_machine(heartbeat), actors.leader)
+            return respond(503)
+        holder, _ = held
+        if holder != actors.registration.me:
+            return self._redirect(heartbeat.machine, holder)
+        return _answer_own(actors, heartbeat)
+
+    def _redirect(self, machine: str, holder: str) -> Answer:
+        is_reachable = self.peers.is_reachable(holder)
+        if is_reachable or not self.peers.was_refused(holder):
+            # It may just be on its way there; the leader knows whether it arrives.
+            self.contacts.observe_unserved(machine)
+        return respond(421, redirect_response(holder if is_reachable else None))
+
+
+def _answer_own(actors: Actors, heartbeat: WorkerHeartbeat) -> Answer:
+    answer = actors.machine_controller.report(heartbeat)
+    if answer is None:
+        return respond(503)
+    fencing_token, commands = answer
+    return respond(200, heartbeat_response(fencing_token, commands))
+
+
+def _machine(heartbeat: WorkerHeartbeat) -> Machine:
+    return Machine(
+        heartbeat.machine,
+        heartbeat.address,
+        heartbeat.kind,
+        heartbeat.zone,
+        bool(heartbeat.spot),
+    )
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -487,7 +487,7 @@
     sender = node.Node(SimClock(), net, deployment(), tuning, rng)  # type: ignore[arg-type]
     call = http.Call("POST", "/submissions", {}, codec.pack(JOB))
     answer = http.Answer(503, codec.pack({"error": "busy"}), (("Retry-After", "2"),))
-    assert await sender.relay("rig-2", call) == answer
+    assert await sender.forwarder.forward("rig-2", call) == answer
 
 
 def row(key: str, data: Any, version: int) -> dict[str, Any]:
--- a/tests/test_questions.py
+++ b/tests/test_questions.py
@@ -14,7 +14,7 @@
     world.run(20.0)
     assert world.running("j-1") == 2
     # Users ask now and then anyway.
-    world.nodes["rig-1"].api.known.clear()
+    world.nodes["rig-1"].api.jobs.stored.clear()
     return world
 
 
@@ -79,7 +79,7 @@
     got = ask(world, "rig-1", "j-1", 3)
     world.run(20.3)
     assert [status for status, _ in got] == [503] * 3
-    assert world.nodes["rig-1"].api.turned_away >= 3
+    assert world.nodes["rig-1"].api.polls.turned_away >= 3
 
 
 def test_a_submission_goes_before_questions() -> None:
