--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -147,12 +147,12 @@
     assert "in order" in check.stdout
 
 
-# The day's clock is changed before anything of twisted is loaded, for it keeps a reference.
-WANDERING = """
+# The time of day is changed before anything of twisted is loaded, for it keeps a reference.
+CLOCK_STEP = """
 import random, sys, time
 sys.path[:0] = ["src", "target/deps"]
-day, off = time.time, [0.0]
-time.time = lambda: day() + off[0]
+time_of_day, offset_s = time.time, [0.0]
+time.time = lambda: time_of_day() + offset_s[0]
 
 from beamspar import cli
 from beamspar.node import node
@@ -164,12 +164,12 @@
         self.clock = clock
 
     async def start(self):
-        self.since = self.clock.seconds()
-        self.clock.callLater(0.2, self.over)
-        off[0] = float(sys.argv[2])
+        self.started_at = self.clock.seconds()
+        self.clock.callLater(0.2, self.stop)
+        offset_s[0] = float(sys.argv[2])
 
-    def over(self):
-        print("passed", self.clock.seconds() - self.since)
+    def stop(self):
+        print("passed", self.clock.seconds() - self.started_at)
         self.clock.stop()
 
 
@@ -184,7 +184,7 @@
     ports = dict(zip(("public", "peer", "cloud", "state"), free_ports(4), strict=True))
     config.write_text(SETTINGS.format(**ports))
     done = subprocess.run(
-        [sys.executable, "-c", WANDERING, str(config), str(jump)],
+        [sys.executable, "-c", CLOCK_STEP, str(config), str(jump)],
         cwd=ROOT, capture_output=True, text=True, timeout=20, check=True,
     )  # fmt: skip
     passed = float(done.stdout.split()[-1])
@@ -205,8 +205,8 @@
     if name.split(".")[0] in ("beamspar", "twisted") and getattr(module, "__file__", None):
         source, compiled = Path(module.__file__), Path(module.__cached__)
         # The header of compiled code says which source it is of, by its time.
-        stamp = int.from_bytes(compiled.read_bytes()[8:12], "little") if compiled.exists() else 0
-        print(name, source, stamp == int(source.stat().st_mtime))
+        mtime = int.from_bytes(compiled.read_bytes()[8:12], "little") if compiled.exists() else 0
+        print(name, source, mtime == int(source.stat().st_mtime))
 """
 # Libraries that are not needed to serve, and cost some tenth of a start together.
 NOT_LOADED = ("twisted.web.client", "twisted.internet.endpoints", "twisted.plugin")
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -15,7 +15,7 @@
 
 
 def fault(world: World, rng: random.Random) -> None:
-    """One trouble, alone or on top of those that still last."""
+    """Inject one fault, alone or on top of those that still last."""
     names = world.names
     machines = [n for n, w in world.cloud.workers.items() if not w.dead]
     machine = rng.choice(machines) if machines else None
@@ -98,7 +98,7 @@
     elif kind == 20:
         world.odd(world.clock.seconds() + span)
     elif kind == 21:
-        # A controller without state service and siblings, but with its workers and users.
+        # A controller without state service and peers, but with its workers and users.
         node = rng.choice([world.leader() or names[0], rng.choice(names)])
         for other in ("state", *(n for n in names if n != node)):
             world.network.cut(node, other, "hold")
@@ -138,15 +138,16 @@
     """Use of teams' limits that no task accounts for: it would be lost to them for ever."""
     found = []
     for name, node in world.nodes.items():
-        owner = node.job_controller
-        if owner is None:
+        job_controller = node.job_controller
+        if job_controller is None:
             continue
         known: dict[tuple[str, str], float] = {}
-        doubtful = [job for jobs in owner.doubtful.values() for job in jobs]
-        for job in (*owner.jobs.values(), *owner.arriving.values(), *doubtful):
+        indeterminate = [job for jobs in job_controller.doubtful.values() for job in jobs]
+        accepted = (*job_controller.jobs.values(), *job_controller.arriving.values())
+        for job in (*accepted, *indeterminate):
             key = (job.partition, job.spec.team)
             known[key] = known.get(key, 0.0) + job.bound * job.spec.cpus
-        for key, (cpus, _) in owner.quota_manager.used.items():
+        for key, (cpus, _) in job_controller.quota_manager.used.items():
             if abs(cpus - known.get(key, 0.0)) > 1e-6:
                 found.append(f"{name} {key}: {cpus}, known {known.get(key, 0.0)}")
     return found
@@ -197,8 +198,8 @@
     return small and all(fence.get("v") for fence in fences)
 
 
-def calm_down(world: World) -> None:
-    """All troubles end, and the services are cancelled."""
+def end_faults(world: World) -> None:
+    """All faults end, and the services are cancelled."""
     world.cloud.down = False
     world.state.outage(False)
     world.state.late_share = world.state.slow_s = 0.0
@@ -243,7 +244,7 @@
     seed: int, size: int, upgrade: bool = False, slow: bool = False, standby: bool = False
 ) -> World:
     rng = random.Random(seed)
-    slow_dice = random.Random(seed)
+    slow_rng = random.Random(seed)
     world = World(
         seed,
         tuning={"standby": standby},
@@ -273,7 +274,7 @@
         if rng.random() < 0.6:
             fault(world, rng)
         if slow:
-            slow_down(world, slow_dice)
+            slow_down(world, slow_rng)
         if rng.random() < 0.5:
             job = f"j-{rng.randint(1, jobs)}"
             if job in world.checker.accepted:
@@ -281,7 +282,7 @@
         world.run(world.clock.seconds() + rng.choice([2.0, 7.0, 15.0]))
     for name in waiting:
         world.upgrade(name, 1.0)
-    calm_down(world)
+    end_faults(world)
     world.run(world.clock.seconds() + 200)
     verify(world)
     return world
--- a/tests/test_random_limits.py
+++ b/tests/test_random_limits.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.standins.world import ZONES, World
-from tests.test_random import calm_down, fault, leaks
+from tests.test_random import end_faults, fault, leaks
 
 SEEDS = range(3000, 3000 + int(os.environ.get("BEAMSPAR_SEEDS", "6")))
 ROUNDS = 10
@@ -103,7 +103,7 @@
             if rng.random() < 0.4 and job in world.checker.accepted:
                 world.cancel(job)
         world.run(world.clock.seconds() + rng.choice([4.0, 12.0, 30.0]))
-    calm_down(world)
+    end_faults(world)
     return world
 
 
