--- a/src/beamspar/leader/shard_leasing.py
+++ b/src/beamspar/leader/shard_leasing.py
@@ -200,14 +200,24 @@
             return
         moves = choose_balancing_moves(self.mirror.shards, counts, self.sites, self.max_moves)
         for move in moves:
-            log.info("moving shard {name} from {source} to {target}", **move._asdict())
+            log.info(
+                "moving shard {name} from {source} to {target}",
+                name=move.name,
+                source=move.source,
+                target=move.target,
+            )
         await self._move(moves)
 
     async def _move_unserved_machines(self) -> None:
         """Shards whose holder does not serve their machines go to whom the workers reach."""
         moves = self._unserved.choose_moves()
         for move in moves:
-            log.info("moving shard {name}, not served by {source}, to {target}", **move._asdict())
+            log.info(
+                "moving shard {name}, not served by {source}, to {target}",
+                name=move.name,
+                source=move.source,
+                target=move.target,
+            )
         await self._move(moves)
 
     async def _move(self, moves: list[ShardMove]) -> None:
--- a/tests/test_command_planning.py
+++ b/tests/test_command_planning.py
@@ -16,7 +16,7 @@
 from beamspar.settings import OperatorSettings, Timeouts
 from beamspar.state.control_records import Machine
 from tests.standins.clock import SimClock
-from tests.test_budget import settings
+from tests.test_quota_manager import settings
 
 KEY = AttemptKey("j-1/0", 1)
 SMALL = MachineType("small", 4.0, 0.0, 16.0, zones=["east"], cache_gb=50.0)
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -464,7 +464,10 @@
 
 
 async def rent_instances(net: Recorder) -> None:
-    assert await cloud_client(net).create_instances("r-17", "g8", "b", True, 12) == ["host-7", "host-8"]
+    assert await cloud_client(net).create_instances("r-17", "g8", "b", True, 12) == [
+        "host-7",
+        "host-8",
+    ]
 
 
 async def return_instances(net: Recorder) -> None:
--- a/tests/test_shard_distribution.py
+++ b/tests/test_shard_distribution.py
@@ -14,7 +14,7 @@
 )
 from beamspar.settings import StateServiceLimits
 from beamspar.state.control_records import Machine, MachineShard
-from tests.test_budget import settings
+from tests.test_quota_manager import settings
 
 SITES = {"a": "east", "b": "east", "c": "west"}
 LIMITS = settings().platform.state.smallest
