--- a/tests/test_command_planning.py
+++ b/tests/test_command_planning.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import Any
+
 import pytest
 
 from beamspar.cluster.state_mirror import StateMirror
@@ -25,7 +27,8 @@
 
 def planner() -> CommandPlanner:
     clock, timeouts = SimClock(), Timeouts(settings(), OperatorSettings())
-    mirror = StateMirror(clock, None, settings(), timeouts)  # type: ignore[arg-type]
+    unused: Any = None
+    mirror = StateMirror(clock, unused, settings(), timeouts, lambda member, version: None)
     mirror.revision = TOKEN
     summaries = MachineSummaries(clock, timeouts, lambda: {"small": SMALL})
     return CommandPlanner(clock, mirror, summaries, timeouts)
