--- a/src/beamspar/cli.py
+++ b/src/beamspar/cli.py
@@ -61,8 +61,9 @@
     reactor: Any = steady_reactor()
 
     from beamspar.node.node import Node
-    from beamspar.settings import Timeouts
-    from beamspar.transport.http import Sockets, spawn
+    from beamspar.timeouts import Timeouts
+    from beamspar.transport.clock import spawn
+    from beamspar.transport.connection_limits import Sockets
 
     start_logging(os.environ.get("LOG_LEVEL", "info"))
     timeouts = Timeouts(settings, operator_settings)
--- a/src/beamspar/cluster/registration.py
+++ b/src/beamspar/cluster/registration.py
@@ -12,9 +12,9 @@
 from twisted.logger import Logger
 
 from beamspar.cluster.state_mirror import StateMirror
-from beamspar.settings import Settings, Timeouts
+from beamspar.settings import Settings
 from beamspar.state import keys
-from beamspar.state.client import RequestPriority, StateClient
+from beamspar.state.client import StateClient
 from beamspar.state.control_records import member_record, partition_record, stored_incarnation
 from beamspar.state.errors import (
     ConflictError,
@@ -23,7 +23,9 @@
     StateUnavailableError,
 )
 from beamspar.state.messages import Change, drop, put
-from beamspar.transport.http import Clock, sleep, spawn
+from beamspar.state.request_queue import RequestPriority
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, sleep, spawn
 
 log = Logger(namespace="registration")
 
--- a/src/beamspar/cluster/state_mirror.py
+++ b/src/beamspar/cluster/state_mirror.py
@@ -12,13 +12,15 @@
 import msgspec
 from twisted.logger import Logger
 
-from beamspar.settings import Settings, Timeouts
+from beamspar.settings import Settings
 from beamspar.state import keys
-from beamspar.state.client import RequestPriority, StateClient
+from beamspar.state.client import StateClient
 from beamspar.state.control_records import JobPartition, MachineShard, stored_release
 from beamspar.state.errors import CompactedError, StateUnavailableError
 from beamspar.state.messages import KeyValue, WatchEvent
-from beamspar.transport.http import Clock, sleep
+from beamspar.state.request_queue import RequestPriority
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, sleep
 
 log = Logger(namespace="mirror")
 
--- a/src/beamspar/standby/decision_log.py
+++ b/src/beamspar/decision_log/decision_log.py
@@ -3,11 +3,12 @@
 from __future__ import annotations
 
 from collections import deque
-from dataclasses import dataclass
 
-from beamspar.standby.decisions import Decision, LeadState, TimedDecision
-from beamspar.standby.messages import FollowReply, FollowRequest, LogEntry
-from beamspar.transport.http import Clock
+import msgspec
+
+from beamspar.decision_log.decisions import Decision, LeadState, TimedDecision
+from beamspar.decision_log.messages import FollowReply, FollowRequest, LogEntry
+from beamspar.transport.clock import Clock
 
 # Entries that are kept for followers that lag; beyond, they get a snapshot.
 LOG_ENTRIES = 1024
@@ -15,8 +16,7 @@
 ENTRIES_PER_MESSAGE = 512
 
 
-@dataclass(frozen=True)
-class SnapshotTransfer:
+class SnapshotTransfer(msgspec.Struct, frozen=True):
     """A snapshot on its way to one follower."""
 
     # The index that it stands for.
@@ -24,8 +24,7 @@
     entries: list[TimedDecision]
 
 
-@dataclass(frozen=True)
-class FollowerProgress:
+class FollowerProgress(msgspec.Struct, frozen=True):
     """What the leader knows of one follower."""
 
     # What it has applied; 0 while it has nothing of this term.
--- a/src/beamspar/standby/replica.py
+++ b/src/beamspar/decision_log/replica.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from beamspar.standby.decisions import LeadState, TimedDecision
-from beamspar.standby.messages import FollowReply, FollowRequest
-from beamspar.transport.http import Clock
+from beamspar.decision_log.decisions import LeadState, TimedDecision
+from beamspar.decision_log.messages import FollowReply, FollowRequest
+from beamspar.transport.clock import Clock
 
 
 class StaleTermError(Exception):
--- a/src/beamspar/jobs/assignments.py
+++ b/src/beamspar/jobs/assignments.py
@@ -16,8 +16,6 @@
     desired_attempt,
     split_by_size,
 )
-from beamspar.jobs.job import Job
-from beamspar.jobs.task import Task
 from beamspar.protocol.peer_messages import (
     WANTS_AT_ONCE,
     AttemptStatus,
@@ -25,8 +23,10 @@
     DesiredAttempt,
     DesiredStateUpdate,
 )
-from beamspar.settings import Timeouts
-from beamspar.transport.http import Clock, sleep, spawn
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, sleep, spawn
+from beamspar.workload.job import Job
+from beamspar.workload.task import Task
 
 # Attempts in one publication: after so many, the next one waits in proportion to them.
 LARGE_PUBLICATION_ATTEMPTS = 200
--- a/src/beamspar/jobs/attempt_statuses.py
+++ b/src/beamspar/jobs/attempt_statuses.py
@@ -13,15 +13,15 @@
 from beamspar.cluster.state_mirror import StateMirror
 from beamspar.jobs.assignments import Assignments
 from beamspar.jobs.gang_attempts import GangAttempts
-from beamspar.jobs.job import Job
 from beamspar.jobs.job_writer import JobWriter
-from beamspar.jobs.task import Task
 from beamspar.jobs.task_retry import FAILURE_REASONS, ExitReason, avoid_machine, retry_pause_s
 from beamspar.protocol.peer_messages import AttemptState, AttemptStatus
 from beamspar.quota.quota_manager import QuotaManager
-from beamspar.settings import Timeouts
 from beamspar.state.job_records import JobStatus
-from beamspar.transport.http import Clock
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock
+from beamspar.workload.job import Job
+from beamspar.workload.task import Task
 
 log = Logger(namespace="owner")
 
--- a/src/beamspar/jobs/chunk_removal.py
+++ b/src/beamspar/jobs/chunk_removal.py
@@ -4,10 +4,14 @@
 
 from collections.abc import Iterable
 
-from beamspar.settings import StateServiceLimits, Timeouts
-from beamspar.state.client import RequestPriority, StateClient, StateUnavailableError, drop
+from beamspar.settings import StateServiceLimits
+from beamspar.state.client import StateClient
+from beamspar.state.errors import StateUnavailableError
 from beamspar.state.job_records import Layout
-from beamspar.transport.http import Clock, sleep
+from beamspar.state.messages import drop
+from beamspar.state.request_queue import RequestPriority
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, sleep
 
 
 class ChunkRemover:
--- a/src/beamspar/jobs/desired_state.py
+++ b/src/beamspar/jobs/desired_state.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
-from beamspar.jobs.gang import GangPhase
-from beamspar.jobs.job import Job
-from beamspar.jobs.task import Task
 from beamspar.protocol.peer_messages import DesiredAction, DesiredAttempt
 from beamspar.state.job_records import JobStatus
+from beamspar.workload.gang import GangPhase
+from beamspar.workload.job import Job
+from beamspar.workload.task import Task
 
 
 class TaskKey(msgspec.Struct, frozen=True):
--- a/src/beamspar/jobs/empty_partitions.py
+++ b/src/beamspar/jobs/empty_partitions.py
@@ -11,19 +11,15 @@
 from twisted.logger import Logger
 
 from beamspar.cluster.registration import Registration
-from beamspar.jobs.job import Job
 from beamspar.quota.quota_manager import QuotaManager
-from beamspar.settings import Timeouts
 from beamspar.state import keys
-from beamspar.state.client import (
-    ConflictError,
-    LeaseExpiredError,
-    RequestPriority,
-    StateClient,
-    StateUnavailableError,
-    drop,
-)
-from beamspar.transport.http import Clock, sleep, spawn
+from beamspar.state.client import StateClient
+from beamspar.state.errors import ConflictError, LeaseExpiredError, StateUnavailableError
+from beamspar.state.messages import drop
+from beamspar.state.request_queue import RequestPriority
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, sleep, spawn
+from beamspar.workload.job import Job
 
 log = Logger(namespace="owner")
 
--- a/src/beamspar/jobs/gang_attempts.py
+++ b/src/beamspar/jobs/gang_attempts.py
@@ -11,9 +11,6 @@
 
 from twisted.logger import Logger
 
-from beamspar.jobs.gang import GangPhase
-from beamspar.jobs.job import Job
-from beamspar.jobs.task import Task
 from beamspar.jobs.task_retry import (
     GANG_FAILURE_REASONS,
     GANG_OVER_REASONS,
@@ -21,8 +18,11 @@
     avoid_machine,
 )
 from beamspar.protocol.peer_messages import AttemptState, AttemptStatus
-from beamspar.settings import Timeouts
 from beamspar.state.job_records import JobStatus
+from beamspar.timeouts import Timeouts
+from beamspar.workload.gang import GangPhase
+from beamspar.workload.job import Job
+from beamspar.workload.task import Task
 
 log = Logger(namespace="owner")
 
--- a/src/beamspar/jobs/indeterminate_accepts.py
+++ b/src/beamspar/jobs/indeterminate_accepts.py
@@ -11,20 +11,16 @@
 from twisted.logger import Logger
 
 from beamspar.cluster.registration import Registration
-from beamspar.jobs.job import Job
 from beamspar.jobs.job_store import AcceptingJobStore
-from beamspar.settings import Timeouts
 from beamspar.state import job_records as records
 from beamspar.state import keys
-from beamspar.state.client import (
-    ConflictError,
-    LeaseExpiredError,
-    RequestPriority,
-    StateClient,
-    StateUnavailableError,
-    put,
-)
-from beamspar.transport.http import Clock, sleep, spawn
+from beamspar.state.client import StateClient
+from beamspar.state.errors import ConflictError, LeaseExpiredError, StateUnavailableError
+from beamspar.state.messages import put
+from beamspar.state.request_queue import RequestPriority
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, sleep, spawn
+from beamspar.workload.job import Job
 
 log = Logger(namespace="owner")
 
--- a/src/beamspar/jobs/job_acceptor.py
+++ b/src/beamspar/jobs/job_acceptor.py
@@ -7,21 +7,21 @@
 
 from beamspar.cluster.registration import Registration
 from beamspar.jobs.indeterminate_accepts import IndeterminateAccepts
-from beamspar.jobs.job import Job
 from beamspar.jobs.job_store import AcceptingJobStore
 from beamspar.protocol.jobs import JobSpec
-from beamspar.settings import Timeouts
 from beamspar.state import keys
-from beamspar.state.client import (
+from beamspar.state.client import StateClient
+from beamspar.state.errors import (
     ConflictError,
     LeaseExpiredError,
     OutcomeUnknownError,
-    RequestPriority,
-    StateClient,
     StateUnavailableError,
-    put,
 )
-from beamspar.transport.http import Clock
+from beamspar.state.messages import put
+from beamspar.state.request_queue import RequestPriority
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock
+from beamspar.workload.job import Job
 
 log = Logger(namespace="owner")
 
--- a/src/beamspar/jobs/job_controller.py
+++ b/src/beamspar/jobs/job_controller.py
@@ -13,7 +13,6 @@
 from beamspar.jobs.attempt_statuses import AttemptStatusHandler
 from beamspar.jobs.empty_partitions import EmptyPartitions
 from beamspar.jobs.gang_attempts import GangAttempts
-from beamspar.jobs.job import Job
 from beamspar.jobs.job_acceptor import JobAcceptor
 from beamspar.jobs.job_loader import JobLoader
 from beamspar.jobs.job_writer import JobWriter
@@ -22,11 +21,13 @@
 from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.peer_messages import AttemptStatus
 from beamspar.quota.quota_manager import QuotaManager
-from beamspar.settings import Settings, Timeouts
+from beamspar.settings import Settings
 from beamspar.state import keys
 from beamspar.state.client import StateClient
 from beamspar.state.job_records import JobStatus
-from beamspar.transport.http import Clock, spawn
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, spawn
+from beamspar.workload.job import Job
 
 log = Logger(namespace="owner")
 
--- a/src/beamspar/jobs/job_loader.py
+++ b/src/beamspar/jobs/job_loader.py
@@ -14,15 +14,19 @@
 from twisted.logger import Logger
 
 from beamspar.cluster.registration import Registration
-from beamspar.jobs.job import Job
 from beamspar.jobs.job_restore import job_from_record, restore_tasks
 from beamspar.jobs.job_store import LoadableJobStore
-from beamspar.settings import StateServiceLimits, Timeouts
+from beamspar.settings import StateServiceLimits
 from beamspar.state import job_records as records
 from beamspar.state import keys
-from beamspar.state.client import KeyValue, RequestPriority, StateClient, StateUnavailableError
+from beamspar.state.client import StateClient
+from beamspar.state.errors import StateUnavailableError
 from beamspar.state.job_records import Chunk, JobRecord
-from beamspar.transport.http import Clock, sleep
+from beamspar.state.messages import KeyValue
+from beamspar.state.request_queue import RequestPriority
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, sleep
+from beamspar.workload.job import Job
 
 log = Logger(namespace="owner")
 
--- a/src/beamspar/jobs/job_restore.py
+++ b/src/beamspar/jobs/job_restore.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Mapping
 
-from beamspar.jobs.job import Job
-from beamspar.jobs.task import Task
 from beamspar.state import job_records as records
 from beamspar.state.job_records import Chunk, JobRecord, Layout
+from beamspar.workload.job import Job
+from beamspar.workload.task import Task
 
 
 def job_from_record(record: JobRecord, version: int, layout: Layout, now: float) -> Job:
--- a/src/beamspar/jobs/job_store.py
+++ b/src/beamspar/jobs/job_store.py
@@ -7,8 +7,8 @@
 
 from typing import TYPE_CHECKING, Protocol
 
-from beamspar.jobs.job import Job
 from beamspar.quota.quota_manager import QuotaManager
+from beamspar.workload.job import Job
 
 if TYPE_CHECKING:
     from beamspar.jobs.job_writer import JobWriter
--- a/src/beamspar/jobs/job_writer.py
+++ b/src/beamspar/jobs/job_writer.py
@@ -9,26 +9,26 @@
 
 from beamspar.cluster.registration import Registration
 from beamspar.jobs.chunk_removal import ChunkRemover
-from beamspar.jobs.job import Job
 from beamspar.jobs.job_store import WritableJobStore
 from beamspar.jobs.layout_migration import LayoutMigration
 from beamspar.jobs.record_layouts import RecordLayouts
 from beamspar.jobs.record_refresh import RecordRefresher
 from beamspar.jobs.record_transactions import RecordTransactions
-from beamspar.settings import StateServiceLimits, Timeouts
+from beamspar.settings import StateServiceLimits
 from beamspar.state import keys
-from beamspar.state.client import (
+from beamspar.state.client import StateClient
+from beamspar.state.errors import (
     ConflictError,
     LeaseExpiredError,
     OutcomeUnknownError,
-    RequestPriority,
-    StateClient,
     StateUnavailableError,
-    drop,
-    put,
 )
 from beamspar.state.job_records import EndRecord, JobStatus, Layout
-from beamspar.transport.http import Clock, sleep, spawn
+from beamspar.state.messages import drop, put
+from beamspar.state.request_queue import RequestPriority
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, sleep, spawn
+from beamspar.workload.job import Job
 
 log = Logger(namespace="owner")
 
--- a/src/beamspar/jobs/layout_migration.py
+++ b/src/beamspar/jobs/layout_migration.py
@@ -9,12 +9,12 @@
 from twisted.logger import Logger
 
 from beamspar.jobs.chunk_removal import ChunkRemover
-from beamspar.jobs.job import Job
 from beamspar.jobs.record_layouts import RecordLayouts
 from beamspar.jobs.record_transactions import RecordTransactions
 from beamspar.settings import StateServiceLimits
 from beamspar.state import job_records as records
-from beamspar.transport.http import spawn
+from beamspar.transport.clock import spawn
+from beamspar.workload.job import Job
 
 log = Logger(namespace="owner")
 
--- a/src/beamspar/jobs/placement_round.py
+++ b/src/beamspar/jobs/placement_round.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from beamspar.jobs.job import Job
 from beamspar.protocol.jobs import LOWEST_RANK
 from beamspar.protocol.peer_messages import CapacityRequest, PlacementOffer
+from beamspar.workload.job import Job
 
 # Waiting jobs that are placed in one round, and tasks of one job.
 JOBS_PER_ROUND = 64
--- a/src/beamspar/jobs/placer.py
+++ b/src/beamspar/jobs/placer.py
@@ -13,7 +13,6 @@
 
 from beamspar.cluster.registration import Registration
 from beamspar.jobs.assignments import Assignments
-from beamspar.jobs.job import Job
 from beamspar.jobs.job_writer import JobWriter
 from beamspar.jobs.placement_round import (
     OfferedPlace,
@@ -25,12 +24,14 @@
     tasks_per_round,
 )
 from beamspar.jobs.task_binder import TaskBinder
-from beamspar.placement import Preference, Room, choose, choose_group
+from beamspar.placement import Preference, choose, choose_group
 from beamspar.protocol.jobs import LOWEST_RANK, JobSpec
 from beamspar.protocol.peer_messages import CapacityRequest, PlacementOffer
+from beamspar.protocol.room import Room
 from beamspar.quota.quota_manager import QuotaManager
-from beamspar.settings import Timeouts
-from beamspar.transport.http import Clock, spawn
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, spawn
+from beamspar.workload.job import Job
 
 # The least time between the beginnings of two rounds, as a share of a heartbeat.
 ROUND_INTERVAL_HEARTBEATS = 0.1
--- a/src/beamspar/jobs/quota_stops.py
+++ b/src/beamspar/jobs/quota_stops.py
@@ -11,12 +11,12 @@
 
 from twisted.logger import Logger
 
-from beamspar.jobs.job import Job
 from beamspar.protocol.jobs import PRIORITIES
 from beamspar.quota import quota_preemption
 from beamspar.quota.quota_manager import QuotaManager
 from beamspar.quota.quota_preemption import PreemptionUnit
-from beamspar.settings import Timeouts
+from beamspar.timeouts import Timeouts
+from beamspar.workload.job import Job
 
 log = Logger(namespace="owner")
 
--- a/src/beamspar/jobs/record_layouts.py
+++ b/src/beamspar/jobs/record_layouts.py
@@ -7,11 +7,11 @@
 from __future__ import annotations
 
 from beamspar.cluster.state_mirror import StateMirror
-from beamspar.jobs.job import Job
 from beamspar.settings import StateServiceLimits
 from beamspar.state import job_records as records
 from beamspar.state.control_records import RELEASE
 from beamspar.state.job_records import Layout
+from beamspar.workload.job import Job
 
 
 class RecordLayouts:
--- a/src/beamspar/jobs/record_refresh.py
+++ b/src/beamspar/jobs/record_refresh.py
@@ -6,13 +6,15 @@
 
 from twisted.logger import Logger
 
-from beamspar.jobs.job import Job
 from beamspar.jobs.job_store import WritableJobStore
 from beamspar.settings import StateServiceLimits
 from beamspar.state import job_records as records
 from beamspar.state import keys
-from beamspar.state.client import RequestPriority, StateClient, StateUnavailableError
+from beamspar.state.client import StateClient
+from beamspar.state.errors import StateUnavailableError
 from beamspar.state.job_records import JobStatus
+from beamspar.state.request_queue import RequestPriority
+from beamspar.workload.job import Job
 
 log = Logger(namespace="owner")
 
--- a/src/beamspar/jobs/record_transactions.py
+++ b/src/beamspar/jobs/record_transactions.py
@@ -7,30 +7,30 @@
 from __future__ import annotations
 
 from collections.abc import Collection, Iterable
-from dataclasses import dataclass
 from typing import Any, NamedTuple
 
 import msgspec
 from twisted.logger import Logger
 
 from beamspar.cluster.registration import Registration
-from beamspar.jobs.job import Job
 from beamspar.jobs.job_store import WritableJobStore
 from beamspar.jobs.record_refresh import RecordRefresher
-from beamspar.settings import StateServiceLimits, Timeouts
+from beamspar.settings import StateServiceLimits
 from beamspar.state import job_records as records
 from beamspar.state import keys
-from beamspar.state.client import (
+from beamspar.state.client import StateClient
+from beamspar.state.errors import (
     ConflictError,
     LeaseExpiredError,
     OutcomeUnknownError,
-    RequestPriority,
-    StateClient,
     StateUnavailableError,
     TooLargeError,
-    put,
 )
-from beamspar.transport.http import Clock, sleep
+from beamspar.state.messages import put
+from beamspar.state.request_queue import RequestPriority
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, sleep
+from beamspar.workload.job import Job
 
 log = Logger(namespace="owner")
 
@@ -43,8 +43,7 @@
     machine: str | None
 
 
-@dataclass(frozen=True)
-class RecordWrite:
+class RecordWrite(msgspec.Struct, frozen=True):
     """A write of a job's record that is under way, and what it makes known once it is stored."""
 
     conditions: dict[str, int]
--- a/src/beamspar/jobs/task_binder.py
+++ b/src/beamspar/jobs/task_binder.py
@@ -7,9 +7,9 @@
 from twisted.logger import Logger
 
 from beamspar.jobs.assignments import Assignments
-from beamspar.jobs.job import Job
 from beamspar.jobs.placement_round import OfferedPlace
 from beamspar.quota.quota_manager import QuotaManager
+from beamspar.workload.job import Job
 
 log = Logger(namespace="owner")
 
--- a/src/beamspar/jobs/task_retry.py
+++ b/src/beamspar/jobs/task_retry.py
@@ -4,7 +4,7 @@
 
 from enum import StrEnum
 
-from beamspar.jobs.task import Task
+from beamspar.workload.task import Task
 
 # Machines that one task avoids for having failed there, before it may try them again.
 MAX_AVOIDED_MACHINES = 4
--- a/src/beamspar/leader/capacity_needs.py
+++ b/src/beamspar/leader/capacity_needs.py
@@ -11,8 +11,8 @@
 from beamspar.leader.fleet_view import FleetView
 from beamspar.leader.member_view import MemberView
 from beamspar.protocol.jobs import LOWEST_RANK, JobSpec
-from beamspar.settings import Timeouts
-from beamspar.transport.http import Clock
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock
 
 HIGHEST_RANK = 0
 # Headroom holds so many of a class's largest jobs, which may come together.
--- a/src/beamspar/leader/capacity_offers.py
+++ b/src/beamspar/leader/capacity_offers.py
@@ -13,7 +13,6 @@
 from beamspar.leader.gang_reservations import GangReservations
 from beamspar.placement import (
     Preference,
-    Room,
     choose,
     choose_group,
     choose_group_preemption,
@@ -22,7 +21,8 @@
 )
 from beamspar.protocol.jobs import LOWEST_RANK, JobSpec
 from beamspar.protocol.peer_messages import CapacityRequest, PlacementOffer
-from beamspar.transport.http import Clock
+from beamspar.protocol.room import Room
+from beamspar.transport.clock import Clock
 
 # Offers in one answer to one job's request; groups are offered whole.
 MAX_OFFERS_PER_REQUEST = 200
--- a/src/beamspar/leader/draining.py
+++ b/src/beamspar/leader/draining.py
@@ -12,9 +12,10 @@
 from beamspar.leader.fleet_view import FleetView
 from beamspar.leader.instance_manager import InstanceManager
 from beamspar.leader.shard_leasing import ShardLeasing
-from beamspar.placement import Room, copy
+from beamspar.placement import copy
 from beamspar.protocol.peer_messages import MachineStatus
-from beamspar.settings import Timeouts
+from beamspar.protocol.room import Room
+from beamspar.timeouts import Timeouts
 
 # Idle machines that are drained at one time, as a share of the fleet.
 MAX_DRAINING_SHARE = 1 / 15
--- a/src/beamspar/leader/fleet_view.py
+++ b/src/beamspar/leader/fleet_view.py
@@ -7,16 +7,17 @@
 import msgspec
 
 from beamspar.cluster.state_mirror import StateMirror
+from beamspar.decision_log.decision_log import DecisionLog
+from beamspar.decision_log.decisions import CacheChanged
 from beamspar.leader.member_view import MemberView
 from beamspar.leader.tentative_reservations import TentativeReservations
-from beamspar.placement import Room, copy, evict_least_recently_used
+from beamspar.placement import copy, evict_least_recently_used
 from beamspar.protocol.cloud import MachineType
 from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.peer_messages import MachineStatus, MemberHeartbeat
-from beamspar.settings import Timeouts
-from beamspar.standby.decision_log import DecisionLog
-from beamspar.standby.decisions import CacheChanged
-from beamspar.transport.http import Clock
+from beamspar.protocol.room import Room
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock
 
 # How many heartbeats an offer's reservation lasts: the holder's own status shows it by then.
 RESERVATION_HEARTBEATS = 2
--- a/src/beamspar/leader/gang_reservations.py
+++ b/src/beamspar/leader/gang_reservations.py
@@ -11,9 +11,10 @@
 import msgspec
 
 from beamspar.leader.demand import JobDemand
-from beamspar.placement import Room, allowed, fitting
+from beamspar.placement import allowed, fitting
 from beamspar.protocol.jobs import JobSpec
-from beamspar.settings import Timeouts
+from beamspar.protocol.room import Room
+from beamspar.timeouts import Timeouts
 
 
 class GangReservation(msgspec.Struct):
--- a/src/beamspar/leader/instance_manager.py
+++ b/src/beamspar/leader/instance_manager.py
@@ -9,6 +9,18 @@
 from twisted.logger import Logger
 
 from beamspar.cluster.registration import Registration
+from beamspar.decision_log.decision_log import DecisionLog
+from beamspar.decision_log.decisions import (
+    Booting,
+    LeadState,
+    MachinesReturned,
+    MachinesUp,
+    Place,
+    RentalAbandoned,
+    RentalAsked,
+    RentalGranted,
+    RentalRefused,
+)
 from beamspar.leader.cloud_client import (
     CloudClient,
     CloudUnavailableError,
@@ -21,23 +33,12 @@
     empty_room,
     reserve_room,
 )
-from beamspar.placement import Room
 from beamspar.protocol.cloud import Instance, MachineType
 from beamspar.protocol.jobs import JobSpec
-from beamspar.settings import Settings, Timeouts
-from beamspar.standby.decision_log import DecisionLog
-from beamspar.standby.decisions import (
-    Booting,
-    LeadState,
-    MachinesReturned,
-    MachinesUp,
-    Place,
-    RentalAbandoned,
-    RentalAsked,
-    RentalGranted,
-    RentalRefused,
-)
-from beamspar.transport.http import Clock, sleep, spawn
+from beamspar.protocol.room import Room
+from beamspar.settings import Settings
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, sleep, spawn
 
 log = Logger(namespace="fleet")
 
--- a/src/beamspar/leader/leader.py
+++ b/src/beamspar/leader/leader.py
@@ -34,10 +34,11 @@
     HeartbeatResponse,
     MemberHeartbeat,
 )
-from beamspar.settings import OperatorSettings, Settings, Timeouts
+from beamspar.settings import OperatorSettings, Settings
 from beamspar.state.client import StateClient
 from beamspar.state.control_records import Machine
-from beamspar.transport.http import Clock, spawn
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, spawn
 
 log = Logger(namespace="leader")
 
--- a/src/beamspar/leader/leadership.py
+++ b/src/beamspar/leader/leadership.py
@@ -16,19 +16,14 @@
 from beamspar.leader.instance_manager import InstanceManager
 from beamspar.leader.shard_leasing import ShardLeasing
 from beamspar.leader.shard_writer import ShardWriter
-from beamspar.settings import Timeouts
 from beamspar.state import keys
-from beamspar.state.client import (
-    ConflictError,
-    LeaseExpiredError,
-    RequestPriority,
-    StateClient,
-    StateUnavailableError,
-    drop,
-    put,
-)
+from beamspar.state.client import StateClient
 from beamspar.state.control_records import LeaderRecord
-from beamspar.transport.http import Clock, sleep, spawn
+from beamspar.state.errors import ConflictError, LeaseExpiredError, StateUnavailableError
+from beamspar.state.messages import drop, put
+from beamspar.state.request_queue import RequestPriority
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, sleep, spawn
 
 log = Logger(namespace="leader")
 
--- a/src/beamspar/leader/member_reachability.py
+++ b/src/beamspar/leader/member_reachability.py
@@ -7,8 +7,8 @@
 from beamspar.cluster.state_mirror import StateMirror
 from beamspar.leader.member_view import MemberView
 from beamspar.protocol.peer_messages import MachineStatus
-from beamspar.settings import Timeouts
-from beamspar.transport.http import Clock
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock
 
 # So few machines that are silent together tell nothing about their holder.
 MAX_INCONCLUSIVE_MACHINES = 2
--- a/src/beamspar/leader/scale_out_planning.py
+++ b/src/beamspar/leader/scale_out_planning.py
@@ -7,10 +7,17 @@
 
 import msgspec
 
-from beamspar.placement import Room, allowed, copy, fits_type, fitting, slots
+from beamspar.decision_log.decisions import Place
+from beamspar.placement import (
+    allowed,
+    copy,
+    fits_type,
+    fitting,
+    slots,
+)
 from beamspar.protocol.cloud import MachineType
 from beamspar.protocol.jobs import JobSpec
-from beamspar.standby.decisions import Place
+from beamspar.protocol.room import Room
 
 # Instances that the cloud creates by one request at most (PROTOCOL).
 MAX_CREATED_AT_ONCE = 50
--- a/src/beamspar/leader/scaling.py
+++ b/src/beamspar/leader/scaling.py
@@ -8,8 +8,8 @@
 from beamspar.leader.cloud_client import CloudUnavailableError, NoCapacityError
 from beamspar.leader.fleet_view import FleetView
 from beamspar.leader.instance_manager import InstanceManager
-from beamspar.settings import Timeouts
-from beamspar.transport.http import Clock, spawn
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, spawn
 
 log = Logger(namespace="leader")
 
--- a/src/beamspar/leader/shard_failover.py
+++ b/src/beamspar/leader/shard_failover.py
@@ -11,8 +11,8 @@
 from beamspar.leader.shard_distribution import pick_holder, zone_of
 from beamspar.leader.shard_writer import RecordChange, ShardWriter
 from beamspar.state import keys
-from beamspar.state.client import put
 from beamspar.state.control_records import MachineShard, partition_record, shard_record
+from beamspar.state.messages import put
 
 log = Logger(namespace="leader")
 
--- a/src/beamspar/leader/shard_leasing.py
+++ b/src/beamspar/leader/shard_leasing.py
@@ -21,11 +21,12 @@
 from beamspar.leader.shard_writer import RecordChange, ShardWriter
 from beamspar.leader.unserved_machines import UnservedMachines
 from beamspar.protocol.peer_messages import MachineStatus
-from beamspar.settings import OperatorSettings, Settings, Timeouts
+from beamspar.settings import OperatorSettings, Settings
 from beamspar.state import keys
-from beamspar.state.client import ConflictError, LeaseExpiredError, StateUnavailableError
 from beamspar.state.control_records import Machine, shard_record
-from beamspar.transport.http import Clock
+from beamspar.state.errors import ConflictError, LeaseExpiredError, StateUnavailableError
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock
 
 log = Logger(namespace="leader")
 
--- a/src/beamspar/leader/shard_writer.py
+++ b/src/beamspar/leader/shard_writer.py
@@ -11,7 +11,10 @@
 from beamspar.cluster.registration import Registration
 from beamspar.settings import StateServiceLimits
 from beamspar.state import job_records, keys
-from beamspar.state.client import LeaseExpiredError, RequestPriority, StateClient, drop, put
+from beamspar.state.client import StateClient
+from beamspar.state.errors import LeaseExpiredError
+from beamspar.state.messages import drop, put
+from beamspar.state.request_queue import RequestPriority
 
 
 class RecordChange(NamedTuple):
--- a/src/beamspar/leader/tentative_reservations.py
+++ b/src/beamspar/leader/tentative_reservations.py
@@ -4,8 +4,8 @@
 
 from typing import NamedTuple
 
-from beamspar.placement import Room
 from beamspar.protocol.jobs import JobSpec
+from beamspar.protocol.room import Room
 
 
 class TentativeReservation(NamedTuple):
--- a/src/beamspar/leader/unserved_machines.py
+++ b/src/beamspar/leader/unserved_machines.py
@@ -8,8 +8,8 @@
 from beamspar.leader.member_reachability import MemberReachability
 from beamspar.leader.member_view import MemberView
 from beamspar.leader.shard_distribution import ShardMove
-from beamspar.settings import Timeouts
 from beamspar.state.control_records import MachineShard
+from beamspar.timeouts import Timeouts
 
 
 class UnservedMachines:
--- a/src/beamspar/machines/command_planning.py
+++ b/src/beamspar/machines/command_planning.py
@@ -13,8 +13,8 @@
 from beamspar.machines.status_publishing import observed_status
 from beamspar.protocol.peer_messages import AttemptState, DesiredAction, DesiredAttempt
 from beamspar.protocol.workers import ClearCommand, Command, StartCommand, StopCommand, TaskStatus
-from beamspar.settings import Timeouts
-from beamspar.transport.http import Clock
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock
 
 log = Logger(namespace="machines")
 
--- a/src/beamspar/machines/command_sending.py
+++ b/src/beamspar/machines/command_sending.py
@@ -9,8 +9,9 @@
 from beamspar.machines.worker_client import CommandResult, WorkerClient
 from beamspar.machines.worker_observation import WorkerObserver
 from beamspar.protocol.workers import Command, StartCommand
-from beamspar.settings import Timeouts
-from beamspar.transport.http import CallFailedError, Clock, spawn
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, spawn
+from beamspar.transport.http import CallFailedError
 
 log = Logger(namespace="machines")
 
--- a/src/beamspar/machines/fault_evidence.py
+++ b/src/beamspar/machines/fault_evidence.py
@@ -12,9 +12,9 @@
 from collections import OrderedDict
 from collections.abc import Iterable
 
-from beamspar.jobs.failure_backoff import MACHINES_TO_BLAME
 from beamspar.machines.managed_machine import ManagedMachine
-from beamspar.settings import Timeouts
+from beamspar.timeouts import Timeouts
+from beamspar.workload.failure_backoff import MACHINES_TO_BLAME
 
 # Jobs whose failures are remembered; the oldest are forgotten first.
 MOST_JOBS = 1000
--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -24,7 +24,7 @@
 from beamspar.machines.status_publishing import StatusPublisher
 from beamspar.machines.worker_client import WorkerClient
 from beamspar.machines.worker_observation import WorkerObserver
-from beamspar.placement import Room, copy
+from beamspar.placement import copy
 from beamspar.protocol.cloud import MachineType
 from beamspar.protocol.peer_messages import (
     VIEWS_AT_ONCE,
@@ -32,11 +32,12 @@
     DesiredStateUpdate,
     MachineStatus,
 )
+from beamspar.protocol.room import Room
 from beamspar.protocol.workers import Command, WorkerHeartbeat
-from beamspar.settings import Timeouts
 from beamspar.state import keys
 from beamspar.state.control_records import Machine, MachineShard
-from beamspar.transport.http import Clock
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock
 
 log = Logger(namespace="machines")
 
--- a/src/beamspar/machines/machine_summaries.py
+++ b/src/beamspar/machines/machine_summaries.py
@@ -6,11 +6,11 @@
 
 from beamspar.machines.managed_machine import AttemptKey, Attempts, ManagedMachine
 from beamspar.machines.resources import NO_RESOURCES, Resources
-from beamspar.placement import Room
 from beamspar.protocol.cloud import MachineType
 from beamspar.protocol.peer_messages import MachineStatus
-from beamspar.settings import Timeouts
-from beamspar.transport.http import Clock
+from beamspar.protocol.room import Room
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock
 
 # Priority ranks for which a room has what preemption would add.
 PRIORITY_RANKS = 4
--- a/src/beamspar/machines/managed_machine.py
+++ b/src/beamspar/machines/managed_machine.py
@@ -9,8 +9,8 @@
 from twisted.logger import Logger
 
 from beamspar.machines.resources import Resources
-from beamspar.placement import Room
 from beamspar.protocol.peer_messages import AttemptState, DesiredAction, DesiredAttempt
+from beamspar.protocol.room import Room
 from beamspar.protocol.workers import TaskStatus
 from beamspar.state.control_records import Machine
 
@@ -58,8 +58,7 @@
     exit_reason: str | None
 
 
-@dataclass(eq=False, slots=True)
-class SentStart:
+class SentStart(msgspec.Struct, eq=False):
     """A start command that was sent: in which agent epoch, under which fencing token, and what
     is known of its execution."""
 
--- a/src/beamspar/machines/orphan_detection.py
+++ b/src/beamspar/machines/orphan_detection.py
@@ -8,8 +8,8 @@
 
 from beamspar.machines.managed_machine import AttemptKey, ManagedMachine
 from beamspar.machines.reconciler import Reconciler
-from beamspar.settings import Timeouts
-from beamspar.transport.http import Clock, spawn
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, spawn
 
 log = Logger(namespace="machines")
 
--- a/src/beamspar/machines/worker_observation.py
+++ b/src/beamspar/machines/worker_observation.py
@@ -15,7 +15,7 @@
 from beamspar.machines.managed_machine import AttemptKey, HeartbeatId, ManagedMachine
 from beamspar.protocol.peer_messages import AttemptState
 from beamspar.protocol.workers import TaskStatus, WorkerHeartbeat
-from beamspar.transport.http import Clock
+from beamspar.transport.clock import Clock
 
 log = Logger(namespace="machines")
 
--- a/src/beamspar/node/cancellations.py
+++ b/src/beamspar/node/cancellations.py
@@ -8,7 +8,7 @@
 from beamspar.node.peer_client import PeerClient
 from beamspar.node.peer_paths import PeerPath
 from beamspar.protocol.peer_messages import CancellationNotice
-from beamspar.transport.http import spawn
+from beamspar.transport.clock import spawn
 
 
 class CancellationNotices:
--- a/src/beamspar/node/departure.py
+++ b/src/beamspar/node/departure.py
@@ -9,7 +9,8 @@
 from beamspar.node.incarnation import CurrentIncarnation
 from beamspar.node.peer_paths import PeerPath
 from beamspar.protocol.peer_messages import decode, encode
-from beamspar.state.client import LeaseExpiredError, StateClient, StateUnavailableError
+from beamspar.state.client import StateClient
+from beamspar.state.errors import LeaseExpiredError, StateUnavailableError
 
 log = Logger(namespace="node")
 
--- a/src/beamspar/node/desired_state_delivery.py
+++ b/src/beamspar/node/desired_state_delivery.py
@@ -15,7 +15,7 @@
     DesiredStateUpdate,
     decode,
 )
-from beamspar.settings import Timeouts
+from beamspar.timeouts import Timeouts
 from beamspar.transport.http import CallFailedError
 
 log = Logger(namespace="node")
--- a/src/beamspar/node/forwarding.py
+++ b/src/beamspar/node/forwarding.py
@@ -10,8 +10,9 @@
 from beamspar.node.peer_paths import PeerPath
 from beamspar.protocol.codec import pack, unpack
 from beamspar.protocol.peer_messages import ForwardedRequest, ForwardedResponse, decode, encode
-from beamspar.settings import Timeouts
-from beamspar.transport.http import Answer, Call, CallFailedError, Clock
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock
+from beamspar.transport.http import Answer, Call, CallFailedError
 
 log = Logger(namespace="node")
 
--- a/src/beamspar/node/health.py
+++ b/src/beamspar/node/health.py
@@ -9,9 +9,10 @@
 from beamspar.node.peer_client import PeerClient
 from beamspar.node.peer_paths import PeerPath
 from beamspar.protocol.peer_messages import HealthProbeResponse, decode
-from beamspar.settings import Timeouts
 from beamspar.state.client import StateClient
-from beamspar.transport.http import CallFailedError, Clock, sleep, spawn
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, sleep, spawn
+from beamspar.transport.http import CallFailedError
 
 log = Logger(namespace="node")
 
--- a/src/beamspar/node/heartbeats.py
+++ b/src/beamspar/node/heartbeats.py
@@ -11,9 +11,10 @@
 from beamspar.node.peer_paths import PeerPath
 from beamspar.node.worker_contacts import WorkerContacts
 from beamspar.protocol.peer_messages import HeartbeatResponse, MemberHeartbeat, decode
-from beamspar.settings import Timeouts
 from beamspar.state import keys
-from beamspar.transport.http import CallFailedError, Clock, spawn
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, spawn
+from beamspar.transport.http import CallFailedError
 
 log = Logger(namespace="node")
 
--- a/src/beamspar/node/incarnation.py
+++ b/src/beamspar/node/incarnation.py
@@ -2,22 +2,22 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
+import msgspec
+
 from beamspar.cluster.registration import Registration
 from beamspar.jobs.job_controller import JobController
 from beamspar.leader.leader import Leader
 from beamspar.machines.machine_controller import MachineController
 from beamspar.quota.quota_manager import QuotaManager
-from beamspar.standby.standby import Standby
 
 if TYPE_CHECKING:
     from beamspar.sharing.service import Sharing
+    from beamspar.standby.standby import Standby
 
 
-@dataclass(eq=False)
-class Actors:
+class Actors(msgspec.Struct, eq=False):
     """All that acts under one registration. They are replaced together when it is lost."""
 
     registration: Registration
--- a/src/beamspar/node/job_lookup.py
+++ b/src/beamspar/node/job_lookup.py
@@ -12,16 +12,14 @@
 from beamspar.node.record_cache import RecordCache
 from beamspar.node.version_checks import VersionChecks
 from beamspar.protocol.jobs import job_response
-from beamspar.settings import Settings, Timeouts
+from beamspar.settings import Settings
 from beamspar.state import keys
-from beamspar.state.client import (
-    QUESTION_WEIGHT,
-    RequestPriority,
-    StateClient,
-    StateUnavailableError,
-)
+from beamspar.state.client import QUESTION_WEIGHT, StateClient
+from beamspar.state.errors import StateUnavailableError
 from beamspar.state.job_records import EndRecord, JobRecord, JobStatus
-from beamspar.transport.http import Clock, spawn
+from beamspar.state.request_queue import RequestPriority
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, spawn
 
 # A record takes some 2 KB here: both caches together stay below a tenth of the memory.
 CACHED_RECORDS_PER_MB = 25
--- a/src/beamspar/node/leader_guidance.py
+++ b/src/beamspar/node/leader_guidance.py
@@ -5,8 +5,8 @@
 from collections.abc import Container
 
 from beamspar.machines.machine_controller import MachineController
-from beamspar.placement import Room
 from beamspar.protocol.peer_messages import HeartbeatResponse
+from beamspar.protocol.room import Room
 
 
 class LeaderGuidance:
--- a/src/beamspar/node/machine_types.py
+++ b/src/beamspar/node/machine_types.py
@@ -9,16 +9,12 @@
 from beamspar.node.incarnation import CurrentIncarnation
 from beamspar.protocol.cloud import MachineType
 from beamspar.protocol.codec import convert
-from beamspar.settings import Timeouts
 from beamspar.state import keys
-from beamspar.state.client import (
-    ConflictError,
-    LeaseExpiredError,
-    StateClient,
-    StateUnavailableError,
-    put,
-)
-from beamspar.transport.http import Clock, sleep
+from beamspar.state.client import StateClient
+from beamspar.state.errors import ConflictError, LeaseExpiredError, StateUnavailableError
+from beamspar.state.messages import put
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, sleep
 
 log = Logger(namespace="node")
 
--- a/src/beamspar/node/member_summary.py
+++ b/src/beamspar/node/member_summary.py
@@ -4,13 +4,13 @@
 
 import msgspec
 
-from beamspar.jobs.job import Job
 from beamspar.jobs.job_controller import JobController
 from beamspar.node.incarnation import Actors
 from beamspar.node.leader_guidance import LeaderGuidance
 from beamspar.node.worker_contacts import WorkerContacts
 from beamspar.protocol.peer_messages import JobClass, MemberHeartbeat
 from beamspar.state.job_records import JobStatus
+from beamspar.workload.job import Job
 
 
 def summarize(
--- a/src/beamspar/node/node.py
+++ b/src/beamspar/node/node.py
@@ -31,19 +31,24 @@
 from beamspar.node.public_api import PublicApi
 from beamspar.node.status_delivery import StatusDelivery
 from beamspar.node.worker_contacts import WorkerContacts
-from beamspar.placement import Preference, Room, slow_kinds
+from beamspar.placement import Preference, slow_kinds
 from beamspar.protocol.codec import BODY_LIMIT
 from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.peer_messages import PEER_LIMIT
+from beamspar.protocol.room import Room
 from beamspar.quota.quota_manager import QuotaManager
-from beamspar.settings import OperatorSettings, Settings, Timeouts
-from beamspar.standby.standby import Standby
+from beamspar.settings import OperatorSettings, Settings
 from beamspar.state import job_records as records
-from beamspar.state.client import StateClient, StateUnavailableError
-from beamspar.transport.http import Clock, Net, Sockets, spawn
+from beamspar.state.client import StateClient
+from beamspar.state.errors import StateUnavailableError
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, spawn
+from beamspar.transport.connection_limits import Sockets
+from beamspar.transport.http import Net
 
 if TYPE_CHECKING:
     from beamspar.sharing.service import Sharing
+    from beamspar.standby.standby import Standby
 
 log = Logger(namespace="node")
 
@@ -257,6 +262,9 @@
         actors.machine_controller.on_room = job_controller.schedule
 
     def _build_standby(self, actors: Actors) -> Standby:
+        # Loaded only where it is on: each module costs time at the start.
+        from beamspar.standby.standby import Standby
+
         return Standby(
             self.clock,
             actors.registration,
--- a/src/beamspar/node/peer_client.py
+++ b/src/beamspar/node/peer_client.py
@@ -8,8 +8,9 @@
 
 from beamspar.node.peer_paths import PEER_PREFIX
 from beamspar.protocol.peer_messages import encode
-from beamspar.settings import Timeouts
-from beamspar.transport.http import CallFailedError, CallRefusedError, Clock, Net
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock
+from beamspar.transport.http import CallFailedError, CallRefusedError, Net
 
 log = Logger(namespace="node")
 
--- a/src/beamspar/node/polls.py
+++ b/src/beamspar/node/polls.py
@@ -8,10 +8,12 @@
 from beamspar.node.job_lookup import JobLookup, JobState
 from beamspar.node.responses import busy, no_such_job, respond
 from beamspar.protocol.jobs import JOB_ID
-from beamspar.settings import Timeouts
-from beamspar.state.client import StateClient, StateUnavailableError
+from beamspar.state.client import StateClient
+from beamspar.state.errors import StateUnavailableError
 from beamspar.state.job_records import JobStatus
-from beamspar.transport.http import Answer, Clock
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock
+from beamspar.transport.http import Answer
 
 log = Logger(namespace="api")
 
--- a/src/beamspar/node/public_api.py
+++ b/src/beamspar/node/public_api.py
@@ -17,9 +17,11 @@
 from beamspar.node.worker_contacts import WorkerContacts
 from beamspar.node.worker_heartbeats import WorkerHeartbeats
 from beamspar.protocol.cloud import MachineType
-from beamspar.settings import Settings, Timeouts
+from beamspar.settings import Settings
 from beamspar.state.client import StateClient
-from beamspar.transport.http import Answer, Call, Clock
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock
+from beamspar.transport.http import Answer, Call
 
 
 class PublicApi:
--- a/src/beamspar/node/status_delivery.py
+++ b/src/beamspar/node/status_delivery.py
@@ -6,7 +6,7 @@
 from beamspar.node.peer_client import PeerClient
 from beamspar.node.peer_paths import PeerPath
 from beamspar.protocol.peer_messages import STATUSES_AT_ONCE, AttemptStatus, AttemptStatusBatch
-from beamspar.transport.http import Clock, spawn
+from beamspar.transport.clock import Clock, spawn
 
 
 class StatusDelivery:
--- a/src/beamspar/node/submissions.py
+++ b/src/beamspar/node/submissions.py
@@ -18,12 +18,8 @@
 from beamspar.protocol.jobs import JOB_ID, JobSpec, job_response, parse_spec
 from beamspar.settings import Settings
 from beamspar.state import keys
-from beamspar.state.client import (
-    ConflictError,
-    LeaseExpiredError,
-    StateClient,
-    StateUnavailableError,
-)
+from beamspar.state.client import StateClient
+from beamspar.state.errors import ConflictError, LeaseExpiredError, StateUnavailableError
 from beamspar.transport.http import Answer, Call
 
 log = Logger(namespace="api")
--- a/src/beamspar/node/user_cancellations.py
+++ b/src/beamspar/node/user_cancellations.py
@@ -11,15 +11,11 @@
 from beamspar.node.responses import busy, no_such_job, respond
 from beamspar.protocol.jobs import JOB_ID
 from beamspar.state import keys
-from beamspar.state.client import (
-    ConflictError,
-    LeaseExpiredError,
-    RequestPriority,
-    StateClient,
-    StateUnavailableError,
-    put,
-)
+from beamspar.state.client import StateClient
+from beamspar.state.errors import ConflictError, LeaseExpiredError, StateUnavailableError
 from beamspar.state.job_records import JobRecord, JobStatus
+from beamspar.state.messages import put
+from beamspar.state.request_queue import RequestPriority
 from beamspar.transport.http import Answer
 
 log = Logger(namespace="api")
--- a/src/beamspar/node/version_checks.py
+++ b/src/beamspar/node/version_checks.py
@@ -6,15 +6,12 @@
 
 from twisted.internet.defer import Deferred
 
-from beamspar.settings import Settings, Timeouts
-from beamspar.state.client import (
-    ConflictError,
-    LeaseExpiredError,
-    RequestPriority,
-    StateClient,
-    StateUnavailableError,
-)
-from beamspar.transport.http import Clock, spawn
+from beamspar.settings import Settings
+from beamspar.state.client import StateClient
+from beamspar.state.errors import ConflictError, LeaseExpiredError, StateUnavailableError
+from beamspar.state.request_queue import RequestPriority
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, spawn
 
 # Conditions of one transaction for each change that the state service takes in one.
 CONDITIONS_PER_CHANGE = 4
--- a/src/beamspar/node/worker_contacts.py
+++ b/src/beamspar/node/worker_contacts.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from beamspar.leader.leader import Leader
-from beamspar.settings import Timeouts
 from beamspar.state.control_records import Machine
-from beamspar.transport.http import Clock
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock
 
 # Unassigned machines that one heartbeat tells the leader of.
 MAX_UNASSIGNED = 500
--- a/src/beamspar/protocol/peer_messages.py
+++ b/src/beamspar/protocol/peer_messages.py
@@ -12,7 +12,7 @@
 import msgspec
 import orjson
 
-from beamspar.placement import Room
+from beamspar.protocol.room import Room
 
 # Begins the paths of all calls between controllers.
 PEER_PATH_PREFIX = "/peer/"
--- a/src/beamspar/quota/allocation_writer.py
+++ b/src/beamspar/quota/allocation_writer.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Any
 
+import msgspec
 from twisted.logger import Logger
 
 from beamspar.cluster.registration import Registration
@@ -14,22 +14,21 @@
 from beamspar.quota.indeterminate_writes import IndeterminateWrite, IndeterminateWrites
 from beamspar.quota.quota_records import QuotaRecords
 from beamspar.state import keys
-from beamspar.state.client import (
+from beamspar.state.client import StateClient
+from beamspar.state.errors import (
     ConflictError,
     LeaseExpiredError,
     OutcomeUnknownError,
-    RequestPriority,
-    StateClient,
     StateUnavailableError,
-    put,
 )
-from beamspar.transport.http import spawn
+from beamspar.state.messages import put
+from beamspar.state.request_queue import RequestPriority
+from beamspar.transport.clock import spawn
 
 log = Logger(namespace="quota")
 
 
-@dataclass(frozen=True)
-class ProposedWrite:
+class ProposedWrite(msgspec.Struct, frozen=True):
     """One compare-and-swap of a team's record."""
 
     team: str
--- a/src/beamspar/quota/quota_manager.py
+++ b/src/beamspar/quota/quota_manager.py
@@ -11,7 +11,6 @@
 from collections.abc import Callable, Sequence
 
 from beamspar.cluster.registration import Registration
-from beamspar.jobs.job import Job
 from beamspar.quota.allocation_planner import AllocationPlanner
 from beamspar.quota.allocation_requests import AllocationRequests
 from beamspar.quota.allocation_writer import AllocationWriter
@@ -24,6 +23,7 @@
 from beamspar.settings import Settings, Team
 from beamspar.state import keys
 from beamspar.state.client import StateClient
+from beamspar.workload.job import Job
 
 # Heartbeats that a request lasts unless it is repeated.
 REQUEST_HEARTBEATS = 3
--- a/src/beamspar/quota/quota_preemption.py
+++ b/src/beamspar/quota/quota_preemption.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable, Collection, Iterable
 from typing import NamedTuple
 
-from beamspar.jobs.job import Job
-from beamspar.jobs.task import Task
 from beamspar.placement import EPS
 from beamspar.quota.amounts import Amounts
 from beamspar.state.job_records import JobStatus
+from beamspar.workload.job import Job
+from beamspar.workload.task import Task
 
 
 class BoundTask(NamedTuple):
--- a/src/beamspar/quota/usage_counter.py
+++ b/src/beamspar/quota/usage_counter.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Collection
 
-from beamspar.jobs.job import Job
 from beamspar.quota.allocations import AllocationKey
 from beamspar.quota.amounts import NOTHING, Amounts
+from beamspar.workload.job import Job
 
 
 class UsageCounter:
--- a/src/beamspar/settings.py
+++ b/src/beamspar/settings.py
@@ -9,28 +9,6 @@
 
 import msgspec
 
-from beamspar.timeouts import DRIFT, Timeouts
-
-# Other modules import the durations from here.
-__all__ = [
-    "DRIFT",
-    "CloudLimits",
-    "Limits",
-    "NextLimits",
-    "Objective",
-    "OperatorSettings",
-    "PeerSettings",
-    "PlatformSettings",
-    "Services",
-    "Settings",
-    "SettingsError",
-    "StateServiceLimits",
-    "Team",
-    "Timeouts",
-    "WorkerSettings",
-    "load",
-]
-
 # The kind of the objectives that say within which time tasks are to start.
 WAIT_OBJECTIVE = "wait"
 # Changes that a transaction must allow for a controller to do its work.
--- a/src/beamspar/sharing/handover.py
+++ b/src/beamspar/sharing/handover.py
@@ -16,7 +16,6 @@
 from beamspar.leader.shard_leasing import ShardLeasing
 from beamspar.leader.shard_writer import RecordChange
 from beamspar.protocol.peer_messages import decode
-from beamspar.settings import Timeouts
 from beamspar.sharing.messages import (
     MoveShown,
     MoveStage,
@@ -27,7 +26,9 @@
 from beamspar.sharing.planner import Move
 from beamspar.state import keys
 from beamspar.state.control_records import MachineShard, shard_record
-from beamspar.transport.http import CallFailedError, Clock, spawn
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, spawn
+from beamspar.transport.http import CallFailedError
 
 log = Logger(namespace="sharing")
 
--- a/src/beamspar/sharing/leave.py
+++ b/src/beamspar/sharing/leave.py
@@ -15,19 +15,19 @@
 
 from beamspar.cluster.registration import Registration
 from beamspar.leader.leader import Leader
-from beamspar.settings import Timeouts
 from beamspar.sharing.messages import CommandReply
 from beamspar.state import keys
-from beamspar.state.client import (
+from beamspar.state.client import StateClient
+from beamspar.state.errors import (
     ConflictError,
     LeaseExpiredError,
     OutcomeUnknownError,
-    RequestPriority,
-    StateClient,
     StateUnavailableError,
-    put,
 )
-from beamspar.transport.http import Clock
+from beamspar.state.messages import put
+from beamspar.state.request_queue import RequestPriority
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock
 
 log = Logger(namespace="sharing")
 
--- a/src/beamspar/sharing/planner_inputs.py
+++ b/src/beamspar/sharing/planner_inputs.py
@@ -7,12 +7,12 @@
 from beamspar.cluster.registration import Registration
 from beamspar.leader.leader import Leader
 from beamspar.leader.shard_distribution import zone_of
-from beamspar.settings import Timeouts
 from beamspar.sharing.handover import Handover
 from beamspar.sharing.leave import leaving_members
 from beamspar.sharing.planner import DemandAverage, Holding, Load
 from beamspar.state.control_records import MachineShard
-from beamspar.transport.http import Clock
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock
 
 # Demand is averaged over so many workers' leases.
 AVERAGE_LEASES = 4
--- a/src/beamspar/sharing/service.py
+++ b/src/beamspar/sharing/service.py
@@ -12,7 +12,6 @@
 from beamspar.leader.leader import Leader
 from beamspar.machines.machine_controller import MachineController
 from beamspar.protocol.peer_messages import decode, encode
-from beamspar.settings import Timeouts
 from beamspar.sharing.handover import Handover, ask_to_prepare
 from beamspar.sharing.leave import Leave, leaving_members
 from beamspar.sharing.messages import (
@@ -31,7 +30,8 @@
 from beamspar.sharing.planner_inputs import PlannerInputs, ScaleInView
 from beamspar.sharing.transfer import Send, Transfer
 from beamspar.state.client import StateClient
-from beamspar.transport.http import Clock, spawn
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, spawn
 
 
 class Sharing:
--- a/src/beamspar/sharing/transfer.py
+++ b/src/beamspar/sharing/transfer.py
@@ -16,7 +16,6 @@
 from beamspar.machines.machine_controller import MachineController
 from beamspar.machines.managed_machine import NO_HEARTBEAT, HeartbeatId, ManagedMachine
 from beamspar.protocol.peer_messages import VIEWS_AT_ONCE, decode
-from beamspar.settings import Timeouts
 from beamspar.sharing.messages import (
     MachineState,
     PrepareReply,
@@ -25,7 +24,9 @@
     ReleaseRequest,
 )
 from beamspar.state import keys
-from beamspar.transport.http import CallFailedError, Clock, sleep, spawn
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, sleep, spawn
+from beamspar.transport.http import CallFailedError
 
 log = Logger(namespace="sharing")
 
--- a/src/beamspar/standby/context.py
+++ b/src/beamspar/standby/context.py
@@ -3,21 +3,21 @@
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass
 from typing import Any
 
+import msgspec
+
 from beamspar.cluster.registration import Registration
 from beamspar.leader.leader import Leader
-from beamspar.settings import Timeouts
-from beamspar.transport.http import Clock
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock
 
 # Sends a message to a member's path, with a time limit in seconds, and returns the body of its
 # answer. Raises CallRefusedError when it answers with a refusal, and else CallFailedError.
 Send = Callable[[str, str, Any, float], Awaitable[bytes]]
 
 
-@dataclass(frozen=True)
-class StandbyContext:
+class StandbyContext(msgspec.Struct, frozen=True):
     """One incarnation of this controller, as the parts of its standby see it."""
 
     clock: Clock
--- a/src/beamspar/standby/failover.py
+++ b/src/beamspar/standby/failover.py
@@ -4,14 +4,14 @@
 
 from twisted.logger import Logger
 
+from beamspar.decision_log.replica import Replica
 from beamspar.standby.context import StandbyContext
 from beamspar.standby.failover_history import FailoverHistory
 from beamspar.standby.failure_detector import FailureDetector
 from beamspar.standby.messages import TakeLeadReply, TakeLeadRequest
 from beamspar.standby.probes import MemberProbes
-from beamspar.standby.replica import Replica
 from beamspar.state import keys
-from beamspar.transport.http import sleep, spawn
+from beamspar.transport.clock import sleep, spawn
 
 log = Logger(namespace="standby")
 
--- a/src/beamspar/standby/failover_history.py
+++ b/src/beamspar/standby/failover_history.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from beamspar.settings import Timeouts
+from beamspar.timeouts import Timeouts
 
 # Failovers count for this many leases of a worker; so many of them go without a pause.
 COUNTED_WORKER_LEASES = 8
--- a/src/beamspar/standby/failure_detector.py
+++ b/src/beamspar/standby/failure_detector.py
@@ -8,8 +8,8 @@
 from twisted.internet.defer import ensureDeferred
 from twisted.logger import Logger
 
-from beamspar.settings import Timeouts
-from beamspar.transport.http import Clock, sleep
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, sleep
 
 log = Logger(namespace="standby")
 
--- a/src/beamspar/standby/hand_over.py
+++ b/src/beamspar/standby/hand_over.py
@@ -4,9 +4,9 @@
 
 from twisted.logger import Logger
 
+from beamspar.decision_log.decision_log import DecisionLog
 from beamspar.protocol.peer_messages import decode
 from beamspar.standby.context import StandbyContext
-from beamspar.standby.decision_log import DecisionLog
 from beamspar.standby.messages import (
     HandOverReply,
     HandOverRequest,
@@ -14,7 +14,8 @@
     TakeLeadReply,
     TakeLeadRequest,
 )
-from beamspar.transport.http import CallFailedError, sleep
+from beamspar.transport.clock import sleep
+from beamspar.transport.http import CallFailedError
 
 log = Logger(namespace="standby")
 
--- a/src/beamspar/standby/leader_follower.py
+++ b/src/beamspar/standby/leader_follower.py
@@ -6,11 +6,13 @@
 
 from twisted.logger import Logger
 
+from beamspar.decision_log.messages import FollowReply
+from beamspar.decision_log.replica import Replica, StaleTermError
 from beamspar.protocol.peer_messages import decode
 from beamspar.standby.context import StandbyContext
-from beamspar.standby.messages import FollowReply, StandbyPath
-from beamspar.standby.replica import Replica, StaleTermError
-from beamspar.transport.http import CallFailedError, CallRefusedError, sleep
+from beamspar.standby.messages import StandbyPath
+from beamspar.transport.clock import sleep
+from beamspar.transport.http import CallFailedError, CallRefusedError
 
 log = Logger(namespace="standby")
 
--- a/src/beamspar/standby/standby.py
+++ b/src/beamspar/standby/standby.py
@@ -7,19 +7,18 @@
 from twisted.logger import Logger
 
 from beamspar.cluster.registration import Registration
+from beamspar.decision_log.decision_log import DecisionLog
+from beamspar.decision_log.messages import FollowReply, FollowRequest
+from beamspar.decision_log.replica import Replica
 from beamspar.leader.leader import Leader
 from beamspar.protocol.peer_messages import MemberHeartbeat, decode, encode
-from beamspar.settings import Timeouts
 from beamspar.standby.context import Send, StandbyContext
-from beamspar.standby.decision_log import DecisionLog
 from beamspar.standby.failover import Failover
 from beamspar.standby.failover_history import FailoverHistory
 from beamspar.standby.hand_over import LeadHandOver
 from beamspar.standby.leader_follower import LeaderFollower
 from beamspar.standby.messages import (
     ConfirmRequest,
-    FollowReply,
-    FollowRequest,
     HandOverReply,
     HandOverRequest,
     ProbeReply,
@@ -30,9 +29,9 @@
     TakeLeadRequest,
 )
 from beamspar.standby.probes import MemberProbes
-from beamspar.standby.replica import Replica
 from beamspar.state import keys
-from beamspar.transport.http import Clock, spawn
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, spawn
 
 log = Logger(namespace="standby")
 
--- a/src/beamspar/state/client.py
+++ b/src/beamspar/state/client.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from beamspar.protocol.codec import pack, unpack
-from beamspar.settings import Settings, StateServiceLimits, Timeouts
+from beamspar.settings import Settings, StateServiceLimits
 from beamspar.state.errors import (
     CompactedError,
     ConflictError,
@@ -19,29 +19,12 @@
     StateUnavailableError,
     TooLargeError,
 )
-from beamspar.state.messages import Change, KeyValue, WatchEvent, drop, put
+from beamspar.state.messages import Change, KeyValue, WatchEvent
 from beamspar.state.rate_limiter import RateLimiter
 from beamspar.state.request_queue import RequestPriority, RequestQueue
-from beamspar.transport.http import Answer, CallFailedError, Clock, Net, sleep
-
-# Other modules import all of these from here.
-__all__ = [
-    "QUESTION_WEIGHT",
-    "Change",
-    "CompactedError",
-    "ConflictError",
-    "KeyValue",
-    "LeaseExpiredError",
-    "OutcomeUnknownError",
-    "RateLimitedError",
-    "RequestPriority",
-    "StateClient",
-    "StateUnavailableError",
-    "TooLargeError",
-    "WatchEvent",
-    "drop",
-    "put",
-]
+from beamspar.timeouts import Timeouts
+from beamspar.transport.clock import Clock, sleep
+from beamspar.transport.http import Answer, CallFailedError, Net
 
 # The reason that the service gives when it rejects a put whose lease has ended (PROTOCOL).
 NO_LEASE = "no such lease"
--- a/src/beamspar/state/job_records.py
+++ b/src/beamspar/state/job_records.py
@@ -20,8 +20,9 @@
 from beamspar.protocol.jobs import JobSpec
 from beamspar.settings import StateServiceLimits
 from beamspar.state import keys
-from beamspar.state.client import RequestPriority, StateClient
+from beamspar.state.client import StateClient
 from beamspar.state.messages import KeyValue
+from beamspar.state.request_queue import RequestPriority
 
 
 class JobStatus(StrEnum):
--- a/src/beamspar/state/rate_limiter.py
+++ b/src/beamspar/state/rate_limiter.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from beamspar.transport.http import Clock
+from beamspar.transport.clock import Clock
 
 # The rate changes at most once in this time, for that is what the service counts by.
 GROWTH_INTERVAL_S = 1.0
--- a/src/beamspar/state/request_queue.py
+++ b/src/beamspar/state/request_queue.py
@@ -9,7 +9,7 @@
 from twisted.internet.defer import Deferred
 
 from beamspar.state.rate_limiter import RateLimiter
-from beamspar.transport.http import Clock
+from beamspar.transport.clock import Clock
 
 # A timer that waits for tokens waits at least so long.
 SHORTEST_WAIT_S = 0.005
--- a/src/beamspar/transport/http.py
+++ b/src/beamspar/transport/http.py
@@ -7,24 +7,6 @@
 
 from twisted.internet.defer import Deferred
 
-from beamspar.transport.clock import Clock, sleep, spawn
-from beamspar.transport.connection_limits import ConnectionLimits, Sockets
-
-# Other modules import all of these from here.
-__all__ = [
-    "Answer",
-    "Call",
-    "CallFailedError",
-    "CallRefusedError",
-    "Clock",
-    "ConnectionLimits",
-    "Handler",
-    "Net",
-    "Sockets",
-    "sleep",
-    "spawn",
-]
-
 
 class CallFailedError(Exception):
     """A call without a usable answer: refused, reset or timed out. It may yet take effect.
--- a/src/beamspar/jobs/gang.py
+++ b/src/beamspar/workload/gang.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from beamspar.jobs.task import TaskState
+from beamspar.workload.task import TaskState
 
 # Of the time that a task waits for its gang, what looking for a replacement may take. Then the
 # gang releases its machines, or two gangs could hold what each other needs.
--- a/src/beamspar/jobs/job.py
+++ b/src/beamspar/workload/job.py
@@ -7,13 +7,13 @@
 
 import msgspec
 
-from beamspar.jobs.failure_backoff import FailureBackoff
-from beamspar.jobs.gang import Gang, GangPhase
-from beamspar.jobs.task import Task, TaskState
 from beamspar.protocol.jobs import JobSpec
-from beamspar.quota.quota_usage import QuotaUsage
 from beamspar.state import job_records as records
 from beamspar.state.job_records import Chunk, JobRecord, JobStatus, Layout
+from beamspar.workload.failure_backoff import FailureBackoff
+from beamspar.workload.gang import Gang, GangPhase
+from beamspar.workload.quota_usage import QuotaUsage
+from beamspar.workload.task import Task, TaskState
 
 
 class Job:
--- a/tests/kill_leader.py
+++ b/tests/kill_leader.py
@@ -21,7 +21,8 @@
 from twisted.internet.defer import ensureDeferred
 from twisted.internet.threads import deferToThread
 
-from beamspar.transport.http import CallFailedError, sleep
+from beamspar.transport.clock import sleep
+from beamspar.transport.http import CallFailedError
 from beamspar.transport.tcp import steady_reactor
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/reshuffle.py
+++ b/tests/reshuffle.py
@@ -21,7 +21,8 @@
 import orjson
 from twisted.internet.defer import ensureDeferred
 
-from beamspar.transport.http import CallFailedError, sleep
+from beamspar.transport.clock import sleep
+from beamspar.transport.http import CallFailedError
 from beamspar.transport.tcp import steady_reactor
 from tests.kill_leader import CommandRun, run_command
 
--- a/tests/standins/history.py
+++ b/tests/standins/history.py
@@ -7,10 +7,10 @@
 from typing import Any
 from unittest import mock
 
-from beamspar.standby.decision_log import DecisionLog
-from beamspar.standby.decisions import Decision
-from beamspar.standby.messages import FollowReply
-from beamspar.standby.replica import Replica
+from beamspar.decision_log.decision_log import DecisionLog
+from beamspar.decision_log.decisions import Decision
+from beamspar.decision_log.messages import FollowReply
+from beamspar.decision_log.replica import Replica
 
 BLOCK, LEADER = "c/block/", "c/leader"
 
--- a/tests/standins/loopback.py
+++ b/tests/standins/loopback.py
@@ -19,7 +19,8 @@
 import click
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from beamspar.transport.http import Answer, Handler, Sockets
+from beamspar.transport.connection_limits import Sockets
+from beamspar.transport.http import Answer, Handler
 from beamspar.transport.http_server import Site
 from beamspar.transport.tcp import RealNet
 from tests.standins.net import Network
--- a/tests/standins/net.py
+++ b/tests/standins/net.py
@@ -8,14 +8,8 @@
 
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from beamspar.transport.connection_limits import may_stay_open
-from beamspar.transport.http import (
-    Answer,
-    Call,
-    CallFailedError,
-    ConnectionLimits,
-    Handler,
-)
+from beamspar.transport.connection_limits import ConnectionLimits, may_stay_open
+from beamspar.transport.http import Answer, Call, CallFailedError, Handler
 from tests.standins.clock import SimClock
 
 
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -10,7 +10,8 @@
 
 from beamspar.protocol.codec import pack, unpack
 from beamspar.settings import OperatorSettings, Settings
-from beamspar.transport.http import CallFailedError, ConnectionLimits, Sockets
+from beamspar.transport.connection_limits import ConnectionLimits, Sockets
+from beamspar.transport.http import CallFailedError
 from tests.standins import releases
 from tests.standins.checker import FINAL, Checker
 from tests.standins.clock import SimClock
--- a/tests/test_attempt_statuses.py
+++ b/tests/test_attempt_statuses.py
@@ -10,14 +10,15 @@
 
 from beamspar.cluster.registration import Registration
 from beamspar.jobs.desired_state import TaskKey
-from beamspar.jobs.job import Job
 from beamspar.jobs.job_controller import JobController
 from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.peer_messages import AttemptState, AttemptStatus
-from beamspar.settings import OperatorSettings, Timeouts
+from beamspar.settings import OperatorSettings
 from beamspar.state import keys
 from beamspar.state.control_records import Machine, shard_record
 from beamspar.state.job_records import JobStatus, Layout
+from beamspar.timeouts import Timeouts
+from beamspar.workload.job import Job
 from tests.standins.clock import SimClock
 from tests.test_quota_manager import settings
 
--- a/tests/test_command_planning.py
+++ b/tests/test_command_planning.py
@@ -15,8 +15,9 @@
 from beamspar.protocol.cloud import MachineType
 from beamspar.protocol.peer_messages import AttemptState, DesiredAction, DesiredAttempt
 from beamspar.protocol.workers import ClearCommand, StartCommand, StopCommand, TaskStatus
-from beamspar.settings import OperatorSettings, Timeouts
+from beamspar.settings import OperatorSettings
 from beamspar.state.control_records import Machine
+from beamspar.timeouts import Timeouts
 from tests.standins.clock import SimClock
 from tests.test_quota_manager import settings
 
--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -13,9 +13,9 @@
 import msgspec
 import pytest
 
-from beamspar.placement import Room
 from beamspar.protocol import peer_messages as messages
 from beamspar.protocol.jobs import JobSpec
+from beamspar.protocol.room import Room
 from beamspar.state import job_records as records
 from beamspar.state.control_records import MachineShard, shard_record
 from tests.standins import releases
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -6,13 +6,12 @@
 
 import pytest
 
-from beamspar.protocol.peer_messages import PEER_LIMIT, decode, encode
-from beamspar.standby.decision_log import (
+from beamspar.decision_log.decision_log import (
     ENTRIES_PER_MESSAGE,
     LOG_ENTRIES,
     DecisionLog,
 )
-from beamspar.standby.decisions import (
+from beamspar.decision_log.decisions import (
     CacheChanged,
     Decision,
     LeadState,
@@ -24,8 +23,9 @@
     RentalGranted,
     RentalRefused,
 )
-from beamspar.standby.messages import FollowReply, LogEntry
-from beamspar.standby.replica import Replica, StaleTermError
+from beamspar.decision_log.messages import FollowReply, LogEntry
+from beamspar.decision_log.replica import Replica, StaleTermError
+from beamspar.protocol.peer_messages import PEER_LIMIT, decode, encode
 from tests.standins.clock import SimClock
 
 PLACES: list[Place] = [("big", "east", False), ("small", "west", True)]
--- a/tests/test_desired_state.py
+++ b/tests/test_desired_state.py
@@ -12,11 +12,11 @@
     desired_attempt,
     split_by_size,
 )
-from beamspar.jobs.job import Job
-from beamspar.jobs.task import Task
 from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.peer_messages import DesiredAction
 from beamspar.state.job_records import JobStatus, Layout
+from beamspar.workload.job import Job
+from beamspar.workload.task import Task
 
 SPEC = JobSpec(
     "j-1", "front", "red", "sweep", "high", 4, 2.0, 1.0, 3.0, "img", 5.0,
--- a/tests/test_failure_backoff.py
+++ b/tests/test_failure_backoff.py
@@ -4,11 +4,12 @@
 
 import msgspec
 
-from beamspar.jobs.failure_backoff import CONCURRENT_PROBES, MAX_PROBE_PAUSE, FailureBackoff
 from beamspar.machines.fault_evidence import MOST_JOBS, FaultEvidence
 from beamspar.machines.managed_machine import ManagedMachine
-from beamspar.settings import OperatorSettings, Settings, Timeouts
+from beamspar.settings import OperatorSettings, Settings
 from beamspar.state.control_records import Machine
+from beamspar.timeouts import Timeouts
+from beamspar.workload.failure_backoff import CONCURRENT_PROBES, MAX_PROBE_PAUSE, FailureBackoff
 from tests.standins.world import World
 
 RETRY_S = 0.5
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -21,26 +21,28 @@
 import pytest
 from twisted.internet.defer import Deferred, ensureDeferred, succeed
 
-from beamspar import settings
+from beamspar import settings, timeouts
+from beamspar.decision_log import decisions as log
+from beamspar.decision_log import messages as log_messages
 from beamspar.leader import cloud_client as cloud
 from beamspar.machines import worker_client as workers
 from beamspar.node import node
-from beamspar.placement import Room
 from beamspar.protocol import cloud as cloud_protocol
 from beamspar.protocol import codec
 from beamspar.protocol import jobs as jobs_protocol
 from beamspar.protocol import peer_messages as messages
 from beamspar.protocol import workers as workers_protocol
+from beamspar.protocol.room import Room
 from beamspar.quota import allocations as shares
 from beamspar.quota import quota_manager as quota_manager
 from beamspar.sharing import messages as sharing
-from beamspar.standby import decisions as log
 from beamspar.standby import messages as standby
 from beamspar.standby import standby as standing
 from beamspar.state import client as state
 from beamspar.state import control_records
 from beamspar.state import job_records as records
 from beamspar.state import keys as stored_keys
+from beamspar.state import messages as state_messages
 from beamspar.transport import http
 from tests.standins.clock import SimClock
 from tests.standins.sharing import SharingWorld
@@ -149,7 +151,7 @@
 
 
 def entries(made: list[Any]) -> list[Any]:
-    return [standby.LogEntry(8 + n, 0.5 + n, decision) for n, decision in enumerate(made)]
+    return [log_messages.LogEntry(8 + n, 0.5 + n, decision) for n, decision in enumerate(made)]
 
 
 def machine_state() -> Any:
@@ -306,13 +308,13 @@
     ),
     "relayed-answer-least": lambda: messages.ForwardedResponse(404),
     "withdrawals": lambda: messages.CancellationNotice({"j-1": 412}),
-    "follow": lambda: standby.FollowRequest("rig-1", 412, 9, 512),
-    "follow-least": lambda: standby.FollowRequest("rig-1"),
-    "follow-answer": lambda: standby.FollowReply(
+    "follow": lambda: log_messages.FollowRequest("rig-1", 412, 9, 512),
+    "follow-least": lambda: log_messages.FollowRequest("rig-1"),
+    "follow-answer": lambda: log_messages.FollowReply(
         412, 14, entries(decisions()), True, 14, 512, False, ["rig-2", "rig-3"]
     ),
-    "follow-answer-least": lambda: standby.FollowReply(),
-    "log-entries-least": lambda: standby.FollowReply(412, 9, entries(least_decisions())),
+    "follow-answer-least": lambda: log_messages.FollowReply(),
+    "log-entries-least": lambda: log_messages.FollowReply(412, 9, entries(least_decisions())),
     "hand-over": lambda: standby.HandOverRequest("rig-2"),
     "hand-over-least": lambda: standby.HandOverRequest(),
     "hand-over-answer": lambda: standby.HandOverReply(True, "rig-2", "asked for"),
@@ -378,12 +380,12 @@
     "machine-type-least": lambda: cloud_protocol.MachineType("g8", 96.5),
     "rental": instance,
     "rental-least": lambda: cloud_protocol.Instance("host-7"),
-    "put": lambda: state.put("a/b", {"n": 1}, 7),
-    "put-least": lambda: state.put("a/b", None),
-    "drop": lambda: state.drop("a/b"),
-    "stored-item": lambda: state.KeyValue("a/b", {"n": 1}, 412),
-    "change-told": lambda: state.WatchEvent(412, "a/b", "c/d", {"n": 1}),
-    "change-told-least": lambda: state.WatchEvent(412),
+    "put": lambda: state_messages.put("a/b", {"n": 1}, 7),
+    "put-least": lambda: state_messages.put("a/b", None),
+    "drop": lambda: state_messages.drop("a/b"),
+    "stored-item": lambda: state_messages.KeyValue("a/b", {"n": 1}, 412),
+    "change-told": lambda: state_messages.WatchEvent(412, "a/b", "c/d", {"n": 1}),
+    "change-told-least": lambda: state_messages.WatchEvent(412),
 }
 
 
@@ -418,8 +420,8 @@
 
 def state_client(net: Recorder) -> state.StateClient:
     """A client of the state service."""
-    timeouts = settings.Timeouts(deployment(), settings.OperatorSettings())
-    return state.StateClient(SimClock(), net, deployment(), timeouts)  # type: ignore[arg-type]
+    durations = timeouts.Timeouts(deployment(), settings.OperatorSettings())
+    return state.StateClient(SimClock(), net, deployment(), durations)  # type: ignore[arg-type]
 
 
 def cloud_client(net: Recorder) -> cloud.CloudClient:
@@ -428,17 +430,17 @@
 
 
 async def get_key(net: Recorder) -> None:
-    assert await state_client(net).get("a/b") == state.KeyValue("a/b", {"n": 1}, 412)
+    assert await state_client(net).get("a/b") == state_messages.KeyValue("a/b", {"n": 1}, 412)
 
 
 async def scan_keys(net: Recorder) -> None:
     found, revision = await state_client(net).scan("c/x y")
-    assert found == [state.KeyValue("c/x z", 1, 5), state.KeyValue("c/x&", 2, 6)]
+    assert found == [state_messages.KeyValue("c/x z", 1, 5), state_messages.KeyValue("c/x&", 2, 6)]
     assert revision == 431
 
 
 async def write_keys(net: Recorder) -> None:
-    changes = [state.put("a/b", {"n": 1}, 7), state.drop("c/d")]
+    changes = [state_messages.put("a/b", {"n": 1}, 7), state_messages.drop("c/d")]
     assert await state_client(net).transact({"a/b": 0, "c/d": 5}, changes) == 432
 
 
@@ -456,7 +458,10 @@
 async def watch_keys(net: Recorder) -> None:
     events, revision = await state_client(net).watch("c/", 431, 2.5)
     assert revision == 433
-    assert events == [state.WatchEvent(433, "c/9", None, 1), state.WatchEvent(432, None, "c/d")]
+    assert events == [
+        state_messages.WatchEvent(433, "c/9", None, 1),
+        state_messages.WatchEvent(432, None, "c/d"),
+    ]
 
 
 async def list_types(net: Recorder) -> None:
@@ -693,7 +698,17 @@
 
 
 @pytest.mark.parametrize(
-    "module", [messages, standby, sharing, codec, jobs_protocol, workers_protocol, cloud_protocol]
+    "module",
+    [
+        messages,
+        log_messages,
+        standby,
+        sharing,
+        codec,
+        jobs_protocol,
+        workers_protocol,
+        cloud_protocol,
+    ],
 )
 def test_every_kind_of_message_has_an_example(module: Any) -> None:
     examples = [build() for build in [*PEER.values(), *OUTER.values()]]
--- a/tests/test_gang.py
+++ b/tests/test_gang.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from beamspar.jobs.gang import MAX_RETRY_DELAY, Gang, GangPhase
-from beamspar.jobs.job import Job
 from beamspar.protocol.jobs import JobSpec
 from beamspar.quota import quota_preemption
 from beamspar.state.job_records import Layout
+from beamspar.workload.gang import MAX_RETRY_DELAY, Gang, GangPhase
+from beamspar.workload.job import Job
 
 WAIT = 40.0
 SPEC = JobSpec(
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from beamspar.standby.decisions import MachinesUp, RentalAbandoned
+from beamspar.decision_log.decisions import MachinesUp, RentalAbandoned
 from tests.standins.history import LeaderHistory
 
 ONE, OTHER = MachinesUp(["host-1"]), RentalAbandoned("r-1")
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -8,8 +8,9 @@
 from twisted.internet import reactor as installed
 from twisted.internet.threads import deferToThread
 
-from beamspar.transport.connection_limits import KEPT_OPEN_SHARE
-from beamspar.transport.http import Answer, Call, Sockets, spawn
+from beamspar.transport.clock import spawn
+from beamspar.transport.connection_limits import KEPT_OPEN_SHARE, Sockets
+from beamspar.transport.http import Answer, Call
 from beamspar.transport.tcp import RealNet
 
 MOST = 10
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -9,7 +9,8 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from beamspar.transport.http import Answer, CallFailedError, Sockets
+from beamspar.transport.connection_limits import Sockets
+from beamspar.transport.http import Answer, CallFailedError
 from beamspar.transport.http_client import MAX_IDLE_PER_ADDRESS
 from beamspar.transport.tcp import RealNet
 
--- a/tests/test_instance_manager.py
+++ b/tests/test_instance_manager.py
@@ -4,12 +4,13 @@
 
 from typing import Any
 
+from beamspar.decision_log.decisions import Booting
 from beamspar.leader.instance_manager import InstanceManager
-from beamspar.placement import Room
 from beamspar.protocol.cloud import MachineType
 from beamspar.protocol.jobs import JobSpec
-from beamspar.settings import OperatorSettings, Timeouts
-from beamspar.standby.decisions import Booting
+from beamspar.protocol.room import Room
+from beamspar.settings import OperatorSettings
+from beamspar.timeouts import Timeouts
 from tests.standins.clock import SimClock
 from tests.test_quota_manager import settings
 
--- a/tests/test_job_acceptor.py
+++ b/tests/test_job_acceptor.py
@@ -10,12 +10,14 @@
 
 from beamspar.cluster.registration import Registration
 from beamspar.jobs.job_controller import JobController
-from beamspar.placement import Room
 from beamspar.protocol.jobs import JobSpec
+from beamspar.protocol.room import Room
 from beamspar.quota.quota_manager import QuotaManager
-from beamspar.settings import OperatorSettings, Timeouts
-from beamspar.state.client import KeyValue, OutcomeUnknownError, StateUnavailableError
+from beamspar.settings import OperatorSettings
+from beamspar.state.errors import OutcomeUnknownError, StateUnavailableError
 from beamspar.state.job_records import JobRecord
+from beamspar.state.messages import KeyValue
+from beamspar.timeouts import Timeouts
 from tests.standins.clock import SimClock
 from tests.test_quota_manager import KEY, settings
 
--- a/tests/test_job_controller.py
+++ b/tests/test_job_controller.py
@@ -10,10 +10,11 @@
 from beamspar.cluster.registration import Registration
 from beamspar.jobs.job_controller import JobController
 from beamspar.protocol.jobs import JobSpec
-from beamspar.settings import OperatorSettings, Timeouts
-from beamspar.state.client import KeyValue
+from beamspar.settings import OperatorSettings
 from beamspar.state.control_records import JobPartition
 from beamspar.state.job_records import JobRecord
+from beamspar.state.messages import KeyValue
+from beamspar.timeouts import Timeouts
 from tests.standins.clock import SimClock
 from tests.test_quota_manager import settings
 
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -12,9 +12,10 @@
 from beamspar.cluster.registration import Registration
 from beamspar.leader.instance_manager import InstanceManager
 from beamspar.leader.leader import Leader
-from beamspar.settings import NextLimits, OperatorSettings, Timeouts
+from beamspar.settings import NextLimits, OperatorSettings
 from beamspar.state import keys
 from beamspar.state.control_records import Machine, shard_record
+from beamspar.timeouts import Timeouts
 from tests.standins.clock import SimClock
 from tests.test_quota_manager import settings
 
--- a/tests/test_leader_decisions.py
+++ b/tests/test_leader_decisions.py
@@ -11,9 +11,10 @@
 from beamspar.leader.draining import failed_machines
 from beamspar.leader.member_view import MemberView
 from beamspar.leader.tentative_reservations import TentativeReservations
-from beamspar.placement import Preference, Room
+from beamspar.placement import Preference
 from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.peer_messages import CapacityRequest, JobClass, MachineStatus
+from beamspar.protocol.room import Room
 
 SPEC = JobSpec("j-1", "front", "red", "standing", "critical", 2, 1.0, 0.0, 1.0, "img", 1.0)
 
--- a/tests/test_machine_controller.py
+++ b/tests/test_machine_controller.py
@@ -13,7 +13,8 @@
     DesiredAttempt,
     DesiredStateUpdate,
 )
-from beamspar.settings import OperatorSettings, Timeouts
+from beamspar.settings import OperatorSettings
+from beamspar.timeouts import Timeouts
 from tests.standins.clock import SimClock
 from tests.test_quota_manager import settings
 
--- a/tests/test_many_tasks.py
+++ b/tests/test_many_tasks.py
@@ -8,11 +8,11 @@
 import pytest
 
 from beamspar.jobs.assignments import LARGE_PUBLICATION_ATTEMPTS, Assignments
-from beamspar.jobs.job import Job
 from beamspar.jobs.placer import Placer
 from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.peer_messages import WANTS_AT_ONCE
 from beamspar.state.job_records import Layout
+from beamspar.workload.job import Job
 from tests.standins.world import ZONES, World
 
 MACHINES = [f"host-{n}" for n in range(7)]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -6,7 +6,6 @@
 
 from beamspar.placement import (
     Preference,
-    Room,
     allowed,
     choose,
     copy,
@@ -16,6 +15,7 @@
     zone_order,
 )
 from beamspar.protocol.jobs import JobSpec
+from beamspar.protocol.room import Room
 
 ZONES = "xyz"
 
--- a/tests/test_placement_round.py
+++ b/tests/test_placement_round.py
@@ -4,7 +4,6 @@
 
 import msgspec
 
-from beamspar.jobs.job import Job
 from beamspar.jobs.placement_round import (
     JOBS_PER_ROUND,
     JOBS_PER_SHAPE,
@@ -21,6 +20,7 @@
 from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.peer_messages import PlacementOffer
 from beamspar.state.job_records import Layout
+from beamspar.workload.job import Job
 
 SPEC = JobSpec("j-1", "front", "red", "sweep", "normal", 900, 1.0, 0.0, 1.0, "img", 1.0)
 
--- a/tests/test_quota_allocations.py
+++ b/tests/test_quota_allocations.py
@@ -9,7 +9,7 @@
 from twisted.logger import LogLevel, formatEvent, globalLogPublisher
 
 from beamspar.quota.allocations import Allocation, parse_allocation
-from beamspar.state.client import ConflictError
+from beamspar.state.errors import ConflictError
 from tests.standins.world import World
 from tests.test_quota_manager import KEY, job, make
 
--- a/tests/test_quota_manager.py
+++ b/tests/test_quota_manager.py
@@ -5,7 +5,6 @@
 from typing import Any
 
 from beamspar.cluster.registration import Registration
-from beamspar.jobs.job import Job
 from beamspar.protocol.jobs import JobSpec
 from beamspar.quota.quota_manager import QuotaManager
 from beamspar.settings import (
@@ -16,12 +15,13 @@
     Settings,
     StateServiceLimits,
     Team,
-    Timeouts,
     WorkerSettings,
 )
-from beamspar.state.client import ConflictError, OutcomeUnknownError
 from beamspar.state.control_records import JobPartition
+from beamspar.state.errors import ConflictError, OutcomeUnknownError
 from beamspar.state.job_records import Layout
+from beamspar.timeouts import Timeouts
+from beamspar.workload.job import Job
 from tests.standins.clock import SimClock
 
 KEY = "c/budget/red"
--- a/tests/test_quota_usage.py
+++ b/tests/test_quota_usage.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from beamspar.jobs.job import Job
 from beamspar.protocol.jobs import JobSpec
-from beamspar.quota.quota_usage import QuotaUsage
 from beamspar.state.job_records import Layout
+from beamspar.workload.job import Job
+from beamspar.workload.quota_usage import QuotaUsage
 
 
 def bound(tasks: int, chunk: int = 0) -> QuotaUsage:
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -9,9 +9,10 @@
 from beamspar.cluster.registration import Registration
 from beamspar.machines.machine_controller import MachineController
 from beamspar.machines.worker_client import WorkerClient
-from beamspar.settings import OperatorSettings, Timeouts
-from beamspar.state.client import KeyValue
+from beamspar.settings import OperatorSettings
 from beamspar.state.control_records import Machine, shard_record
+from beamspar.state.messages import KeyValue
+from beamspar.timeouts import Timeouts
 from tests.standins.clock import SimClock
 from tests.test_quota_manager import settings
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,8 +9,6 @@
 
 from beamspar.cluster.registration import Registration
 from beamspar.jobs.assignments import Assignments
-from beamspar.jobs.job import Job
-from beamspar.jobs.task import Task
 from beamspar.leader.cloud_client import CloudUnavailableError, InstancePage
 from beamspar.leader.instance_manager import PAGE_RETRIES, InstanceManager
 from beamspar.machines.machine_controller import MachineController
@@ -22,9 +20,12 @@
     DesiredStateUpdate,
     encode,
 )
-from beamspar.settings import OperatorSettings, Timeouts
+from beamspar.settings import OperatorSettings
 from beamspar.state import keys
 from beamspar.state.control_records import Machine, shard_record
+from beamspar.timeouts import Timeouts
+from beamspar.workload.job import Job
+from beamspar.workload.task import Task
 from tests.standins.clock import SimClock
 from tests.test_quota_manager import settings
 
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -9,9 +9,9 @@
 import pytest
 from twisted.internet.defer import ensureDeferred
 
+from beamspar.decision_log.decisions import MachinesUp
 from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.peer_messages import CapacityRequest
-from beamspar.standby.decisions import MachinesUp
 from beamspar.standby.messages import (
     HandOverReply,
     HandOverRequest,
--- a/tests/test_task_retry.py
+++ b/tests/test_task_retry.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from beamspar.jobs.task import Task
 from beamspar.jobs.task_retry import (
     FAILURE_REASONS,
     GANG_FAILURE_REASONS,
@@ -10,6 +9,7 @@
     avoid_machine,
     retry_pause_s,
 )
+from beamspar.workload.task import Task
 
 RETRY_S = 0.5
 
