--- a/src/beamspar/cli.py
+++ b/src/beamspar/cli.py
@@ -56,7 +56,7 @@
     import gc
     import random
 
-    from beamspar.transport.tcp import RealNet, steady_reactor
+    from beamspar.transport.tcp import TcpNet, steady_reactor
 
     reactor: Any = steady_reactor()
 
@@ -68,7 +68,7 @@
     start_logging(os.environ.get("LOG_LEVEL", "info"))
     timeouts = Timeouts(settings, operator_settings)
     sockets = Sockets.of(settings.platform.limits.sockets, settings.platform.nodes)
-    net = RealNet(reactor, timeouts.request, timeouts.keep_open, sockets)
+    net = TcpNet(reactor, timeouts.request, timeouts.keep_open, sockets)
     node = Node(reactor, net, settings, operator_settings, random.Random())
     reactor.callWhenRunning(spawn, node.start(), "start")
     # What is loaded by now stays: the garbage collector need not look at it again and again.
--- a/src/beamspar/decision_log/decisions.py
+++ b/src/beamspar/decision_log/decisions.py
@@ -15,7 +15,7 @@
 Place = tuple[str, str, bool]
 
 
-class RentalAsked(msgspec.Struct, frozen=True, tag="rental_asked"):
+class InstancesRequested(msgspec.Struct, frozen=True, tag="rental_asked"):
     """A rental request is about to be sent under this name."""
 
     name: str
@@ -23,7 +23,7 @@
     count: int
 
 
-class RentalGranted(msgspec.Struct, frozen=True, tag="rental_granted"):
+class InstancesGranted(msgspec.Struct, frozen=True, tag="rental_granted"):
     """The cloud rented these machines, possibly fewer than were asked for."""
 
     name: str
@@ -33,7 +33,7 @@
     pause_s: float = 0.0
 
 
-class RentalRefused(msgspec.Struct, frozen=True, tag="rental_refused"):
+class InstancesRefused(msgspec.Struct, frozen=True, tag="rental_refused"):
     """The cloud had none; the place is not asked again for the pause."""
 
     name: str
@@ -41,19 +41,19 @@
     pause_s: float
 
 
-class RentalAbandoned(msgspec.Struct, frozen=True, tag="rental_abandoned"):
+class InstanceRequestAbandoned(msgspec.Struct, frozen=True, tag="rental_abandoned"):
     """The request got no answer and will not be repeated."""
 
     name: str
 
 
-class MachinesUp(msgspec.Struct, frozen=True, tag="machines_up"):
+class MachinesStarted(msgspec.Struct, frozen=True, tag="machines_up"):
     """These machines send heartbeats: they are not booting any more."""
 
     machines: list[str]
 
 
-class MachinesReturned(msgspec.Struct, frozen=True, tag="machines_returned"):
+class MachinesDeleted(msgspec.Struct, frozen=True, tag="machines_returned"):
     """The cloud has confirmed that these are gone; what is free there may be rented again."""
 
     machines: list[str]
@@ -68,12 +68,12 @@
 
 
 Decision = (
-    RentalAsked
-    | RentalGranted
-    | RentalRefused
-    | RentalAbandoned
-    | MachinesUp
-    | MachinesReturned
+    InstancesRequested
+    | InstancesGranted
+    | InstancesRefused
+    | InstanceRequestAbandoned
+    | MachinesStarted
+    | MachinesDeleted
     | CacheChanged
 )
 
@@ -115,7 +115,7 @@
     """
 
     def __init__(self) -> None:
-        self.pending: dict[str, RentalAsked] = {}
+        self.pending: dict[str, InstancesRequested] = {}
         self.booting: dict[str, Booting] = {}
         # Places that are not asked again for a while.
         self.refused: dict[Place, Refusal] = {}
@@ -135,23 +135,23 @@
     def apply(self, decision: Decision, made_at: float) -> None:
         """Apply a decision that was made at this time of the local clock."""
         match decision:
-            case RentalAsked():
+            case InstancesRequested():
                 self.pending[decision.name] = decision
-            case RentalGranted():
+            case InstancesGranted():
                 self._apply_granted(decision, made_at)
-            case RentalRefused():
+            case InstancesRefused():
                 self.pending.pop(decision.name, None)
                 self._refuse(decision.place, made_at, decision.pause_s)
-            case RentalAbandoned():
+            case InstanceRequestAbandoned():
                 self.pending.pop(decision.name, None)
-            case MachinesUp():
+            case MachinesStarted():
                 self._end_boots(decision.machines)
-            case MachinesReturned():
+            case MachinesDeleted():
                 self._apply_returned(decision)
             case CacheChanged():
                 self._apply_cache(decision)
 
-    def _apply_granted(self, decision: RentalGranted, made_at: float) -> None:
+    def _apply_granted(self, decision: InstancesGranted, made_at: float) -> None:
         self.pending.pop(decision.name, None)
         self.refused.pop(decision.place, None)
         for machine in decision.machines:
@@ -162,7 +162,7 @@
     def _refuse(self, place: Place, made_at: float, pause_s: float) -> None:
         self.refused[place] = Refusal(made_at + pause_s, pause_s)
 
-    def _apply_returned(self, decision: MachinesReturned) -> None:
+    def _apply_returned(self, decision: MachinesDeleted) -> None:
         self.returned.update(decision.machines)
         self._end_boots(decision.machines)
         for place in decision.freed:
@@ -183,13 +183,13 @@
         """Decisions that lead from an empty state to this one."""
         # First what would undo the rest: a return ends a boot, and a rental lifts a refusal.
         if self.returned:
-            yield TimedDecision(0.0, MachinesReturned(sorted(self.returned)))
+            yield TimedDecision(0.0, MachinesDeleted(sorted(self.returned)))
         for rental in self.pending.values():
             yield TimedDecision(0.0, rental)
         for machine, boot in self.booting.items():
             place = (boot.kind, boot.zone, boot.spot)
-            yield TimedDecision(boot.since, RentalGranted("", place, [machine]))
+            yield TimedDecision(boot.since, InstancesGranted("", place, [machine]))
         for place, (until, pause_s) in self.refused.items():
-            yield TimedDecision(until - pause_s, RentalRefused("", place, pause_s))
+            yield TimedDecision(until - pause_s, InstancesRefused("", place, pause_s))
         for machine, (images, _) in self.caches.items():
             yield TimedDecision(0.0, CacheChanged(machine, images))
--- a/src/beamspar/jobs/assignments.py
+++ b/src/beamspar/jobs/assignments.py
@@ -17,7 +17,7 @@
     split_by_size,
 )
 from beamspar.protocol.peer_messages import (
-    WANTS_AT_ONCE,
+    MAX_DESIRED_ATTEMPTS,
     AttemptStatus,
     DesiredAction,
     DesiredAttempt,
@@ -43,7 +43,7 @@
     partitions: set[str]
     loaded: set[str]
 
-    def statuses(self, statuses: list[AttemptStatus]) -> None:
+    def observe_statuses(self, statuses: list[AttemptStatus]) -> None:
         """Handle the statuses of our attempts that machine controllers report."""
 
     def may_start(self, job: Job) -> bool:
@@ -197,7 +197,9 @@
             # all that is desired there: what comes meanwhile is sent together.
             sent = self.attempts_sent - sent_before
             if sent >= LARGE_PUBLICATION_ATTEMPTS:
-                await sleep(self.clock, self.timeouts.heartbeat * min(sent / WANTS_AT_ONCE, 1.0))
+                await sleep(
+                    self.clock, self.timeouts.heartbeat * min(sent / MAX_DESIRED_ATTEMPTS, 1.0)
+                )
         finally:
             self.publishing_to.discard(member)
             if not is_acknowledged:
@@ -209,7 +211,7 @@
             self.publish()
 
     def _split(
-        self, member: str, machines: set[str] | None, max_attempts: int = WANTS_AT_ONCE
+        self, member: str, machines: set[str] | None, max_attempts: int = MAX_DESIRED_ATTEMPTS
     ) -> list[set[str] | None]:
         """The machines to send, cut so that each part's attempts fit into one message.
 
@@ -239,7 +241,7 @@
         updates = self._updates(member, machines)
         statuses = await self.send(member, updates) if updates else []
         if statuses:
-            self.job_store.statuses(statuses)
+            self.job_store.observe_statuses(statuses)
         return statuses is not None
 
     # -- the messages
--- a/src/beamspar/jobs/attempt_statuses.py
+++ b/src/beamspar/jobs/attempt_statuses.py
@@ -23,7 +23,7 @@
 from beamspar.workload.job import Job
 from beamspar.workload.task import Task
 
-log = Logger(namespace="owner")
+log = Logger(namespace="jobs")
 
 # Attempts in these states are over, for good.
 TERMINAL_STATES = frozenset({AttemptState.GONE, AttemptState.REFUSED, AttemptState.ENDED})
@@ -41,7 +41,7 @@
     def apply_cancellation(self, job_id: str) -> None:
         """The job's user has cancelled it."""
 
-    def use_changed(self, job: Job) -> None:
+    def quota_usage_changed(self, job: Job) -> None:
         """What of the job counts against its team's quota has changed."""
 
     def publish_desired_state_of(self, job: Job) -> None:
@@ -91,7 +91,7 @@
     def _is_quota_wanted(self, job: Job) -> bool:
         """Does other work wait for the quota of the job's team?"""
         quota_manager = self.job_store.quota_manager
-        return quota_manager is not None and quota_manager.wanted(job)
+        return quota_manager is not None and quota_manager.others_wait(job)
 
     def _observe_one(self, status: AttemptStatus) -> Job | None:
         """Apply one status; returns the job whose attempt it ends."""
@@ -106,7 +106,7 @@
             self._end_attempt(job, int(index_text), task, status)
             return job
         if task.state != status.state:
-            job.saw(task, status.state)
+            job.set_state(task, status.state)
             if job.spec.is_gang:
                 self.gang_attempts.observe_state(job, status.state)
         return None
@@ -160,11 +160,11 @@
         task.fencing_token = 0
         # It counts against the team's quota until that is stored: a successor would start it.
         job.dirty.add(index // job.tasks_per_chunk)
-        self.job_store.use_changed(job)
+        self.job_store.quota_usage_changed(job)
 
     def _complete_task(self, job: Job, index: int) -> None:
         job.complete(index)
-        job.backoff.succeed()
+        job.backoff.record_success()
         if job.spec.is_gang:
             self._complete_gang(job)
 
@@ -200,7 +200,7 @@
         # Services have few tasks, as gangs do; the pause of each is enough for them.
         if job.spec.is_service:
             return
-        if job.backoff.failed(machine, now, self.timeouts.retry):
+        if job.backoff.record_failure(machine, now, self.timeouts.retry):
             self.jobs_backed_off += 1
             log.warn(
                 "{job} fails on every machine: backing off, the {n}th job so far",
--- a/src/beamspar/jobs/chunk_removal.py
+++ b/src/beamspar/jobs/chunk_removal.py
@@ -7,7 +7,7 @@
 from beamspar.settings import StateServiceLimits
 from beamspar.state.client import StateClient
 from beamspar.state.errors import StateUnavailableError
-from beamspar.state.job_records import Layout
+from beamspar.state.job_records import ChunkLayout
 from beamspar.state.messages import drop
 from beamspar.state.request_queue import RequestPriority
 from beamspar.timeouts import Timeouts
@@ -25,7 +25,7 @@
         self._limits = limits
         self._timeouts = timeouts
 
-    async def remove(self, job_id: str, layout: Layout, chunks: Iterable[int]) -> None:
+    async def remove(self, job_id: str, layout: ChunkLayout, chunks: Iterable[int]) -> None:
         """Remove these chunks, retrying for as long as the state service is unavailable."""
         remaining = sorted(chunks)
         most = self._limits.smallest.txn_ops
--- a/src/beamspar/jobs/desired_state.py
+++ b/src/beamspar/jobs/desired_state.py
@@ -80,7 +80,7 @@
         spec.save_s,
         task.preempt,
         spec.is_gang,
-        job.backoff.to_blame,
+        job.backoff.is_job_at_fault,
     )
 
 
--- a/src/beamspar/jobs/empty_partitions.py
+++ b/src/beamspar/jobs/empty_partitions.py
@@ -21,7 +21,7 @@
 from beamspar.transport.clock import Clock, sleep, spawn
 from beamspar.workload.job import Job
 
-log = Logger(namespace="owner")
+log = Logger(namespace="jobs")
 
 
 class JobStore(Protocol):
@@ -31,7 +31,7 @@
     loaded: set[str]
 
     @property
-    def doubtful(self) -> dict[str, list[Job]]:
+    def indeterminate_accepts(self) -> dict[str, list[Job]]:
         """Accepts whose outcome is indeterminate."""
 
 
@@ -59,7 +59,7 @@
         if self.is_deleting:
             return
         job_store = self.job_store
-        indeterminate = [job for jobs in job_store.doubtful.values() for job in jobs]
+        indeterminate = [job for jobs in job_store.indeterminate_accepts.values() for job in jobs]
         in_use = {job.partition for job in (*job_store.jobs.values(), *indeterminate)}
         for partition in sorted(job_store.loaded - in_use - {self.registration.partition}):
             if partition in self.mirror.partitions and quota_manager.holds_none(partition):
--- a/src/beamspar/jobs/gang_attempts.py
+++ b/src/beamspar/jobs/gang_attempts.py
@@ -24,7 +24,7 @@
 from beamspar.workload.job import Job
 from beamspar.workload.task import Task
 
-log = Logger(namespace="owner")
+log = Logger(namespace="jobs")
 
 
 class JobStore(Protocol):
@@ -49,7 +49,7 @@
     def observe_state(self, job: Job, state: str) -> None:
         """One of a gang's tasks has a new state: that may change the desired state of all."""
         was_stopping, was_known = job.gang.stopping, job.gang.known
-        job.gang.saw(state)
+        job.gang.observe_state(state)
         if job.gang.stopping != was_stopping:
             log.info("{job}: one task of the gang stops, stopping all", job=job.id)
             self.job_store.publish_desired_state_of(job)
@@ -65,7 +65,7 @@
         # One that waited in vain was not completed in time; one whose peers are gone, or that
         # has saved a checkpoint, had started. Otherwise the rest wait on for a replacement.
         is_over = status.exit_reason in GANG_OVER_REASONS or status.saved
-        gang.lose(status.machine, now, may_replace=not is_over)
+        gang.observe_lost_task(status.machine, now, may_replace=not is_over)
         if status.exit_reason == ExitReason.ERROR:
             avoid_machine(task, status.machine)
         if status.state == AttemptState.REFUSED:
--- a/src/beamspar/jobs/indeterminate_accepts.py
+++ b/src/beamspar/jobs/indeterminate_accepts.py
@@ -22,7 +22,7 @@
 from beamspar.transport.clock import Clock, sleep, spawn
 from beamspar.workload.job import Job
 
-log = Logger(namespace="owner")
+log = Logger(namespace="jobs")
 
 # Checks of an indeterminate accept before later application of it is ruled out by a write.
 CHECKS_BEFORE_FENCING = 3
--- a/src/beamspar/jobs/job_acceptor.py
+++ b/src/beamspar/jobs/job_acceptor.py
@@ -23,7 +23,7 @@
 from beamspar.transport.clock import Clock
 from beamspar.workload.job import Job
 
-log = Logger(namespace="owner")
+log = Logger(namespace="jobs")
 
 
 class JobAcceptor:
@@ -45,10 +45,10 @@
         self._job_store = job_store
         self._indeterminate = IndeterminateAccepts(clock, registration, state, timeouts, job_store)
         # Jobs that are being accepted, by ID.
-        self.arriving: dict[str, Job] = {}
+        self.jobs_being_accepted: dict[str, Job] = {}
 
     @property
-    def doubtful(self) -> dict[str, list[Job]]:
+    def indeterminate_accepts(self) -> dict[str, list[Job]]:
         """Jobs whose accept got no answer, by ID."""
         return self._indeterminate.jobs
 
@@ -67,11 +67,11 @@
         job = Job(spec, self._registration.partition, layout, self._clock.seconds())
         job.gang_wait_s = self._timeouts.gang_wait
         job.quota_served_revision = self._mirror.revision
-        self.arriving[spec.id] = job
+        self.jobs_being_accepted[spec.id] = job
         try:
             return await self._accept(job)
         finally:
-            del self.arriving[spec.id]
+            del self.jobs_being_accepted[spec.id]
 
     async def _accept(self, job: Job) -> bool:
         await self._job_store.place([job])
@@ -102,7 +102,7 @@
         """The job is not accepted as far as is known: release its machines."""
         for index, task in job.tasks.items():
             if task.machine is not None:
-                self._job_store.take_off(task.machine, job, index)
+                self._job_store.unassign(task.machine, job, index)
         if isinstance(error, OutcomeUnknownError):
             # It may be stored yet, with what it binds: its use stays counted, or a record
             # that turns up late would go over the team's quota.
--- a/src/beamspar/jobs/job_controller.py
+++ b/src/beamspar/jobs/job_controller.py
@@ -29,7 +29,7 @@
 from beamspar.transport.clock import Clock, spawn
 from beamspar.workload.job import Job
 
-log = Logger(namespace="owner")
+log = Logger(namespace="jobs")
 
 
 class JobController:
@@ -129,13 +129,13 @@
         for index, task in job.tasks.items():
             if task.machine is not None:
                 self.assignments.assign(task.machine, job, index, task)
-        self.use_changed(job)
+        self.quota_usage_changed(job)
         self.acceptor.settled(job.id)
         if self.mirror.is_cancelled(job.id):
             # Stored after what we read of it.
             self.apply_cancellation(job.id)
 
-    def all_loaded(self) -> None:
+    def on_jobs_loaded(self) -> None:
         """Jobs of more partitions are in memory: publish the desired state of all machines."""
         self.assignments.publish_all()
         self.schedule()
@@ -152,11 +152,11 @@
         """The job is over, or another controller's: it is not ours to decide any more."""
         self.jobs.pop(job.id, None)
         if ended:
-            self.loader.ended_meanwhile(job.id)
+            self.loader.job_finished(job.id)
         for index, task in job.tasks.items():
             if task.machine is not None:
-                self.take_off(task.machine, job, index)
-        self.writer.touch_clears(job)
+                self.unassign(task.machine, job, index)
+        self.writer.publish_clears(job)
         if self.quota_manager is not None:
             self.quota_manager.release(job)
 
@@ -169,14 +169,14 @@
         return await self.acceptor.accept(spec)
 
     @property
-    def arriving(self) -> dict[str, Job]:
+    def jobs_being_accepted(self) -> dict[str, Job]:
         """Jobs that are being accepted here."""
-        return self.acceptor.arriving
+        return self.acceptor.jobs_being_accepted
 
     @property
-    def doubtful(self) -> dict[str, list[Job]]:
+    def indeterminate_accepts(self) -> dict[str, list[Job]]:
         """Accepts whose outcome is indeterminate."""
-        return self.acceptor.doubtful
+        return self.acceptor.indeterminate_accepts
 
     # -- cancellations
 
@@ -189,7 +189,7 @@
             spawn(self._reread_and_flush(job), "cancellation")
 
     async def _reread_and_flush(self, job: Job) -> None:
-        await self.writer.reread(job)
+        await self.writer.refresh(job)
         self.writer.flush(job)
 
     def cancel(self, job: Job) -> None:
@@ -204,18 +204,18 @@
         """Unbind tasks that no record binds: nothing of them was started."""
         for index, task in job.tasks.items():
             if task.machine is not None and not task.stored:
-                self.take_off(task.machine, job, index)
+                self.unassign(task.machine, job, index)
                 job.unbind(index)
-        self.use_changed(job)
+        self.quota_usage_changed(job)
 
     # -- what changes concern
 
-    def use_changed(self, job: Job) -> None:
+    def quota_usage_changed(self, job: Job) -> None:
         """What of the job counts against its team's quota has changed."""
         if self.quota_manager is None or self.jobs.get(job.id) is not job:
             # Over or another's by now: it was released as a whole.
             return
-        if self.quota_manager.recount(job) < 0 and self.quota_manager.requested(
+        if self.quota_manager.recount(job) < 0 and self.quota_manager.has_waiting_work(
             job.partition, job.spec.team
         ):
             # There may be quota now for what waits.
@@ -227,7 +227,7 @@
             job.partition, job.spec.team
         )
 
-    def take_off(self, machine: str, job: Job, index: int) -> None:
+    def unassign(self, machine: str, job: Job, index: int) -> None:
         """The job's task is bound to the machine no more."""
         self.assignments.unassign(machine, job, index)
 
@@ -240,7 +240,7 @@
         for machine in {task.machine for task in job.tasks.values()} - {None}:
             self.touch(str(machine))
 
-    def statuses(self, statuses: list[AttemptStatus]) -> None:
+    def observe_statuses(self, statuses: list[AttemptStatus]) -> None:
         """Handle the statuses of our attempts that machine controllers report."""
         self.attempt_statuses.observe(statuses)
 
--- a/src/beamspar/jobs/job_loader.py
+++ b/src/beamspar/jobs/job_loader.py
@@ -28,7 +28,7 @@
 from beamspar.transport.clock import Clock, sleep
 from beamspar.workload.job import Job
 
-log = Logger(namespace="owner")
+log = Logger(namespace="jobs")
 
 
 class JobLoader:
@@ -78,7 +78,7 @@
                 log.info("adopting {job} waits: {error}", job=job_id, error=error)
                 return None
 
-    def ended_meanwhile(self, job_id: str) -> None:
+    def job_finished(self, job_id: str) -> None:
         """The job is finished: what a load under way has read of it is older."""
         if self.load_count:
             self.finished_meanwhile.add(job_id)
@@ -117,7 +117,7 @@
             n=len(job_store.jobs),
             partitions=sorted(job_store.partitions),
         )
-        job_store.all_loaded()
+        job_store.on_jobs_loaded()
 
     # -- reading
 
@@ -138,14 +138,18 @@
     async def _adopt(self, job_id: str) -> Job | None:
         ownership = self._ownership_revisions()
         item = await self._state.get(keys.job(job_id), RequestPriority.PLACEMENT)
-        if item is None or job_id in self._job_store.jobs or job_id in self._job_store.arriving:
+        if (
+            item is None
+            or job_id in self._job_store.jobs
+            or job_id in self._job_store.jobs_being_accepted
+        ):
             return None
         record = records.read_job(item)
         if not self._is_still_owned(record.partition, ownership):
             return None
         job = await self._restore(record, item.version)
         is_owned = self._is_still_owned(record.partition, ownership)
-        is_kept = is_owned and job_id not in self._job_store.arriving and self._keep(job)
+        is_kept = is_owned and job_id not in self._job_store.jobs_being_accepted and self._keep(job)
         return job if is_kept else None
 
     async def _restore(self, record: JobRecord, version: int) -> Job:
--- a/src/beamspar/jobs/job_restore.py
+++ b/src/beamspar/jobs/job_restore.py
@@ -5,12 +5,12 @@
 from collections.abc import Mapping
 
 from beamspar.state import job_records as records
-from beamspar.state.job_records import Chunk, JobRecord, Layout
+from beamspar.state.job_records import Chunk, ChunkLayout, JobRecord
 from beamspar.workload.job import Job
 from beamspar.workload.task import Task
 
 
-def job_from_record(record: JobRecord, version: int, layout: Layout, now: float) -> Job:
+def job_from_record(record: JobRecord, version: int, layout: ChunkLayout, now: float) -> Job:
     """The job as its own record says, without its tasks; raises ValidationError."""
     job = Job(records.read_spec(record), record.partition, layout, now)
     job.version = version
--- a/src/beamspar/jobs/job_store.py
+++ b/src/beamspar/jobs/job_store.py
@@ -33,7 +33,7 @@
     def cancel(self, job: Job) -> None:
         """The job's user has cancelled it."""
 
-    def use_changed(self, job: Job) -> None:
+    def quota_usage_changed(self, job: Job) -> None:
         """What of the job counts against its team's quota has changed."""
 
 
@@ -43,13 +43,13 @@
     loaded: set[str]
 
     @property
-    def arriving(self) -> dict[str, Job]:
+    def jobs_being_accepted(self) -> dict[str, Job]:
         """Jobs that are being accepted here."""
 
     def keep(self, job: Job) -> None:
         """Add a restored job."""
 
-    def all_loaded(self) -> None:
+    def on_jobs_loaded(self) -> None:
         """Jobs of more partitions are in memory."""
 
 
@@ -62,7 +62,7 @@
     async def place(self, jobs: list[Job]) -> None:
         """Bind the tasks that can be bound now."""
 
-    def take_off(self, machine: str, job: Job, index: int) -> None:
+    def unassign(self, machine: str, job: Job, index: int) -> None:
         """The job's task is not bound to the machine any more."""
 
     def touch(self, machine: str) -> None:
--- a/src/beamspar/jobs/job_writer.py
+++ b/src/beamspar/jobs/job_writer.py
@@ -23,14 +23,14 @@
     OutcomeUnknownError,
     StateUnavailableError,
 )
-from beamspar.state.job_records import EndRecord, JobStatus, Layout
+from beamspar.state.job_records import ChunkLayout, EndRecord, JobStatus
 from beamspar.state.messages import drop, put
 from beamspar.state.request_queue import RequestPriority
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock, sleep, spawn
 from beamspar.workload.job import Job
 
-log = Logger(namespace="owner")
+log = Logger(namespace="jobs")
 
 
 class JobWriter:
@@ -60,7 +60,7 @@
             limits, self._layouts, self._transactions, self._chunk_remover
         )
 
-    def layout_for_new_job(self) -> Layout:
+    def layout_for_new_job(self) -> ChunkLayout:
         """The layout for a new job's record."""
         return self._layouts.for_new_job()
 
@@ -82,13 +82,13 @@
             job.writing = True
             spawn(self._write(job), f"writing {job.id}")
 
-    async def reread(self, job: Job) -> None:
+    async def refresh(self, job: Job) -> None:
         """Read the stored record again, which may have been written by others or late by us."""
         await self._refresher.refresh(job)
 
-    def touch_clears(self, job: Job) -> None:
+    def publish_clears(self, job: Job) -> None:
         """The ends of the job's attempts are stored, so its machines may clear them."""
-        self._transactions.touch_clears(job)
+        self._transactions.publish_clears(job)
 
     def _is_write_due(self, job: Job) -> bool:
         return (
@@ -121,13 +121,13 @@
         try:
             await self._state.transact(conditions, changes, RequestPriority.COMPLETION)
         except ConflictError:
-            await self.reread(job)
+            await self.refresh(job)
             return job.id not in self._job_store.jobs
         except (StateUnavailableError, LeaseExpiredError) as error:
             log.info("{job}: end waits: {error}", job=job.id, error=error)
             await sleep(self._clock, self._timeouts.retry)
             if isinstance(error, OutcomeUnknownError):
-                await self.reread(job)
+                await self.refresh(job)
             return job.id not in self._job_store.jobs
         log.info("{job} is {status}", job=job.id, status=status)
         self._job_store.forget(job, ended=True)
--- a/src/beamspar/jobs/layout_migration.py
+++ b/src/beamspar/jobs/layout_migration.py
@@ -16,7 +16,7 @@
 from beamspar.transport.clock import spawn
 from beamspar.workload.job import Job
 
-log = Logger(namespace="owner")
+log = Logger(namespace="jobs")
 
 
 class LayoutMigration:
--- a/src/beamspar/jobs/placement_round.py
+++ b/src/beamspar/jobs/placement_round.py
@@ -93,7 +93,7 @@
     """
     # A new attempt of a gang may go where the one before was.
     avoided: set[str] = set(job.gang.left if job.bound else ())
-    if job.backoff.to_blame:
+    if job.backoff.is_job_at_fault:
         return avoided
     for index in job.retry_queue:
         task = job.tasks[index]
--- a/src/beamspar/jobs/placer.py
+++ b/src/beamspar/jobs/placer.py
@@ -90,9 +90,9 @@
         self.late_s = 0.0
         # Set by the node: room on machines that this member is the controller of; what decides
         # among machines for a job; the leader's offers, None when its answer is lost.
-        self.rooms: Callable[[], list[Room]] = lambda: []
+        self.local_rooms: Callable[[], list[Room]] = lambda: []
         self.preference: Callable[[JobSpec], Preference] = lambda spec: Preference()
-        self.ask: RequestCapacity | None = None
+        self.request_capacity: RequestCapacity | None = None
 
     # -- rounds
 
@@ -111,13 +111,13 @@
         else:
             self._begin_round()
 
-    def fired(self, due: float) -> None:
+    def observe_timer(self, due: float) -> None:
         """Record how late a timer fires that was due then."""
         self.late_s = max(self.clock.seconds() - due, self.late_s / 2)
 
     def _begin_round(self, due: float | None = None) -> None:
         if due is not None:
-            self.fired(due)
+            self.observe_timer(due)
         self.round_began_at = self.clock.seconds()
         self.is_round_wanted = False
         spawn(self._run_round(), "placing")
@@ -173,18 +173,18 @@
         if not jobs or not self.registration.lease_is_valid():
             return
         now = self.clock.seconds()
-        rooms = self.rooms()
+        rooms = self.local_rooms()
         local = {room.name for room in rooms}
         self._reserve_unpublished(rooms)
         unplaced = self._place_on_warm_machines(jobs, LocalRooms(rooms, local), now)
         if not unplaced:
             return
         requests = [request for _, request in unplaced]
-        offers = await self.ask(requests) if self.ask else None
+        offers = await self.request_capacity(requests) if self.request_capacity else None
         if not self.registration.lease_is_valid():
             return
         self._bind_offers([job for job, _ in unplaced], offers or [], now)
-        rooms = self.rooms()
+        rooms = self.local_rooms()
         self._reserve_unpublished(rooms)
         local_rooms = LocalRooms(rooms, local)
         for job, _ in unplaced:
@@ -198,7 +198,7 @@
         for job in jobs:
             # Our own shards lie in few zones: what is to be spread asks the leader first,
             # who knows the warm machines of all.
-            if not (job.spec.spread and self.ask):
+            if not (job.spec.spread and self.request_capacity):
                 self._place_locally(job, local_rooms, now, warm_only=True)
             indexes = job.waiting(now, tasks_per_round(job))
             whole = is_placed_together(job)
--- a/src/beamspar/jobs/quota_stops.py
+++ b/src/beamspar/jobs/quota_stops.py
@@ -18,7 +18,7 @@
 from beamspar.timeouts import Timeouts
 from beamspar.workload.job import Job
 
-log = Logger(namespace="owner")
+log = Logger(namespace="jobs")
 
 
 class AllocationKey(NamedTuple):
--- a/src/beamspar/jobs/record_layouts.py
+++ b/src/beamspar/jobs/record_layouts.py
@@ -10,7 +10,7 @@
 from beamspar.settings import StateServiceLimits
 from beamspar.state import job_records as records
 from beamspar.state.control_records import RELEASE
-from beamspar.state.job_records import Layout
+from beamspar.state.job_records import ChunkLayout
 from beamspar.workload.job import Job
 
 
@@ -24,7 +24,7 @@
         self.smallest = records.small_layout(limits)
         self._is_readable_by_all = False
 
-    def for_new_job(self) -> Layout:
+    def for_new_job(self) -> ChunkLayout:
         """The layout for a new job's record."""
         return self.smallest if self.is_readable_by_all() else self._first_release
 
--- a/src/beamspar/jobs/record_refresh.py
+++ b/src/beamspar/jobs/record_refresh.py
@@ -16,7 +16,7 @@
 from beamspar.state.request_queue import RequestPriority
 from beamspar.workload.job import Job
 
-log = Logger(namespace="owner")
+log = Logger(namespace="jobs")
 
 
 class RecordRefresher:
--- a/src/beamspar/jobs/record_transactions.py
+++ b/src/beamspar/jobs/record_transactions.py
@@ -32,7 +32,7 @@
 from beamspar.transport.clock import Clock, sleep
 from beamspar.workload.job import Job
 
-log = Logger(namespace="owner")
+log = Logger(namespace="jobs")
 
 
 class WrittenAttempt(NamedTuple):
@@ -161,7 +161,7 @@
         for index in write.completed:
             job.tasks.pop(index, None)
         self._complete_write(job, write.bound_by_chunk)
-        self.touch_clears(job)
+        self.publish_clears(job)
 
     async def write_unnamed_chunks(self, job: Job, chunks: list[int]) -> bool:
         """Write chunks that the job's record does not name yet; False when that is not known."""
@@ -191,7 +191,7 @@
         Until it is known whether they were, the larger of both counts against the quota.
         """
         bound_by_chunk = {chunk: job.quota_usage.writing(chunk) for chunk in chunks}
-        self._job_store.use_changed(job)
+        self._job_store.quota_usage_changed(job)
         return bound_by_chunk
 
     def _complete_write(self, job: Job, bound_by_chunk: dict[int, int]) -> None:
@@ -200,9 +200,9 @@
             job.quota_usage.written(chunk, tasks)
         if not job.dirty:
             job.quota_usage.settle()
-        self._job_store.use_changed(job)
+        self._job_store.quota_usage_changed(job)
 
-    def touch_clears(self, job: Job) -> None:
+    def publish_clears(self, job: Job) -> None:
         """The ends of the job's attempts are stored, so its machines may clear them."""
         for machine in job.clearing:
             self._job_store.touch(machine)
--- a/src/beamspar/jobs/task_binder.py
+++ b/src/beamspar/jobs/task_binder.py
@@ -11,7 +11,7 @@
 from beamspar.quota.quota_manager import QuotaManager
 from beamspar.workload.job import Job
 
-log = Logger(namespace="owner")
+log = Logger(namespace="jobs")
 
 
 class JobStore(Protocol):
@@ -30,7 +30,7 @@
     def is_covered(self, job: Job, indexes: list[int], whole: bool = False) -> bool:
         """Is there quota for the first of these tasks, or for all? Else it is asked for."""
         quota_manager = self.job_store.quota_manager
-        return quota_manager is None or quota_manager.covers(job, indexes, whole)
+        return quota_manager is None or quota_manager.is_covered(job, indexes, whole)
 
     def bind_group(self, job: Job, indexes: list[int], places: list[OfferedPlace]) -> None:
         """Bind all of these tasks, or none if there are too few places or too little quota."""
--- a/src/beamspar/leader/draining.py
+++ b/src/beamspar/leader/draining.py
@@ -91,7 +91,7 @@
                 statuses, total[zone], self.timeouts.worker_lease * PARTITION_LEASES
             )
             if failed:
-                self.instance_manager.give_back(failed)
+                self.instance_manager.scale_in(failed)
 
     # -- idle machines
 
@@ -108,7 +108,7 @@
         occupancy = self._occupancy(now)
         for name in occupancy.to_return:
             # One by one: the first is returned at once, the others in the calls that follow.
-            self.instance_manager.give_back([name])
+            self.instance_manager.scale_in([name])
         if not any(machine.idle_s > self.timeouts.idle for machine in occupancy.idle):
             self.draining.clear()
             return
--- a/src/beamspar/leader/instance_manager.py
+++ b/src/beamspar/leader/instance_manager.py
@@ -12,14 +12,14 @@
 from beamspar.decision_log.decision_log import DecisionLog
 from beamspar.decision_log.decisions import (
     Booting,
+    InstanceRequestAbandoned,
+    InstancesGranted,
+    InstancesRefused,
+    InstancesRequested,
     LeadState,
-    MachinesReturned,
-    MachinesUp,
+    MachinesDeleted,
+    MachinesStarted,
     Place,
-    RentalAbandoned,
-    RentalAsked,
-    RentalGranted,
-    RentalRefused,
 )
 from beamspar.leader.cloud_client import (
     CloudClient,
@@ -40,7 +40,7 @@
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock, sleep, spawn
 
-log = Logger(namespace="fleet")
+log = Logger(namespace="instances")
 
 # Instances that the cloud deletes by one request at most (PROTOCOL).
 MAX_DELETED_AT_ONCE = 100
@@ -94,7 +94,7 @@
         self.refused = self.lead.refused
         self.deleted = self.lead.returned
         # Requests of a former leader whose answer it did not live to see.
-        self.inherited: list[RentalAsked] = []
+        self.inherited: list[InstancesRequested] = []
         # Those that are to be deleted, and those whose deletion the cloud is being asked for.
         self.to_delete: set[str] = set()
         self.deleting: set[str] = set()
@@ -118,7 +118,7 @@
                 self._observe_starting(instance, now)
             elif instance.status == "failed":
                 log.info("{machine} has failed: it is deleted", machine=instance.machine)
-                self.give_back([instance.machine])
+                self.scale_in([instance.machine])
 
     def _observe_starting(self, instance: Instance, now: float) -> None:
         since = now - instance.age_s
@@ -130,7 +130,7 @@
         boot_s = kind.boot_s if kind else self.list_lag_s
         if instance.age_s > boot_s * FAILED_BOOT:
             log.warn("{machine} never came up: it is deleted", machine=instance.machine)
-            self.give_back([instance.machine])
+            self.scale_in([instance.machine])
 
     async def _list_all(self) -> list[Instance]:
         """All pages of the list, the later ones at the pace that leaves the rate to scaling out.
@@ -167,7 +167,7 @@
     def observe_running(self, name: str) -> None:
         """The machine's worker sends heartbeats."""
         if name in self.booting:
-            self.decisions.decide(MachinesUp([name]))
+            self.decisions.decide(MachinesStarted([name]))
 
     def take_over(self) -> None:
         """Lead from now on, by what the former leader was known to have decided."""
@@ -175,7 +175,7 @@
 
     # -- scaling in
 
-    def give_back(self, names: list[str]) -> None:
+    def scale_in(self, names: list[str]) -> None:
         """Scale in: delete instances, together, in calls that leave the cloud's rate to scaling
         out. Those that can't be deleted now are dropped: who asked for it asks again."""
         self.to_delete.update(name for name in names if name not in self.deleted)
@@ -208,7 +208,7 @@
         # What was refused for want of machines may be had now.
         known = [self.listed.get(name) or self.booting.get(name) for name in names]
         freed = {(i.kind, i.zone, bool(i.spot)) for i in known if i is not None}
-        self.decisions.decide(MachinesReturned(names, sorted(freed)))
+        self.decisions.decide(MachinesDeleted(names, sorted(freed)))
 
     # -- scaling out
 
@@ -245,7 +245,7 @@
         """Scale out: create so many instances, under a name that is never used again."""
         self.requests_made += 1
         name = f"{self.registration.me}.{self.registration.incarnation}.{self.requests_made}"
-        request = RentalAsked(name, place, count)
+        request = InstancesRequested(name, place, count)
         self.decisions.decide(request)
         await self._carry_out(request)
 
@@ -255,20 +255,20 @@
         log.info("scale-out {name} of a former leader is repeated", name=request.name)
         await self._carry_out(request)
 
-    async def _carry_out(self, request: RentalAsked) -> None:
+    async def _carry_out(self, request: InstancesRequested) -> None:
         kind, zone, spot = place = request.place
         try:
             names = await self._create(request)
         except NoCapacityError:
             pause_s = self._refusal_pause_s(place)
-            self.decisions.decide(RentalRefused(request.name, place, pause_s))
+            self.decisions.decide(InstancesRefused(request.name, place, pause_s))
             log.info("no {kind} in {zone} (spot {spot})", kind=kind, zone=zone, spot=spot)
             return
         except CloudUnavailableError:
-            self.decisions.decide(RentalAbandoned(request.name))
+            self.decisions.decide(InstanceRequestAbandoned(request.name))
             raise
         pause_s = self.list_lag_s if len(names) < request.count else 0.0
-        self.decisions.decide(RentalGranted(request.name, place, names, pause_s))
+        self.decisions.decide(InstancesGranted(request.name, place, names, pause_s))
         log.info("created {names} for {place}", names=names, place=place)
 
     def _refusal_pause_s(self, place: Place) -> float:
@@ -276,7 +276,7 @@
         _, last_s = self.refused.get(place, (0.0, self.list_lag_s * SHORTEST_REFUSAL_LAGS / 2))
         return min(last_s * 2, self.list_lag_s * LONGEST_REFUSAL_LAGS)
 
-    async def _create(self, request: RentalAsked) -> list[str]:
+    async def _create(self, request: InstancesRequested) -> list[str]:
         """Ask twice under the same name when the answer was lost: it is carried out once."""
         kind, zone, spot = request.place
         try:
--- a/src/beamspar/leader/leader.py
+++ b/src/beamspar/leader/leader.py
@@ -163,7 +163,7 @@
     def _observe_unassigned(self, records: list[dict[str, Any]]) -> None:
         for record in records:
             try:
-                self.shard_leasing.saw(msgspec.convert(record, Machine))
+                self.shard_leasing.observe_unassigned(msgspec.convert(record, Machine))
             except msgspec.ValidationError as error:
                 log.info("malformed machine in a heartbeat: {error}", error=error)
 
--- a/src/beamspar/leader/shard_leasing.py
+++ b/src/beamspar/leader/shard_leasing.py
@@ -63,14 +63,19 @@
         # Machines whose workers sent heartbeats and that are in no shard.
         self.unassigned: dict[str, Machine] = {}
         # Since when a peer does not answer this controller, None when it does.
-        self.unreached: Callable[[str], float | None] = lambda member: None
+        self.unreachable_since: Callable[[str], float | None] = lambda member: None
         # Members that get no shards, for they are leaving.
         self.excluded_members: Callable[[], set[str]] = lambda: set()
         # Moves shards between live members.
         self.rebalance: Callable[[], Awaitable[None]] = self._rebalance
         # These callbacks are set later: they are looked up at each call.
         self.reachability = MemberReachability(
-            clock, self.mirror, timeouts, members, views, lambda member: self.unreached(member)
+            clock,
+            self.mirror,
+            timeouts,
+            members,
+            views,
+            lambda member: self.unreachable_since(member),
         )
         self._failover = ShardFailover(
             self.mirror, shard_writer, members, self.sites, self._machine_counts
@@ -99,7 +104,7 @@
 
     # -- what the leader and its parts ask
 
-    def saw(self, machine: Machine) -> None:
+    def observe_unassigned(self, machine: Machine) -> None:
         """A worker without a holder sent a heartbeat to some member."""
         if machine.name not in self.instance_manager.deleted:
             self.unassigned[machine.name] = machine
--- a/src/beamspar/leader/shard_writer.py
+++ b/src/beamspar/leader/shard_writer.py
@@ -84,7 +84,7 @@
         size_kb = 0.0
         while groups and len(batch) + len(groups[0]) < self.limits.txn_ops:
             size_kb += sum(len(orjson.dumps(record)) for _, record in groups[0]) / 1024
-            if batch and size_kb > job_records.TXN_KB * job_records.MARGIN:
+            if batch and size_kb > job_records.MAX_TRANSACTION_KB * job_records.MARGIN:
                 # Shards of a very large fleet: more of them than one transaction holds.
                 break
             batch += groups.pop(0)
--- a/src/beamspar/machines/desired_state.py
+++ b/src/beamspar/machines/desired_state.py
@@ -121,7 +121,7 @@
     def _follow_change(
         self, machine: ManagedMachine, key: AttemptKey, desired: DesiredAttempt
     ) -> None:
-        if desired.job_to_blame:
+        if desired.is_job_at_fault:
             self.faults.mark_job_at_fault(key.job, self.machines.values())
         if key in machine.tasks and machine.tasks[key].status != "fetching":
             self.image_caches.record_use(machine, desired.image, desired.image_gb)
--- a/src/beamspar/machines/fault_evidence.py
+++ b/src/beamspar/machines/fault_evidence.py
@@ -14,7 +14,7 @@
 
 from beamspar.machines.managed_machine import ManagedMachine
 from beamspar.timeouts import Timeouts
-from beamspar.workload.failure_backoff import MACHINES_TO_BLAME
+from beamspar.workload.failure_backoff import MACHINES_BEFORE_JOB_FAULT
 
 # Jobs whose failures are remembered; the oldest are forgotten first.
 MOST_JOBS = 1000
@@ -42,7 +42,7 @@
         failed_on = self._machines_of.get(job, set())
         if failed_on is None:
             return []
-        if len(failed_on) < MACHINES_TO_BLAME:
+        if len(failed_on) < MACHINES_BEFORE_JOB_FAULT:
             failed_on.add(machine.info.name)
         self._remember(job, failed_on)
         memory_s = self.timeouts.worker_lease * MEMORY_LEASES
@@ -85,7 +85,7 @@
 
     def _is_job_at_fault(self, job: str) -> bool:
         failed_on = self._machines_of.get(job, set())
-        return failed_on is None or len(failed_on) >= MACHINES_TO_BLAME
+        return failed_on is None or len(failed_on) >= MACHINES_BEFORE_JOB_FAULT
 
     def _remember(self, job: str, failed_on: set[str] | None) -> None:
         self._machines_of[job] = failed_on
--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -27,7 +27,7 @@
 from beamspar.placement import copy
 from beamspar.protocol.cloud import MachineType
 from beamspar.protocol.peer_messages import (
-    VIEWS_AT_ONCE,
+    MAX_MACHINE_STATUSES,
     AttemptStatus,
     DesiredStateUpdate,
     MachineStatus,
@@ -279,7 +279,9 @@
         """How many changes of machines were counted so far."""
         return self.summaries.changes
 
-    def views(self, since: int = 0, most: int = VIEWS_AT_ONCE) -> tuple[list[MachineStatus], int]:
+    def views(
+        self, since: int = 0, most: int = MAX_MACHINE_STATUSES
+    ) -> tuple[list[MachineStatus], int]:
         """What has changed of our machines after that count of changes."""
         return self.summaries.views(self.machines.values(), since, most)
 
--- a/src/beamspar/machines/worker_observation.py
+++ b/src/beamspar/machines/worker_observation.py
@@ -126,7 +126,7 @@
         if task.status != "ended":
             return
         if task.exit_reason == "error":
-            is_job_at_fault = desired is not None and desired.job_to_blame
+            is_job_at_fault = desired is not None and desired.is_job_at_fault
             self._attribute_failure(machine, key.job, is_job_at_fault)
         machine.is_degraded = machine.is_degraded and task.exit_reason != "done"
         self.on_room()
--- a/src/beamspar/node/job_lookup.py
+++ b/src/beamspar/node/job_lookup.py
@@ -14,7 +14,7 @@
 from beamspar.protocol.jobs import job_response
 from beamspar.settings import Settings
 from beamspar.state import keys
-from beamspar.state.client import QUESTION_WEIGHT, StateClient
+from beamspar.state.client import POLL_WEIGHT, StateClient
 from beamspar.state.errors import StateUnavailableError
 from beamspar.state.job_records import EndRecord, JobRecord, JobStatus
 from beamspar.state.request_queue import RequestPriority
@@ -140,9 +140,7 @@
             result.callback(found)
 
     async def _read_record(self, job: str, on_leaving: Callable[[], None]) -> JobState | None:
-        item = await self.state.get(
-            keys.job(job), RequestPriority.ACCEPT, QUESTION_WEIGHT, on_leaving
-        )
+        item = await self.state.get(keys.job(job), RequestPriority.ACCEPT, POLL_WEIGHT, on_leaving)
         if item is not None:
             record = decode_record(item.value, JobRecord)
             self.stored.put(job, StoredJob(item.version, record))
--- a/src/beamspar/node/node.py
+++ b/src/beamspar/node/node.py
@@ -34,7 +34,7 @@
 from beamspar.placement import Preference, slow_kinds
 from beamspar.protocol.codec import BODY_LIMIT
 from beamspar.protocol.jobs import JobSpec
-from beamspar.protocol.peer_messages import PEER_LIMIT
+from beamspar.protocol.peer_messages import MAX_PEER_MESSAGE_BYTES
 from beamspar.protocol.room import Room
 from beamspar.quota.quota_manager import QuotaManager
 from beamspar.settings import OperatorSettings, Settings
@@ -170,7 +170,7 @@
         # A controller that holds most of a large fleet tells more at first contact than
         # users and workers may send.
         await self.net.listen(
-            self.settings.peer_bind, self.dispatch.handle, sockets.peers, PEER_LIMIT
+            self.settings.peer_bind, self.dispatch.handle, sockets.peers, MAX_PEER_MESSAGE_BYTES
         )
         log.info("{me} listens", me=self.settings.member)
         spawn(self.types.fetch(), "machine types")
@@ -252,11 +252,11 @@
         job_controller.quota_manager = quota_manager
         quota_manager.loaded = lambda: job_controller.loaded
         quota_manager.on_share = job_controller.schedule
-        job_controller.placer.rooms = self._unreserved_rooms
-        job_controller.placer.ask = self.capacity_client.request
+        job_controller.placer.local_rooms = self._unreserved_rooms
+        job_controller.placer.request_capacity = self.capacity_client.request
         job_controller.assignments.send = self.desired_state_delivery.send
         job_controller.placer.preference = actors.leader.preference = self._preference
-        actors.leader.shard_leasing.unreached = self.peers.unreachable_since
+        actors.leader.shard_leasing.unreachable_since = self.peers.unreachable_since
         actors.machine_controller.caches = self.guidance.caches
         actors.machine_controller.push = self.status_delivery.publish
         actors.machine_controller.on_room = job_controller.schedule
@@ -320,7 +320,7 @@
         pause_s = self.timeouts.heartbeat * (0.9 + 0.2 * self.rng.random())
         self.clock.callLater(pause_s, self._tick, self.clock.seconds() + pause_s)
         if due is not None and self.job_controller is not None:
-            self.job_controller.placer.fired(due)
+            self.job_controller.placer.observe_timer(due)
         self.health.probe()
         self.cancellations.send_pending()
         try:
--- a/src/beamspar/node/peer_dispatch.py
+++ b/src/beamspar/node/peer_dispatch.py
@@ -39,7 +39,7 @@
 
 def _observe_statuses(actors: Actors, body: bytes) -> bytes:
     batch: AttemptStatusBatch = decode(body, AttemptStatusBatch)
-    actors.job_controller.statuses(batch.statuses)
+    actors.job_controller.observe_statuses(batch.statuses)
     return EMPTY_BODY
 
 
--- a/src/beamspar/node/polls.py
+++ b/src/beamspar/node/polls.py
@@ -15,7 +15,7 @@
 from beamspar.transport.clock import Clock
 from beamspar.transport.http import Answer
 
-log = Logger(namespace="api")
+log = Logger(namespace="requests")
 
 # How long a user waits for an answer, in heartbeats.
 MAX_WAIT_HEARTBEATS = 2
@@ -68,14 +68,14 @@
     def _is_being_accepted(self, job: str) -> bool:
         job_controller = self.current.job_controller
         return job_controller is not None and (
-            job in job_controller.arriving or job in job_controller.doubtful
+            job in job_controller.jobs_being_accepted or job in job_controller.indeterminate_accepts
         )
 
     def _is_overloaded(self, job: str) -> bool:
         """Would the user give up before the read has its turn? Finished jobs need none."""
         if job in self.jobs.finished:
             return False
-        if self.state.questions_backlog_s() <= self.max_wait_s:
+        if self.state.polls_backlog_s() <= self.max_wait_s:
             return False
         self.turned_away += 1
         now = self.clock.seconds()
--- a/src/beamspar/node/status_delivery.py
+++ b/src/beamspar/node/status_delivery.py
@@ -5,7 +5,7 @@
 from beamspar.node.incarnation import CurrentIncarnation
 from beamspar.node.peer_client import PeerClient
 from beamspar.node.peer_paths import PeerPath
-from beamspar.protocol.peer_messages import STATUSES_AT_ONCE, AttemptStatus, AttemptStatusBatch
+from beamspar.protocol.peer_messages import MAX_ATTEMPT_STATUSES, AttemptStatus, AttemptStatusBatch
 from beamspar.transport.clock import Clock, spawn
 
 
@@ -36,14 +36,14 @@
         for member, statuses in queued.items():
             if member == self.me:
                 if self.current.job_controller is not None:
-                    self.current.job_controller.statuses(statuses)
+                    self.current.job_controller.observe_statuses(statuses)
             else:
                 spawn(self._send(member, statuses), "statuses")
 
     async def _send(self, member: str, statuses: list[AttemptStatus]) -> None:
         machine_controller = self.current.machine_controller
-        for start in range(0, len(statuses), STATUSES_AT_ONCE):
-            batch = statuses[start : start + STATUSES_AT_ONCE]
+        for start in range(0, len(statuses), MAX_ATTEMPT_STATUSES):
+            batch = statuses[start : start + MAX_ATTEMPT_STATUSES]
             is_acknowledged = await self.peers.notify(
                 member, PeerPath.ATTEMPT_STATUSES, AttemptStatusBatch(batch)
             )
--- a/src/beamspar/node/submissions.py
+++ b/src/beamspar/node/submissions.py
@@ -22,7 +22,7 @@
 from beamspar.state.errors import ConflictError, LeaseExpiredError, StateUnavailableError
 from beamspar.transport.http import Answer, Call
 
-log = Logger(namespace="api")
+log = Logger(namespace="requests")
 
 # Bytes that a job's description may take for each KB that a stored value may have: its record
 # holds the description beside the job's progress.
@@ -98,7 +98,7 @@
 
     async def _accept(self, job: str, spec: JobSpec) -> Answer:
         job_controller = self.current.job_controller
-        if job_controller is None or job in job_controller.arriving:
+        if job_controller is None or job in job_controller.jobs_being_accepted:
             return busy()
         if self.under_way >= self.max_under_way:
             return busy(self.state.backlog_s())
--- a/src/beamspar/node/user_cancellations.py
+++ b/src/beamspar/node/user_cancellations.py
@@ -18,7 +18,7 @@
 from beamspar.state.request_queue import RequestPriority
 from beamspar.transport.http import Answer
 
-log = Logger(namespace="api")
+log = Logger(namespace="requests")
 
 # Writes that are tried before the user has to come back: the record changes as tasks end.
 MAX_ATTEMPTS = 6
--- a/src/beamspar/node/worker_contacts.py
+++ b/src/beamspar/node/worker_contacts.py
@@ -25,7 +25,7 @@
     def observe_unassigned(self, machine: Machine, leader: Leader | None) -> None:
         """A worker whose machine is in no shard: the leader should lease it."""
         if leader is not None and leader.leading:
-            leader.shard_leasing.saw(machine)
+            leader.shard_leasing.observe_unassigned(machine)
         elif len(self.unassigned) < MAX_UNASSIGNED:
             self.unassigned[machine.name] = machine
 
--- a/src/beamspar/node/worker_heartbeats.py
+++ b/src/beamspar/node/worker_heartbeats.py
@@ -18,7 +18,7 @@
 from beamspar.state.control_records import Machine
 from beamspar.transport.http import Answer, Call
 
-log = Logger(namespace="api")
+log = Logger(namespace="requests")
 
 
 class WorkerHeartbeats:
--- a/src/beamspar/protocol/peer_messages.py
+++ b/src/beamspar/protocol/peer_messages.py
@@ -95,7 +95,7 @@
     # A task of a gang: stopping it costs all of them their time.
     gang: bool = False
     # Its job fails wherever it runs: an error says nothing of the machine.
-    job_to_blame: bool = False
+    is_job_at_fault: bool = False
 
 
 class DesiredStateUpdate(msgspec.Struct):
@@ -284,15 +284,15 @@
 
 
 # Bytes of one message that a peer accepts.
-PEER_LIMIT = 4 * 1024 * 1024
+MAX_PEER_MESSAGE_BYTES = 4 * 1024 * 1024
 # Bytes that one machine's status, one desired attempt and one attempt's status take at most.
 _MACHINE_STATUS_BYTES = 1024
 _DESIRED_ATTEMPT_BYTES = 256
 _ATTEMPT_STATUS_BYTES = 256
 # How many of each one message may hold: they fill half of it at most.
-VIEWS_AT_ONCE = PEER_LIMIT // 2 // _MACHINE_STATUS_BYTES
-WANTS_AT_ONCE = PEER_LIMIT // 2 // _DESIRED_ATTEMPT_BYTES
-STATUSES_AT_ONCE = PEER_LIMIT // 2 // _ATTEMPT_STATUS_BYTES
+MAX_MACHINE_STATUSES = MAX_PEER_MESSAGE_BYTES // 2 // _MACHINE_STATUS_BYTES
+MAX_DESIRED_ATTEMPTS = MAX_PEER_MESSAGE_BYTES // 2 // _DESIRED_ATTEMPT_BYTES
+MAX_ATTEMPT_STATUSES = MAX_PEER_MESSAGE_BYTES // 2 // _ATTEMPT_STATUS_BYTES
 
 
 def encode(message: Any) -> bytes:
--- a/src/beamspar/quota/quota_manager.py
+++ b/src/beamspar/quota/quota_manager.py
@@ -138,7 +138,7 @@
 
     # -- requests
 
-    def covers(self, job: Job, indexes: Sequence[int], is_all_or_nothing: bool = False) -> bool:
+    def is_covered(self, job: Job, indexes: Sequence[int], is_all_or_nothing: bool = False) -> bool:
         """Does the allocation cover the first of these tasks, or all that start together?
 
         If not, an allocation for all of them is requested.
@@ -210,7 +210,7 @@
 
     def reserve(self, job: Job, indexes: Sequence[int]) -> bool:
         """May all of these tasks be bound now? Then the job's request is less by so many."""
-        if not self.covers(job, indexes, is_all_or_nothing=True):
+        if not self.is_covered(job, indexes, is_all_or_nothing=True):
             return False
         now = self._registration.clock.seconds()
         if now - job.quota_served_at >= self._registration.timeouts.report:
@@ -220,11 +220,11 @@
         self._requests.served(key, job.id, len(indexes))
         return True
 
-    def requested(self, partition: str, team: str) -> bool:
+    def has_waiting_work(self, partition: str, team: str) -> bool:
         """Does work of the partition wait for more of the team's quota?"""
         return self._requests.is_waiting(AllocationKey(partition, team))
 
-    def wanted(self, job: Job) -> bool:
+    def others_wait(self, job: Job) -> bool:
         """Does other work wait for more of the quota of the job's team?"""
         team = job.spec.team
         if team not in self.teams:
--- a/src/beamspar/sharing/leave.py
+++ b/src/beamspar/sharing/leave.py
@@ -165,5 +165,5 @@
             return
         # Registered is not enough: others that ended a moment ago are so until their leases end.
         serving = self.mirror.members - leaving_members(self.registration)
-        if any(self.leader.shard_leasing.unreached(member) is None for member in serving):
+        if any(self.leader.shard_leasing.unreachable_since(member) is None for member in serving):
             await self.resign()
--- a/src/beamspar/sharing/transfer.py
+++ b/src/beamspar/sharing/transfer.py
@@ -15,7 +15,7 @@
 from beamspar.cluster.registration import Registration
 from beamspar.machines.machine_controller import MachineController
 from beamspar.machines.managed_machine import NO_HEARTBEAT, HeartbeatId, ManagedMachine
-from beamspar.protocol.peer_messages import VIEWS_AT_ONCE, decode
+from beamspar.protocol.peer_messages import MAX_MACHINE_STATUSES, decode
 from beamspar.sharing.messages import (
     MachineState,
     PrepareReply,
@@ -114,7 +114,7 @@
         waiting = self.released[successor]
         while waiting and not self.registration.lost and self.clock.seconds() < until:
             pause_s = self.timeouts.heartbeat / 10
-            part = list(waiting.items())[:VIEWS_AT_ONCE]
+            part = list(waiting.items())[:MAX_MACHINE_STATUSES]
             states = [self._state(machine, number) for _, (machine, number) in part]
             request = ReleaseRequest(self.registration.me, self.registration.incarnation, states)
             try:
--- a/src/beamspar/state/client.py
+++ b/src/beamspar/state/client.py
@@ -29,7 +29,7 @@
 # The reason that the service gives when it rejects a put whose lease has ended (PROTOCOL).
 NO_LEASE = "no such lease"
 # Users' questions go behind accepts, which have the same priority.
-QUESTION_WEIGHT = 1.0
+POLL_WEIGHT = 1.0
 # Each controller's share of the service's rates, in equal parts of them: not all are busy at once.
 RATE_SHARE = 1.25
 # The part of its share that a controller uses: for requests always, for changes once the service
@@ -89,7 +89,7 @@
         # When the service served us last.
         self.served_at = NEVER
 
-    def questions_backlog_s(self) -> float:
+    def polls_backlog_s(self) -> float:
         """How long a question of a user would wait here for its turn."""
         ahead = self._queue.waiting_requests(RequestPriority.ACCEPT)
         return ahead / self.request_limiter.rate
--- a/src/beamspar/state/job_records.py
+++ b/src/beamspar/state/job_records.py
@@ -38,7 +38,7 @@
 # The part of a value that goes to the tasks; the rest is for the specification.
 TASKS_SHARE_OF_VALUE = 1 / 2
 # What a transaction may hold altogether, in KiB (PROTOCOL), and the part of it that is used.
-TXN_KB = 64.0
+MAX_TRANSACTION_KB = 64.0
 MARGIN = 0.75
 BYTES_PER_KB = 1024
 
@@ -80,7 +80,7 @@
     done: int = msgspec.field(name="n", default=0)
 
 
-class Layout(msgspec.Struct, frozen=True):
+class ChunkLayout(msgspec.Struct, frozen=True):
     """How a job's tasks are cut into chunks, and under which keys the chunks are stored."""
 
     tasks_per_chunk: int
@@ -107,19 +107,19 @@
         return int(rest) if rest.isdigit() else None
 
 
-def first_layout(limits: StateServiceLimits) -> Layout:
+def first_layout(limits: StateServiceLimits) -> ChunkLayout:
     """The layout of the first release: by the present limit, whatever has been announced."""
-    return Layout(chunk_size(limits.value_kb), is_first_release=True)
+    return ChunkLayout(chunk_size(limits.value_kb), is_first_release=True)
 
 
-def small_layout(limits: StateServiceLimits) -> Layout:
+def small_layout(limits: StateServiceLimits) -> ChunkLayout:
     """The layout whose chunks fit the smaller of the present and the announced limit."""
-    return Layout(chunk_size(limits.smallest.value_kb))
+    return ChunkLayout(chunk_size(limits.smallest.value_kb))
 
 
-def layout_of(record: JobRecord, limits: StateServiceLimits) -> Layout:
+def layout_of(record: JobRecord, limits: StateServiceLimits) -> ChunkLayout:
     """The layout that a job's record was written in."""
-    return Layout(record.tasks_per_chunk) if record.tasks_per_chunk else first_layout(limits)
+    return ChunkLayout(record.tasks_per_chunk) if record.tasks_per_chunk else first_layout(limits)
 
 
 def chunk_size(value_kb: float) -> int:
@@ -131,7 +131,7 @@
     """How many chunks fit into one transaction beside the job's own record; at least one."""
     # Chunks of the first release's layout may be as large as the present limit lets them be.
     chunk_kb = limits.value_kb * TASKS_SHARE_OF_VALUE
-    left_kb = TXN_KB * MARGIN - limits.value_kb
+    left_kb = MAX_TRANSACTION_KB * MARGIN - limits.value_kb
     return max(min(limits.smallest.txn_ops - 1, int(left_kb / chunk_kb)), 1)
 
 
@@ -180,7 +180,7 @@
 
 
 async def _read_chunk(
-    state: StateClient, job: str, record: JobRecord, layout: Layout, index: int
+    state: StateClient, job: str, record: JobRecord, layout: ChunkLayout, index: int
 ) -> Chunk:
     """The chunk with the task of this index; an empty one if it is not stored."""
     number = index // layout.tasks_per_chunk
--- a/src/beamspar/transport/tcp.py
+++ b/src/beamspar/transport/tcp.py
@@ -41,7 +41,7 @@
     return reactor
 
 
-class RealNet:
+class TcpNet:
     """Net over TCP: owns the connections to others and the sites that listen.
 
     A connection is opened within `connect_s`, and closed after `idle_s` without a request.
--- a/src/beamspar/workload/failure_backoff.py
+++ b/src/beamspar/workload/failure_backoff.py
@@ -12,7 +12,7 @@
 
 # On so many different machines a job fails before its failures are attributed to the job itself,
 # and not to the machines.
-MACHINES_TO_BLAME = 3
+MACHINES_BEFORE_JOB_FAULT = 3
 # Tasks that run at a time of a job to which its failures are attributed.
 CONCURRENT_PROBES = 2
 # The longest pause between probes, in retry intervals.
@@ -31,19 +31,19 @@
         self._not_before = 0.0
 
     @property
-    def to_blame(self) -> bool:
+    def is_job_at_fault(self) -> bool:
         """Is the job itself at fault, as far as can be told?"""
-        return not self._has_succeeded and len(self._failed_machines) >= MACHINES_TO_BLAME
+        return not self._has_succeeded and len(self._failed_machines) >= MACHINES_BEFORE_JOB_FAULT
 
-    def failed(self, machine: str, now: float, retry_s: float) -> bool:
+    def record_failure(self, machine: str, now: float, retry_s: float) -> bool:
         """A task failed there; True if from this failure on they are attributed to the job."""
         if self._has_succeeded:
             return False
         self._failures += 1
-        was_at_fault = self.to_blame
+        was_at_fault = self.is_job_at_fault
         if not was_at_fault:
             self._failed_machines.add(machine)
-        if not self.to_blame:
+        if not self.is_job_at_fault:
             return False
         if now >= self._not_before:
             # Failures of tasks that were bound together count as one.
@@ -51,14 +51,14 @@
             self._rounds += 1
         return not was_at_fault
 
-    def succeed(self) -> None:
+    def record_success(self) -> None:
         """A task of the job has completed."""
         self._has_succeeded = True
         self._failed_machines.clear()
 
     def may_start(self, most: int, bound: int, running: int, now: float) -> int:
         """How many more of its tasks may be bound now, of so many that wait."""
-        if not self.to_blame or running >= self._failures:
+        if not self.is_job_at_fault or running >= self._failures:
             return most
         if now < self._not_before:
             return 0
--- a/src/beamspar/workload/gang.py
+++ b/src/beamspar/workload/gang.py
@@ -61,7 +61,7 @@
         self.missing_since = None
         self.left.clear()
 
-    def saw(self, state: str) -> None:
+    def observe_state(self, state: str) -> None:
         """A machine's controller has reported this state of one of its tasks."""
         self.known = True
         if state in (TaskState.RUNNING, TaskState.SAVING):
@@ -71,7 +71,7 @@
             # One that stops alone saves nothing: all are to be stopped at once.
             self.stopping = True
 
-    def lose(self, machine: str, now: float, may_replace: bool) -> None:
+    def observe_lost_task(self, machine: str, now: float, may_replace: bool) -> None:
         """An attempt of one of its tasks has ended without completing the task."""
         self.broken = True
         self.left.add(machine)
--- a/src/beamspar/workload/job.py
+++ b/src/beamspar/workload/job.py
@@ -9,7 +9,7 @@
 
 from beamspar.protocol.jobs import JobSpec
 from beamspar.state import job_records as records
-from beamspar.state.job_records import Chunk, JobRecord, JobStatus, Layout
+from beamspar.state.job_records import Chunk, ChunkLayout, JobRecord, JobStatus
 from beamspar.workload.failure_backoff import FailureBackoff
 from beamspar.workload.gang import Gang, GangPhase
 from beamspar.workload.quota_usage import QuotaUsage
@@ -19,7 +19,7 @@
 class Job:
     """A job of ours in memory; its record's version fences every write of it."""
 
-    def __init__(self, spec: JobSpec, partition: str, layout: Layout, now: float) -> None:
+    def __init__(self, spec: JobSpec, partition: str, layout: ChunkLayout, now: float) -> None:
         self.spec = spec
         self.partition = partition
         self.status = JobStatus.LIVE
@@ -152,10 +152,10 @@
             del self._count_by_machine[machine]
         task.machine = None
         self.bound -= 1
-        self.saw(task, "")
+        self.set_state(task, "")
         self.quota_usage.unbind(index // self.tasks_per_chunk)
 
-    def saw(self, task: Task, state: str) -> None:
+    def set_state(self, task: Task, state: str) -> None:
         """Set the last reported state of one of the bound tasks; empty while none is known."""
         self.running += (state == TaskState.RUNNING) - (task.state == TaskState.RUNNING)
         task.state = state
@@ -227,7 +227,7 @@
             tasks_per_chunk=self.layout.stored,
         )
 
-    def change_layout(self, layout: Layout) -> None:
+    def change_layout(self, layout: ChunkLayout) -> None:
         """Cut the tasks anew. All chunks are to be written before the record names the layout."""
         completed = [index for indexes in self.completed.values() for index in indexes]
         self.layout = layout
--- a/tests/standins/loopback.py
+++ b/tests/standins/loopback.py
@@ -22,7 +22,7 @@
 from beamspar.transport.connection_limits import Sockets
 from beamspar.transport.http import Answer, Handler
 from beamspar.transport.http_server import Site
-from beamspar.transport.tcp import RealNet
+from beamspar.transport.tcp import TcpNet
 from tests.standins.net import Network
 from tests.standins.workers import Worker
 from tests.standins.world import World
@@ -80,7 +80,7 @@
         super().__init__(clock, rng)
         self.reactor = reactor
         self.ports: dict[str, int] = {}
-        self.net = RealNet(reactor, 1.5, 15.0, Sockets.of(10_000, 3))
+        self.net = TcpNet(reactor, 1.5, 15.0, Sockets.of(10_000, 3))
 
     def real_address(self, address: str) -> str:
         """Where the address is served."""
--- a/tests/test_attempt_statuses.py
+++ b/tests/test_attempt_statuses.py
@@ -16,7 +16,7 @@
 from beamspar.settings import OperatorSettings
 from beamspar.state import keys
 from beamspar.state.control_records import Machine, shard_record
-from beamspar.state.job_records import JobStatus, Layout
+from beamspar.state.job_records import ChunkLayout, JobStatus
 from beamspar.timeouts import Timeouts
 from beamspar.workload.job import Job
 from tests.standins.clock import SimClock
@@ -46,7 +46,7 @@
     registration.mirror.observe("c/folio/rig-0.1", {"owner": "rig-0"}, 3)
     machines = [Machine(f"host-{n}", f"10.0.0.1:{n}", "small", "east") for n in range(3)]
     registration.mirror.observe(keys.shard("s-1"), shard_record("rig-1", machines), 5)
-    job = Job(spec, "rig-0.1", Layout(46), 0.0)
+    job = Job(spec, "rig-0.1", ChunkLayout(46), 0.0)
     job.gang_wait_s = 40.0
     job.gang.begin()
     for index in range(spec.tasks):
@@ -64,7 +64,7 @@
 
 def test_an_attempt_that_is_over_is_unbound_and_waits_again() -> None:
     controller, job, _ = make()
-    controller.statuses([status(0, AttemptState.GONE)])
+    controller.observe_statuses([status(0, AttemptState.GONE)])
     assert job.tasks[0].machine is None
     assert list(job.retry_queue) == [0]
     assert list(controller.assignments.by_machine) == ["host-1"]
@@ -75,7 +75,7 @@
 )
 def test_a_status_of_another_attempt_machine_or_token_changes_nothing(stale: Any) -> None:
     controller, job, _ = make()
-    controller.statuses([status(0, AttemptState.GONE, **stale)])
+    controller.observe_statuses([status(0, AttemptState.GONE, **stale)])
     assert job.tasks[0].machine == "host-0"
     assert not job.retry_queue and not job.dirty
 
@@ -83,23 +83,23 @@
 @pytest.mark.parametrize("answer", [AttemptState.GONE, AttemptState.REFUSED, AttemptState.KEPT])
 def test_a_task_that_is_done_is_cleared_at_its_machine_and_not_tried_again(answer: str) -> None:
     controller, job, _ = make()
-    controller.statuses([status(0, AttemptState.ENDED, "done")])
+    controller.observe_statuses([status(0, AttemptState.ENDED, "done")])
     assert job.done_count == 1 and not job.retry_queue
     assert list(controller.assignments.pending_clears) == ["host-0"]
-    controller.statuses([status(0, answer)])
+    controller.observe_statuses([status(0, answer)])
     assert controller.assignments.pending_clears == {}
     assert job.done_count == 1 and job.bound == 1
 
 
 def test_a_service_never_is_done() -> None:
     controller, job, _ = make(msgspec.structs.replace(SPEC, shape="standing"))
-    controller.statuses([status(0, AttemptState.ENDED, "done")])
+    controller.observe_statuses([status(0, AttemptState.ENDED, "done")])
     assert job.done_count == 0 and list(job.retry_queue) == [0]
 
 
 def test_a_task_that_failed_avoids_the_machine_for_a_pause() -> None:
     controller, job, _ = make()
-    controller.statuses([status(0, AttemptState.ENDED, "error")])
+    controller.observe_statuses([status(0, AttemptState.ENDED, "error")])
     assert job.tasks[0].avoid == {"host-0"}
     assert job.tasks[0].failures == 1
     assert job.tasks[0].not_before == controller.attempt_statuses.timeouts.retry
@@ -107,7 +107,7 @@
 
 def test_a_refused_start_waits_for_half_a_heartbeat_and_is_no_failure() -> None:
     controller, job, _ = make()
-    controller.statuses([status(0, AttemptState.REFUSED)])
+    controller.observe_statuses([status(0, AttemptState.REFUSED)])
     assert job.tasks[0].failures == 0
     assert job.tasks[0].not_before == controller.attempt_statuses.timeouts.heartbeat / 2
 
@@ -115,14 +115,14 @@
 def test_a_cancellation_that_only_the_mirror_knows_is_applied_with_the_end() -> None:
     controller, job, _ = make()
     controller.mirror.announced_cancellations["j-1"] = 20
-    controller.statuses([status(0, AttemptState.GONE)])
+    controller.observe_statuses([status(0, AttemptState.GONE)])
     assert job.status == JobStatus.CANCELLED
     assert not job.waiting(100.0, 1)
 
 
 def test_all_of_a_gang_are_done_with_one() -> None:
     controller, job, _ = make(GANG)
-    controller.statuses([status(0, AttemptState.ENDED, "done")])
+    controller.observe_statuses([status(0, AttemptState.ENDED, "done")])
     assert job.done_count == 2 and job.bound == 0
     assert not controller.assignments.by_machine
     assert sorted(controller.assignments.pending_clears) == ["host-0", "host-1"]
@@ -130,7 +130,7 @@
 
 def test_a_gang_that_found_no_replacement_in_time_is_stopped_once() -> None:
     controller, job, clock = make(GANG)
-    controller.statuses([status(0, AttemptState.GONE)])
+    controller.observe_statuses([status(0, AttemptState.GONE)])
     controller.gang_attempts.stop_incomplete(clock.seconds() + 9.0)
     assert not job.gang.stopping
     for _ in range(3):
@@ -142,15 +142,15 @@
 @pytest.mark.parametrize("changes", [{"exit_reason": "peers"}, {"saved": True}])
 def test_a_gang_that_had_started_is_stopped_with_the_loss_of_one(changes: Any) -> None:
     controller, job, _ = make(GANG)
-    controller.statuses([status(0, AttemptState.ENDED, **changes)])
+    controller.observe_statuses([status(0, AttemptState.ENDED, **changes)])
     assert job.gang.stopping and job.gang.failures == 0
 
 
 def test_a_gang_that_fails_counts_one_failure_however_many_of_its_tasks_fail() -> None:
     controller, job, _ = make(GANG)
-    job.gang.saw("running")
+    job.gang.observe_state("running")
     lost = [status(index, AttemptState.ENDED, "error", saved=True) for index in range(2)]
-    controller.statuses(lost)
+    controller.observe_statuses(lost)
     assert job.gang.failures == 1
     assert [task.avoid for task in job.tasks.values()] == [{"host-0"}, {"host-1"}]
 
@@ -167,7 +167,7 @@
 
 def test_what_is_bound_anew_counts_against_its_room_until_it_is_published() -> None:
     controller, job, _ = make()
-    controller.statuses([status(0, AttemptState.GONE)])
+    controller.observe_statuses([status(0, AttemptState.GONE)])
     task = job.take(0)
     job.bind(0, "host-2")
     controller.assignments.assign_new("host-2", job, 0, task)
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -14,18 +14,18 @@
 from beamspar.decision_log.decisions import (
     CacheChanged,
     Decision,
+    InstanceRequestAbandoned,
+    InstancesGranted,
+    InstancesRefused,
+    InstancesRequested,
     LeadState,
-    MachinesReturned,
-    MachinesUp,
+    MachinesDeleted,
+    MachinesStarted,
     Place,
-    RentalAbandoned,
-    RentalAsked,
-    RentalGranted,
-    RentalRefused,
 )
 from beamspar.decision_log.messages import FollowReply, LogEntry
 from beamspar.decision_log.replica import Replica, StaleTermError
-from beamspar.protocol.peer_messages import PEER_LIMIT, decode, encode
+from beamspar.protocol.peer_messages import MAX_PEER_MESSAGE_BYTES, decode, encode
 from tests.standins.clock import SimClock
 
 PLACES: list[Place] = [("big", "east", False), ("small", "west", True)]
@@ -43,7 +43,7 @@
     for count in range(1, most):
         reply = log.answer(replica.request("rig-1"), [])
         body = encode(reply)
-        assert len(body) < PEER_LIMIT
+        assert len(body) < MAX_PEER_MESSAGE_BYTES
         if not replica.apply(decode(body, FollowReply)):
             return count
     raise AssertionError("never caught up")
@@ -55,12 +55,12 @@
     machines = [f"host-{rng.randrange(50)}"]
     return rng.choice(
         [
-            RentalAsked(name, place, 3),
-            RentalGranted(name, place, machines, rng.choice([0.0, 8.0])),
-            RentalRefused(name, place, 4.0),
-            RentalAbandoned(name),
-            MachinesUp(machines),
-            MachinesReturned(machines, [place]),
+            InstancesRequested(name, place, 3),
+            InstancesGranted(name, place, machines, rng.choice([0.0, 8.0])),
+            InstancesRefused(name, place, 4.0),
+            InstanceRequestAbandoned(name),
+            MachinesStarted(machines),
+            MachinesDeleted(machines, [place]),
             CacheChanged(machines[0], rng.choice([{}, {f"image-{number}": 2.0}])),
         ]
     )
@@ -96,10 +96,10 @@
 def test_each_entry_is_applied_once_and_in_order() -> None:
     _, log, replica = pair()
     catch_up(log, replica)
-    log.decide(RentalAsked("r-1", PLACES[0], 1))
+    log.decide(InstancesRequested("r-1", PLACES[0], 1))
     reply = log.answer(replica.request("rig-1"), [])
     replica.apply(reply)
-    log.decide(RentalAbandoned("r-1"))
+    log.decide(InstanceRequestAbandoned("r-1"))
     replica.apply(log.answer(replica.request("rig-1"), []))
     # A late copy of the first answer must not bring the request back.
     replica.apply(reply)
@@ -109,9 +109,9 @@
 def test_a_gap_is_noticed_and_closed_by_a_snapshot() -> None:
     _, log, replica = pair()
     catch_up(log, replica)
-    log.decide(RentalAsked("r-1", PLACES[0], 1))
+    log.decide(InstancesRequested("r-1", PLACES[0], 1))
     with pytest.raises(StaleTermError, match="gap"):
-        replica.apply(FollowReply(7, 3, [LogEntry(3, 0.0, RentalAbandoned("r-1"))]))
+        replica.apply(FollowReply(7, 3, [LogEntry(3, 0.0, InstanceRequestAbandoned("r-1"))]))
     assert replica.state.pending == {} and replica.index == 0
     catch_up(log, replica)
     assert set(replica.state.pending) == {"r-1"} and replica.index == 1
@@ -119,11 +119,11 @@
 
 def test_entries_of_an_older_term_are_refused() -> None:
     _, log, replica = pair()
-    log.decide(RentalAsked("r-1", PLACES[0], 1))
+    log.decide(InstancesRequested("r-1", PLACES[0], 1))
     catch_up(log, replica)
     old = DecisionLog(SimClock(), LeadState())
     old.begin(6)
-    old.decide(RentalAsked("r-old", PLACES[0], 1))
+    old.decide(InstancesRequested("r-old", PLACES[0], 1))
     with pytest.raises(StaleTermError, match="over"):
         replica.apply(old.answer(replica.request("rig-1"), []))
     assert set(replica.state.pending) == {"r-1"}
@@ -134,11 +134,11 @@
 
 def test_a_new_term_begins_with_a_snapshot_though_the_index_is_the_same() -> None:
     clock, log, replica = pair()
-    log.decide(RentalAsked("r-1", PLACES[0], 1))
+    log.decide(InstancesRequested("r-1", PLACES[0], 1))
     catch_up(log, replica)
     successor = DecisionLog(clock, LeadState())
     successor.begin(9)
-    successor.decide(RentalAsked("r-2", PLACES[0], 1))
+    successor.decide(InstancesRequested("r-2", PLACES[0], 1))
     catch_up(successor, replica)
     assert set(replica.state.pending) == {"r-2"} and replica.term == 9
 
@@ -183,10 +183,10 @@
 
 def test_a_controller_that_does_not_lead_sends_no_entries() -> None:
     _, log, replica = pair()
-    log.decide(RentalAsked("r-1", PLACES[0], 1))
+    log.decide(InstancesRequested("r-1", PLACES[0], 1))
     log.end()
     reply = log.answer(replica.request("rig-1"), ["rig-1"])
     assert reply == FollowReply()
     # Decisions of others are applied by the same state, without a number.
-    log.decide(RentalAbandoned("r-1"))
+    log.decide(InstanceRequestAbandoned("r-1"))
     assert log.index == 0 and not log.recent and log.state.pending == {}
--- a/tests/test_desired_state.py
+++ b/tests/test_desired_state.py
@@ -14,7 +14,7 @@
 )
 from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.peer_messages import DesiredAction
-from beamspar.state.job_records import JobStatus, Layout
+from beamspar.state.job_records import ChunkLayout, JobStatus
 from beamspar.workload.job import Job
 from beamspar.workload.task import Task
 
@@ -25,7 +25,7 @@
 
 
 def bound(spec: JobSpec = SPEC, stored: bool = True) -> tuple[Job, Task]:
-    job = Job(spec, "rig-0.1", Layout(46), 0.0)
+    job = Job(spec, "rig-0.1", ChunkLayout(46), 0.0)
     if spec.is_gang:
         job.gang.begin()
     for index in range(spec.tasks):
--- a/tests/test_failure_backoff.py
+++ b/tests/test_failure_backoff.py
@@ -19,7 +19,7 @@
     """A job that failed on so many machines."""
     backoff = FailureBackoff()
     for number in range(machines):
-        backoff.failed(f"host-{number}", now, RETRY_S)
+        backoff.record_failure(f"host-{number}", now, RETRY_S)
     return backoff
 
 
@@ -40,16 +40,16 @@
 
 def test_probes_after_a_pause_that_grows() -> None:
     backoff = failing(3)
-    assert backoff.to_blame
+    assert backoff.is_job_at_fault
     assert backoff.may_start(200, 0, 0, RETRY_S * 0.9) == 0
     assert backoff.may_start(200, 0, 0, RETRY_S) == CONCURRENT_PROBES
     assert backoff.may_start(200, CONCURRENT_PROBES, 0, RETRY_S) == 0
-    backoff.failed("host-9", RETRY_S, RETRY_S)
+    backoff.record_failure("host-9", RETRY_S, RETRY_S)
     assert backoff.may_start(200, 0, 0, RETRY_S * 2.9) == 0
     assert backoff.may_start(200, 0, 0, RETRY_S * 3) == CONCURRENT_PROBES
     now = 1000.0
     for _ in range(20):
-        backoff.failed("host-9", now, RETRY_S)
+        backoff.record_failure("host-9", now, RETRY_S)
         now += RETRY_S * MAX_PROBE_PAUSE
     assert backoff.may_start(200, 0, 0, now) == CONCURRENT_PROBES
 
@@ -60,9 +60,9 @@
 
 def test_one_success_ends_it() -> None:
     backoff = failing(5)
-    backoff.succeed()
+    backoff.record_success()
     assert backoff.may_start(200, 0, 0, 0.1) == 200
-    assert not backoff.failed("host-1", 1.0, RETRY_S)
+    assert not backoff.record_failure("host-1", 1.0, RETRY_S)
     assert backoff.may_start(200, 0, 0, 1.1) == 200
 
 
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -133,20 +133,20 @@
 
 def decisions() -> list[Any]:
     return [
-        log.RentalAsked("rig-1.3-17", PLACE, 12),
-        log.RentalGranted("rig-1.3-17", PLACE, ["host-7", "host-8"], 30.5),
-        log.RentalRefused("rig-1.3-18", PLACE, 60.5),
-        log.RentalAbandoned("rig-1.3-19"),
-        log.MachinesUp(["host-7"]),
-        log.MachinesReturned(["host-8"], [PLACE]),
+        log.InstancesRequested("rig-1.3-17", PLACE, 12),
+        log.InstancesGranted("rig-1.3-17", PLACE, ["host-7", "host-8"], 30.5),
+        log.InstancesRefused("rig-1.3-18", PLACE, 60.5),
+        log.InstanceRequestAbandoned("rig-1.3-19"),
+        log.MachinesStarted(["host-7"]),
+        log.MachinesDeleted(["host-8"], [PLACE]),
         log.CacheChanged("host-7", {"img-07": 6.5}),
     ]
 
 
 def least_decisions() -> list[Any]:
     return [
-        log.RentalGranted("rig-1.3-17", PLACE, []),
-        log.MachinesReturned([]),
+        log.InstancesGranted("rig-1.3-17", PLACE, []),
+        log.MachinesDeleted([]),
     ]
 
 
@@ -210,7 +210,7 @@
 
 
 def keys() -> list[str]:
-    first, small = records.Layout(372, True), records.Layout(93)
+    first, small = records.ChunkLayout(372, True), records.ChunkLayout(93)
     return [
         stored_keys.job("j-1"),
         stored_keys.finished_job("j-1"),
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from beamspar.decision_log.decisions import MachinesUp, RentalAbandoned
+from beamspar.decision_log.decisions import InstanceRequestAbandoned, MachinesStarted
 from tests.standins.history import LeaderHistory
 
-ONE, OTHER = MachinesUp(["host-1"]), RentalAbandoned("r-1")
+ONE, OTHER = MachinesStarted(["host-1"]), InstanceRequestAbandoned("r-1")
 
 
 def shard(revision: int, name: str, *machines: str, lead: bool = True) -> list[Any]:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -11,7 +11,7 @@
 from beamspar.transport.clock import spawn
 from beamspar.transport.connection_limits import KEPT_OPEN_SHARE, Sockets
 from beamspar.transport.http import Answer, Call
-from beamspar.transport.tcp import RealNet
+from beamspar.transport.tcp import TcpNet
 
 MOST = 10
 BODY = b"answered"
@@ -58,7 +58,7 @@
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             port = probe.getsockname()[1]
-        net = RealNet(loop, 5.0, 60.0, Sockets.of(100, 3))
+        net = TcpNet(loop, 5.0, 60.0, Sockets.of(100, 3))
         spawn(net.listen(f"127.0.0.1:{port}", handler, MOST, 1024), "listening")
         work = deferToThread(visit, port)
         work.addCallbacks(found.append, lambda f: failed.append(f.getTraceback()))
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -12,7 +12,7 @@
 from beamspar.transport.connection_limits import Sockets
 from beamspar.transport.http import Answer, CallFailedError
 from beamspar.transport.http_client import MAX_IDLE_PER_ADDRESS
-from beamspar.transport.tcp import RealNet
+from beamspar.transport.tcp import TcpNet
 
 ADDRESS = "10.0.0.1:80"
 LIMIT_S = 1.5
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         self.reactor = MemoryReactorClock()
-        self.net = RealNet(self.reactor, 1.0, IDLE_S, Sockets.of(100, 3))
+        self.net = TcpNet(self.reactor, 1.0, IDLE_S, Sockets.of(100, 3))
         self.opened: list[tuple[Any, StringTransport]] = []
 
     def call(self, path: str = "/multi") -> list[Any]:
--- a/tests/test_job_acceptor.py
+++ b/tests/test_job_acceptor.py
@@ -61,7 +61,7 @@
     registration.mirror._caught_up(5)
     owner.loaded = {"rig-0.1"}
     room = Room("m-1", "small", "east", False, 8.0, 0.0, 64.0)
-    owner.placer.rooms = lambda: [room]
+    owner.placer.local_rooms = lambda: [room]
     # The lease counts as valid throughout.
     registration.lease_is_valid = lambda: True  # type: ignore[method-assign]
     return owner, store, clock
@@ -97,5 +97,5 @@
     owner, store, clock = indeterminate_accept()
     clock.advance_to(60.0)
     assert store.renewed
-    assert owner.doubtful == {}
+    assert owner.indeterminate_accepts == {}
     assert owner.quota_manager.used[("rig-0.1", "red")] == pytest.approx((0.0, 0.0))
--- a/tests/test_many_tasks.py
+++ b/tests/test_many_tasks.py
@@ -10,8 +10,8 @@
 from beamspar.jobs.assignments import LARGE_PUBLICATION_ATTEMPTS, Assignments
 from beamspar.jobs.placer import Placer
 from beamspar.protocol.jobs import JobSpec
-from beamspar.protocol.peer_messages import WANTS_AT_ONCE
-from beamspar.state.job_records import Layout
+from beamspar.protocol.peer_messages import MAX_DESIRED_ATTEMPTS
+from beamspar.state.job_records import ChunkLayout
 from beamspar.workload.job import Job
 from tests.standins.world import ZONES, World
 
@@ -29,7 +29,7 @@
 def test_a_jobs_counts_equal_a_scan_of_its_tasks() -> None:
     rng = random.Random(5)
     spec = JobSpec("j-1", "sweep", "red", "sweep", "low", 60, 1.0, 0.0, 1.0, "img", 1.0)
-    job = Job(spec, "rig-0.1", Layout(8), 0.0)
+    job = Job(spec, "rig-0.1", ChunkLayout(8), 0.0)
     for _ in range(2000):
         bound = [index for index, task in job.tasks.items() if task.machine is not None]
         waiting = job.waiting(0.0, 5)
@@ -41,9 +41,9 @@
         elif bound:
             index = rng.choice(bound)
             if action == "run":
-                job.saw(job.tasks[index], "running")
+                job.set_state(job.tasks[index], "running")
             elif action == "save":
-                job.saw(job.tasks[index], "saving")
+                job.set_state(job.tasks[index], "saving")
             elif action in ("unbind", "done"):
                 job.unbind(index)
                 if action == "done" and rng.random() < 0.2:
@@ -156,7 +156,7 @@
     assert len(large) > 10
     for pair, at, desired_attempts in large:
         following = [later for other, later, _ in told if other == pair and later > at]
-        pause = 0.5 * desired_attempts / WANTS_AT_ONCE
+        pause = 0.5 * desired_attempts / MAX_DESIRED_ATTEMPTS
         assert not following or following[0] >= at + pause * 0.99
 
 
--- a/tests/test_placement_round.py
+++ b/tests/test_placement_round.py
@@ -19,14 +19,14 @@
 )
 from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.peer_messages import PlacementOffer
-from beamspar.state.job_records import Layout
+from beamspar.state.job_records import ChunkLayout
 from beamspar.workload.job import Job
 
 SPEC = JobSpec("j-1", "front", "red", "sweep", "normal", 900, 1.0, 0.0, 1.0, "img", 1.0)
 
 
 def job(**changes: object) -> Job:
-    return Job(msgspec.structs.replace(SPEC, **changes), "rig-0.1", Layout(46), 0.0)
+    return Job(msgspec.structs.replace(SPEC, **changes), "rig-0.1", ChunkLayout(46), 0.0)
 
 
 def test_jobs_of_one_shape_leave_place_for_others() -> None:
@@ -76,7 +76,7 @@
 def test_a_job_that_fails_everywhere_avoids_no_machine() -> None:
     everywhere = failed("host-1", 10.0)
     for number in range(3):
-        everywhere.backoff.failed(f"host-{number}", 0.0, 0.5)
+        everywhere.backoff.record_failure(f"host-{number}", 0.0, 0.5)
     assert avoided_machines(everywhere, failed_after=9.0) == set()
 
 
--- a/tests/test_quota_manager.py
+++ b/tests/test_quota_manager.py
@@ -19,7 +19,7 @@
 )
 from beamspar.state.control_records import JobPartition
 from beamspar.state.errors import ConflictError, OutcomeUnknownError
-from beamspar.state.job_records import Layout
+from beamspar.state.job_records import ChunkLayout
 from beamspar.timeouts import Timeouts
 from beamspar.workload.job import Job
 from tests.standins.clock import SimClock
@@ -65,7 +65,7 @@
 
 def job(cpus: float, tasks: int = 1) -> Job:
     spec = JobSpec("j-1", "front", "red", "sweep", "normal", tasks, cpus, 0.0, 1.0, "img", 1.0)
-    return Job(spec, "rig-0.1", Layout(46), 0.0)
+    return Job(spec, "rig-0.1", ChunkLayout(46), 0.0)
 
 
 def bind_and_count(quota_manager: QuotaManager, bound_job: Job, tasks: int) -> None:
--- a/tests/test_quota_usage.py
+++ b/tests/test_quota_usage.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from beamspar.protocol.jobs import JobSpec
-from beamspar.state.job_records import Layout
+from beamspar.state.job_records import ChunkLayout
 from beamspar.workload.job import Job
 from beamspar.workload.quota_usage import QuotaUsage
 
@@ -50,7 +50,7 @@
 
 def test_both_layouts_count_until_all_chunks_are_written() -> None:
     spec = JobSpec("j-1", "front", "red", "sweep", "normal", 8, 1.0, 0.0, 1.0, "img", 1.0)
-    job = Job(spec, "rig-0.1", Layout(46, is_first_release=True), 0.0)
+    job = Job(spec, "rig-0.1", ChunkLayout(46, is_first_release=True), 0.0)
     for index in range(8):
         job.take(index)
         job.bind(index, "host-1")
@@ -58,7 +58,7 @@
     for index in (0, 1):
         job.unbind(index)
         job.retry_queue.append(index)
-    job.change_layout(Layout(2))
+    job.change_layout(ChunkLayout(2))
     assert job.quota_usage.tasks == 8
     for chunk in range(4):
         job.quota_usage.written(chunk, job.quota_usage.writing(chunk))
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -142,8 +142,10 @@
         if job_controller is None:
             continue
         known: dict[tuple[str, str], float] = {}
-        indeterminate = [job for jobs in job_controller.doubtful.values() for job in jobs]
-        accepted = (*job_controller.jobs.values(), *job_controller.arriving.values())
+        indeterminate = [
+            job for jobs in job_controller.indeterminate_accepts.values() for job in jobs
+        ]
+        accepted = (*job_controller.jobs.values(), *job_controller.jobs_being_accepted.values())
         for job in (*accepted, *indeterminate):
             key = (job.partition, job.spec.team)
             known[key] = known.get(key, 0.0) + job.bound * job.spec.cpus
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,8 +14,8 @@
 from beamspar.machines.machine_controller import MachineController
 from beamspar.protocol.cloud import Instance, MachineType
 from beamspar.protocol.peer_messages import (
-    PEER_LIMIT,
-    VIEWS_AT_ONCE,
+    MAX_MACHINE_STATUSES,
+    MAX_PEER_MESSAGE_BYTES,
     DesiredAttempt,
     DesiredStateUpdate,
     encode,
@@ -64,11 +64,11 @@
         if parts and known == holder.changes:
             break
         views, known = holder.views(known)
-        assert len(views) <= VIEWS_AT_ONCE
-        assert len(encode(views)) < PEER_LIMIT * 0.75
+        assert len(views) <= MAX_MACHINE_STATUSES
+        assert len(encode(views)) < MAX_PEER_MESSAGE_BYTES * 0.75
         sent += [view.room.name for view in views]
         parts += 1
-    assert parts == -(-LARGEST_FLEET // VIEWS_AT_ONCE)
+    assert parts == -(-LARGEST_FLEET // MAX_MACHINE_STATUSES)
     assert sorted(sent) == sorted(holder.machines) and len(set(sent)) == len(sent)
 
 
@@ -131,7 +131,7 @@
         message = [
             DesiredStateUpdate("rig-0", "rig-0.1", 1, 1, 1, desired_attempts, sorted(part or ()))
         ]
-        assert len(encode(message)) < PEER_LIMIT
+        assert len(encode(message)) < MAX_PEER_MESSAGE_BYTES
 
 
 def test_a_machine_without_desired_attempts_is_named_in_a_part() -> None:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -286,10 +286,13 @@
         twice = sorted({n for n in names if names.count(n) > 1})
         assert len(twice) <= step["in_two_blocks"], (where, twice)
     if "doubtful" in step:
-        doubtful = [
-            j for n in world.nodes.values() if n.job_controller for j in n.job_controller.doubtful
+        indeterminate_accepts = [
+            j
+            for n in world.nodes.values()
+            if n.job_controller
+            for j in n.job_controller.indeterminate_accepts
         ]
-        assert len(doubtful) <= step["doubtful"], (where, doubtful)
+        assert len(indeterminate_accepts) <= step["doubtful"], (where, indeterminate_accepts)
     if "led" in step:
         leaders = [n for n in world.nodes.values() if n.leader and n.leader.ready]
         assert len(leaders) == step["led"], (where, step)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -293,7 +293,7 @@
     # The cloud takes the request, and its answer is long in coming.
     world.network.cut(leader, "cloud", "hold")
     manager = world.nodes[leader].leader.instance_manager
-    manager.give_back([machine])
+    manager.scale_in([machine])
     world.run(world.clock.seconds() + 0.2)
     assert machine in manager.deleting
     if way == "leave":
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -9,7 +9,7 @@
 import pytest
 from twisted.internet.defer import ensureDeferred
 
-from beamspar.decision_log.decisions import MachinesUp
+from beamspar.decision_log.decisions import MachinesStarted
 from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.peer_messages import CapacityRequest
 from beamspar.standby.messages import (
@@ -310,7 +310,7 @@
         if name != old:
             world.network.frozen[name] = world.clock.seconds() + 2.9
     world.run(world.clock.seconds() + 0.5)
-    log.decide(MachinesUp(["host-none"]))
+    log.decide(MachinesStarted(["host-none"]))
     reply = hand_over(world)
     assert (reply.is_done, reply.leader) == (False, old)
     assert world.leader() == old
@@ -319,7 +319,7 @@
 def test_a_follower_that_lags_a_little_is_waited_for() -> None:
     world = deployment()
     old = world.leader()
-    world.nodes[old].standby.log.decide(MachinesUp(["host-none"]))
+    world.nodes[old].standby.log.decide(MachinesStarted(["host-none"]))
     reply = hand_over(world)
     assert reply.is_done and deciding(world) == reply.leader
     assert world.nodes[reply.leader].standby.replica.index >= 1
