--- a/src/beamspar/decision_log/decisions.py
+++ b/src/beamspar/decision_log/decisions.py
@@ -16,7 +16,7 @@
 
 
 class InstancesRequested(msgspec.Struct, frozen=True, tag="rental_asked"):
-    """A rental request is about to be sent under this name."""
+    """A request for instances is about to be sent under this name."""
 
     name: str
     place: Place
@@ -181,11 +181,11 @@
 
     def entries(self) -> Iterator[TimedDecision]:
         """Decisions that lead from an empty state to this one."""
-        # First what would undo the rest: a return ends a boot, and a rental lifts a refusal.
+        # First what would undo the rest: a deletion ends a boot, and instances that were granted lift a refusal.
         if self.returned:
             yield TimedDecision(0.0, MachinesDeleted(sorted(self.returned)))
-        for rental in self.pending.values():
-            yield TimedDecision(0.0, rental)
+        for request in self.pending.values():
+            yield TimedDecision(0.0, request)
         for machine, boot in self.booting.items():
             place = (boot.kind, boot.zone, boot.spot)
             yield TimedDecision(boot.since, InstancesGranted("", place, [machine]))
--- a/src/beamspar/leader/instance_manager.py
+++ b/src/beamspar/leader/instance_manager.py
@@ -169,7 +169,7 @@
         if name in self.booting:
             self.decisions.decide(MachinesStarted([name]))
 
-    def take_over(self) -> None:
+    def inherit_requests(self) -> None:
         """Lead from now on, by what the former leader was known to have decided."""
         self.inherited = list(self.lead.pending.values())
 
@@ -212,7 +212,9 @@
 
     # -- scaling out
 
-    def plan(self, needs: list[tuple[JobSpec, int]], rooms: list[Room]) -> ScaleOut | None:
+    def plan_scale_out(
+        self, needs: list[tuple[JobSpec, int]], rooms: list[Room]
+    ) -> ScaleOut | None:
         """The next request: what free room and machines that boot don't cover; see
         `ScaleOutPlanner.plan`."""
         return self.planner.plan(needs, rooms + self._booting_rooms())
@@ -241,7 +243,7 @@
                 rooms.append(empty_room(kind, name, boot.zone, boot.spot))
         return rooms
 
-    async def rent(self, place: Place, count: int) -> None:
+    async def scale_out(self, place: Place, count: int) -> None:
         """Scale out: create so many instances, under a name that is never used again."""
         self.requests_made += 1
         name = f"{self.registration.me}.{self.registration.incarnation}.{self.requests_made}"
@@ -249,7 +251,7 @@
         self.decisions.decide(request)
         await self._carry_out(request)
 
-    async def resume(self) -> None:
+    async def repeat_inherited_request(self) -> None:
         """Repeat a former leader's request under its name: it is idempotent, whoever asks."""
         request = self.inherited.pop(0)
         log.info("scale-out {name} of a former leader is repeated", name=request.name)
--- a/src/beamspar/leader/leadership.py
+++ b/src/beamspar/leader/leadership.py
@@ -190,7 +190,7 @@
     def _begin_term(self, record: LeaderRecord, lease_id: int, revision: int) -> None:
         self.shard_writer.lease_id, self._elected_at = lease_id, revision
         self.instance_manager.decisions.begin(revision)
-        self.instance_manager.take_over()
+        self.instance_manager.inherit_requests()
         self.mirror.observe(keys.LEADER, msgspec.to_builtins(record), revision)
         self._begin_leading()
         log.info("{me} leads", me=self.registration.me)
--- a/src/beamspar/leader/scaling.py
+++ b/src/beamspar/leader/scaling.py
@@ -18,7 +18,7 @@
 
 
 class Scaling:
-    """Owns the pace of the leader's calls to the cloud: one list and one rental at a time."""
+    """Owns the pace of the leader's calls to the cloud: one list and one request for instances at a time."""
 
     def __init__(
         self,
@@ -60,18 +60,18 @@
             self._is_listing = False
 
     async def _scale_out(self) -> None:
-        """Finish a former leader's rental, or rent the next machines that are needed."""
+        """Finish a former leader's request, or scale out by the next machines that are needed."""
         try:
             if self.instance_manager.inherited:
-                await self.instance_manager.resume()
+                await self.instance_manager.repeat_inherited_request()
                 return
             needs = self.capacity_needs.current()
             usable_rooms = [room for room in self.fleet_view.rooms() if room.usable]
-            plan = self.instance_manager.plan(
+            plan = self.instance_manager.plan_scale_out(
                 [(need.spec, need.tasks) for need in needs], usable_rooms
             )
             if plan is not None:
-                await self.instance_manager.rent(*plan)
+                await self.instance_manager.scale_out(*plan)
         except (CloudUnavailableError, NoCapacityError) as error:
             log.info("scaling out failed, to be repeated: {error}", error=error)
         finally:
--- a/tests/test_instance_manager.py
+++ b/tests/test_instance_manager.py
@@ -36,7 +36,9 @@
 
 
 def test_room_that_lies_in_several_zones_is_none_for_a_gang_of_one() -> None:
-    place, count = instance_manager().plan([(GANG, 4)], rooms(east=3, south=2, west=3)) or (
+    place, count = instance_manager().plan_scale_out(
+        [(GANG, 4)], rooms(east=3, south=2, west=3)
+    ) or (
         ("", "", False),
         0,
     )
@@ -45,13 +47,16 @@
 
 
 def test_nothing_is_created_when_one_zone_has_room_for_all() -> None:
-    assert instance_manager().plan([(GANG, 4)], rooms(east=2, west=4)) is None
+    assert instance_manager().plan_scale_out([(GANG, 4)], rooms(east=2, west=4)) is None
 
 
 def test_a_zone_without_capacity_is_passed_over() -> None:
     manager = instance_manager()
     manager.refused[("big", "east", False)] = (1e9, 1.0)
-    place, count = manager.plan([(GANG, 4)], rooms(east=3, west=2)) or (("", "", False), 0)
+    place, count = manager.plan_scale_out([(GANG, 4)], rooms(east=3, west=2)) or (
+        ("", "", False),
+        0,
+    )
     assert place == ("big", "west", False)
     assert count == 2
 
@@ -61,6 +66,6 @@
     manager.booting["host-1"] = Booting("big", "east", False, 0.0)
     task = JobSpec("j-2", "front", "red", "standing", "critical", 1, 30.0, 0.0, 1.0, "img", 1.0)
     manager.clock.now = BIG.boot_s * 1.4  # type: ignore[attr-defined]
-    assert manager.plan([(task, 1)], []) is None
+    assert manager.plan_scale_out([(task, 1)], []) is None
     manager.clock.now = BIG.boot_s * 1.6  # type: ignore[attr-defined]
-    assert manager.plan([(task, 1)], []) is not None
+    assert manager.plan_scale_out([(task, 1)], []) is not None
