--- a/src/beamspar/decision_log/decisions.py
+++ b/src/beamspar/decision_log/decisions.py
@@ -181,7 +181,8 @@
 
     def entries(self) -> Iterator[TimedDecision]:
         """Decisions that lead from an empty state to this one."""
-        # First what would undo the rest: a deletion ends a boot, and instances that were granted lift a refusal.
+        # First what would undo the rest: a deletion ends a boot, and granted instances lift a
+        # refusal.
         if self.returned:
             yield TimedDecision(0.0, MachinesDeleted(sorted(self.returned)))
         for request in self.pending.values():
--- a/src/beamspar/leader/scaling.py
+++ b/src/beamspar/leader/scaling.py
@@ -18,7 +18,7 @@
 
 
 class Scaling:
-    """Owns the pace of the leader's calls to the cloud: one list and one request for instances at a time."""
+    """Owns the pace of the leader's calls to the cloud: one list and one request at a time."""
 
     def __init__(
         self,
--- a/src/beamspar/sharing/transfer.py
+++ b/src/beamspar/sharing/transfer.py
@@ -55,7 +55,7 @@
         # Machines that are another's now, by their new holder, with their fencing token there.
         self.released: dict[str, dict[str, tuple[ManagedMachine, int]]] = {}
         # How many machines were taken over with what their former holder knew.
-        self.is_taken_over = 0
+        self.taken_over_count = 0
         holder.on_released = self._released
         holder.repeats_at_once = True
 
@@ -172,7 +172,7 @@
                 accepted.append(state.machine)
                 if not machine.is_taken_over:
                     machine.is_taken_over = True
-                    self.is_taken_over += 1
+                    self.taken_over_count += 1
                     self._take_over(machine, state)
         return ReleaseReply(accepted, unknown_yet)
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -234,13 +234,13 @@
     for to in (target, source, target):
         world.say(world.leader(), "move", {"block": shard, "to": to})
         world.run(world.clock.seconds() + 3)
-    taken = [world.nodes[name].sharing.transfer.is_taken_over for name in (source, target)]
+    taken = [world.nodes[name].sharing.transfer.taken_over_count for name in (source, target)]
     assert len(sent) >= 3 and taken[0] >= 2 and taken[1] >= 4
     for body in list(sent):
         for member in (source, target):
             world.tell(member, "release", None, body)
     world.run(world.clock.seconds() + 2)
-    assert [world.nodes[n].sharing.transfer.is_taken_over for n in (source, target)] == taken
+    assert [world.nodes[n].sharing.transfer.taken_over_count for n in (source, target)] == taken
     world.run(95)
     check_whole(world)
 
