--- a/tests/test_desired_state.py
+++ b/tests/test_desired_state.py
@@ -106,7 +106,7 @@
         "save_s": 7.0,
         "preempt": True,
         "gang": False,
-        "job_to_blame": False,
+        "is_job_at_fault": False,
     }
 
 
