--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages for readers match the tree: packages, modules, and the log lines that ask for action."""
+"""The pages for readers match the tree: packages, modules, and log lines that ask for action."""
 
 from __future__ import annotations
 
