--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -5,11 +5,13 @@
 import functools
 import re
 import tomllib
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
 import pytest
 
+from tests.standins.net import Network
 from tests.standins.world import World
 
 FILES = sorted((Path(__file__).parent / "scenarios").glob("*.toml"))
@@ -336,13 +338,20 @@
         assert step["gone"] not in world.cloud.machines, (where, step)
 
 
-@pytest.mark.parametrize("path", FILES, ids=[f.stem for f in FILES])
-def test_scenario(path: Path) -> None:
+def play(path: Path, on_network: Callable[[Network], None] = lambda network: None) -> World:
+    """Run the scenario's steps; `on_network` is called before the first call is delivered."""
     scenario = tomllib.loads(path.read_text())
     world = World(scenario.get("seed", 1), **scenario.get("world", {}))
+    on_network(world.network)
     for step in sorted(scenario["step"], key=lambda s: s["at"]):
         world.run(step["at"])
         act(world, step)
     assert world.checker.started or scenario.get("idle"), "nothing ran"
+    return world
+
+
+@pytest.mark.parametrize("path", FILES, ids=[f.stem for f in FILES])
+def test_scenario(path: Path) -> None:
+    world = play(path)
     assert world.checker.broken == []
     assert world.state.oversized == []
