--- a/src/beamspar/leader/leader.py
+++ b/src/beamspar/leader/leader.py
@@ -1,8 +1,8 @@
-"""The leader: wires together what only the elected controller does, and drives it.
+"""The leader: assembles the parts that only the elected controller runs, and drives them.
 
-Any controller may be elected; the lease behind the leader's record says who is. What the leader
-knows of machines comes from the holders' heartbeats, and it offers capacity only after it has
-received them.
+Any controller may be elected; the leased leader record names the current one. The leader's
+knowledge of machines comes from the heartbeats of the members that hold them, so it offers
+capacity only after it has received those.
 """
 
 from __future__ import annotations
@@ -44,11 +44,11 @@
 
 
 class Leader:
-    """What this controller does while it is elected; idle while another one leads.
+    """The duties of this controller while it is elected; idle while another one leads.
 
-    Owns no state of its own: `leadership` has the election, `fleet_view` what is known of the
-    machines, `gang_reservations`, `drainer`, `scaling` and `shard_leasing` what was decided here,
-    and `decisions` what is replicated to the followers.
+    Owns no state of its own: `leadership` holds the election state, `fleet_view` the reported
+    state of the machines, `gang_reservations`, `drainer`, `scaling` and `shard_leasing` the
+    decisions made here, and `decisions` the state that is replicated to the followers.
     """
 
     def __init__(
@@ -67,12 +67,14 @@
         self.mirror = registration.mirror
         self.instance_manager = instance_manager
         self.timeouts = timeouts
-        # Unused, for nothing that a leader does is random; the caller still passes it.
+        # Unused, as no decision of the leader is random; callers still pass it.
         self.rng = rng
-        # What was decided beyond the records, the cache map among it; followers have a copy.
+        # Decisions that are not in the state service's records, such as the map of cached
+        # images. They are replicated to the followers.
         self.decisions = instance_manager.decisions
         self.lead = self.decisions.state
-        # After a failover, offer capacity in confirmed zones before all of them are confirmed.
+        # Whether, after a failover, capacity is offered in zones that are already confirmed
+        # while others are not.
         self.offers_by_zone = False
         machine_types = instance_manager.types
         fleet_view = FleetView(clock, self.mirror, self.decisions, machine_types, timeouts)
@@ -130,10 +132,10 @@
             self.timeouts,
         )
 
-    # -- what it does
+    # -- duties
 
     def tick(self) -> None:
-        """Stand for election, or begin what is due while leading."""
+        """Stand for election or, while leading, start the work that is due."""
         if not self.leadership.tick():
             return
         now = self.clock.seconds()
@@ -145,7 +147,7 @@
         self.drainer.drain_idle(now)
 
     def heartbeat(self, heartbeat: MemberHeartbeat) -> HeartbeatResponse:
-        """Apply a member's heartbeat; answer with what the member should do."""
+        """Apply a member's heartbeat and return the response with instructions for the member."""
         now = self.clock.seconds()
         accepted = self.fleet_view.apply_heartbeat(heartbeat, now)
         self._observe_unassigned(heartbeat.unassigned_machines)
@@ -165,12 +167,15 @@
             try:
                 self.shard_leasing.observe_unassigned(msgspec.convert(record, Machine))
             except msgspec.ValidationError as error:
-                log.info("malformed machine in a heartbeat: {error}", error=error)
+                log.info("ignored a malformed machine record in a heartbeat: {error}", error=error)
 
     def offer_capacity(
         self, member: str, capacity_requests: list[CapacityRequest]
     ) -> CapacityOffers:
-        """Offer room for a member's waiting jobs; nothing before this controller may decide."""
+        """Offer capacity for a member's pending jobs.
+
+        Return no offers until this controller may make decisions.
+        """
         only_zones = None
         if not self.ready:
             only_zones = self.leadership.confirmed_zones() if self.offers_by_zone else set()
@@ -178,42 +183,42 @@
                 return CapacityOffers([])
         return CapacityOffers(self.capacity_allocator.offer(member, capacity_requests, only_zones))
 
-    # -- names by which node, standby, sharing and their tests use the parts
+    # -- interface for the node, standby and sharing packages and their tests
 
     @property
     def leading(self) -> bool:
-        """Does this controller lead, as far as its mirror tells?"""
+        """Whether this controller leads according to its mirror."""
         return self.leadership.is_leading
 
     @property
     def ready(self) -> bool:
-        """May this controller make decisions?"""
+        """Whether this controller may make decisions as the leader."""
         return self.leadership.is_ready
 
     @property
     def electing(self) -> bool:
-        """Is it trying to be elected right now?"""
+        """Whether an election attempt of this controller is in progress."""
         return self.leadership.is_electing
 
     def confirmed(self) -> set[str]:
-        """Members heard in full since this controller was elected."""
+        """Return the members whose complete state was received since the election."""
         return self.leadership.confirmed()
 
     def confirmed_zones(self) -> set[str]:
-        """Zones in which every holder was heard since then."""
+        """Return the zones in which the leader has confirmed every shard holder."""
         return self.leadership.confirmed_zones()
 
     async def elect(self, replaces: str = "", failed: bool = True) -> None:
-        """Be elected: while nobody leads, or in place of a leader that failed or hands over."""
+        """Try to be elected; see `Leadership.elect`."""
         await self.leadership.elect(replaces, failed)
 
     async def give_up(self) -> None:
-        """Let another controller lead; raises what `Leadership.give_up` raises."""
+        """Step down as the leader; raises the errors of `Leadership.give_up`."""
         await self.leadership.give_up()
 
     @property
     def paused_until(self) -> float:
-        """Until when nothing is decided, for leadership is being handed over."""
+        """Clock time until which no decisions are made because leadership is being handed over."""
         return self.leadership.paused_until
 
     @paused_until.setter
@@ -222,7 +227,7 @@
 
     @property
     def stands(self) -> Callable[[], bool]:
-        """Does this controller stand for election?"""
+        """Callback that returns whether this controller may stand for election."""
         return self.leadership.may_stand
 
     @stands.setter
@@ -231,7 +236,7 @@
 
     @property
     def on_ready(self) -> Callable[[], None]:
-        """Called once per term, when the first decision may be made."""
+        """Callback that is called once per term, as soon as decisions may be made."""
         return self.leadership.on_ready
 
     @on_ready.setter
@@ -240,7 +245,7 @@
 
     @property
     def lends_by_zone(self) -> bool:
-        """Does it offer capacity in confirmed zones before all of them are confirmed?"""
+        """Whether capacity is offered in confirmed zones while others are not confirmed."""
         return self.offers_by_zone
 
     @lends_by_zone.setter
@@ -249,7 +254,7 @@
 
     @property
     def preference(self) -> Callable[[JobSpec], Preference]:
-        """What decides among machines that are equal for a job."""
+        """Callback that returns a job's tie-breaker among otherwise equal machines."""
         return self.capacity_allocator.preference
 
     @preference.setter
@@ -258,5 +263,5 @@
 
     @property
     def draining(self) -> dict[str, str]:
-        """Machines that are to take no more work, and their holders when that was decided."""
+        """Draining machines, which get no new tasks, mapped to their holders at that decision."""
         return self.drainer.draining
