--- a/src/beamspar/leader/leadership.py
+++ b/src/beamspar/leader/leadership.py
@@ -1,7 +1,7 @@
-"""Leader election: standing for it, keeping the leader's lease, and giving it up.
+"""Leader election: standing for election, renewing the leader's lease, and stepping down.
 
-The compare-and-swap on the leader's record settles who of several candidates is elected. Each
-write of a leader checks that record, so one that was replaced is fenced.
+A compare-and-swap on the leader record decides which of several candidates is elected. Every
+write of a leader checks that record, so a leader that was replaced is fenced.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 
 log = Logger(namespace="leader")
 
-# The leader's lease is renewed so many times within its duration.
+# Renewals of the leader's lease within its duration.
 RENEWALS_PER_LEASE = 4
-# Nothing is decided for so many request timeouts while leadership is being given up.
-GIVE_UP_REQUESTS = 2
+# How long no decisions are made while the leader steps down, in request timeouts.
+STEP_DOWN_PAUSE_REQUESTS = 2
 
 
 class Leadership:
@@ -57,65 +57,71 @@
         self.instance_manager = instance_manager
         self.fleet_view = fleet_view
         self.timeouts = timeouts
-        # Controllers of the settings, registered or not.
+        # Number of controllers in the settings, whether registered or not.
         self.controller_count = controller_count
-        # Does this controller stand for election? Not while it leaves.
+        # Whether this controller may stand for election; false while it is leaving.
         self.may_stand: Callable[[], bool] = lambda: True
-        # Called once per term, when the first decision may be made.
+        # Called once per term, as soon as decisions may be made.
         self.on_ready: Callable[[], None] = lambda: None
-        # Until when nothing is decided, for leadership is being handed over.
+        # Clock time until which no decisions are made because leadership is being handed over.
         self.paused_until = -1e9
         self.is_electing = False
         self.leading_since: float | None = None
-        # A former leader that was confirmed to have failed: its heartbeat is not waited for.
+        # A former leader that was confirmed to have failed: no heartbeat is expected from it.
         self.failed_leader = ""
         # The revision of the write by which this controller was elected.
         self._elected_at = 0
         self._has_announced_ready = False
 
-    # -- what it allows
+    # -- state of the leadership
 
     @property
     def is_leading(self) -> bool:
-        """Does this controller lead, as far as its mirror tells?"""
+        """Whether this controller leads according to its mirror."""
         return self.leading_since is not None and self.mirror.leader == self.registration.me
 
     @property
     def is_in_charge(self) -> bool:
-        """Leads, within its lease, by a mirror that holds its election, and not handing over."""
+        """Whether this controller leads, its registration lease is valid, its mirror includes
+        its own election, and it is not handing over leadership."""
         if not self.is_leading or not self.registration.lease_is_valid():
             return False
         if self.clock.seconds() < self.paused_until:
             return False
-        # What a former leader wrote last must be in the mirror: a machine that it has leased
-        # would look new, and get into a second shard.
+        # The mirror must include the last writes of the former leader. Otherwise a machine that
+        # was already leased would look new and would be put into a second shard.
         return self.mirror.revision >= self._elected_at
 
     @property
     def is_ready(self) -> bool:
-        """Rebuilt: every live member was heard, or has had the time to send its heartbeat."""
+        """Whether the leader's state is rebuilt: every live member has reported its complete
+        state, or has had enough time to do so."""
         if not self.is_in_charge or self.leading_since is None:
             return False
         if self.clock.seconds() - self.leading_since > self.timeouts.report:
             return True
-        # A fence is kept by all that ever registered; those without a lease are dead.
+        # Every controller that ever registered has a fence record; those without a
+        # registration lease are dead.
         known = sum(1 for key in self.mirror.values if key.startswith(keys.FENCE_PREFIX))
         awaited = {m for m in self.mirror.members if not self.shard_leasing.out_of_reach(m)}
         awaited.discard(self.failed_leader)
         return known >= self.controller_count and awaited <= self.confirmed()
 
     def led_for_s(self) -> float:
-        """How long this controller leads; 0 while it does not."""
+        """Return for how long this controller has led, 0 if it does not lead."""
         return 0.0 if self.leading_since is None else self.clock.seconds() - self.leading_since
 
     def confirmed(self) -> set[str]:
-        """Members heard in full since this controller was elected."""
+        """Return the members whose complete state was received since the election."""
         if self.leading_since is None:
             return set()
         return self.fleet_view.members_heard_since(self.leading_since)
 
     def confirmed_zones(self) -> set[str]:
-        """Zones in which every holder was heard since then, but for a leader that has failed."""
+        """Return the zones in which every shard holder is confirmed.
+
+        A former leader that has failed is not required to be confirmed.
+        """
         if not self.is_in_charge:
             return set()
         confirmed = self.confirmed()
@@ -132,7 +138,7 @@
     # -- election
 
     def tick(self) -> bool:
-        """Stand for election if nobody leads; True while this controller may make decisions."""
+        """Stand for election if there is no leader; return whether decisions may be made here."""
         if not self.registration.lease_is_valid():
             return False
         record = self.mirror.value(keys.LEADER)
@@ -164,10 +170,10 @@
         self.leading_since, self._has_announced_ready = self.clock.seconds(), False
 
     async def elect(self, replaces: str = "", failed: bool = True) -> None:
-        """Be elected: while nobody leads, or in place of a leader that failed or hands over.
+        """Try to be elected while there is no leader, or in place of the leader `replaces`.
 
-        A leader that hands over is heard before the first decision, one that has failed is not
-        waited for.
+        That leader has either failed or is handing over. If it hands over, its heartbeat must
+        arrive before the first decision; if it has failed, it is not waited for.
         """
         expected_version = self.mirror.version(keys.LEADER) if replaces else 0
         self.is_electing = True
@@ -180,7 +186,7 @@
                 RequestPriority.URGENT,
             )
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
-            log.info("not elected: {error}", error=error)
+            log.info("election attempt failed: {error}", error=error)
         else:
             self.failed_leader = replaces if failed else ""
             self._begin_term(record, lease_id, revision)
@@ -193,7 +199,7 @@
         self.instance_manager.inherit_requests()
         self.mirror.observe(keys.LEADER, msgspec.to_builtins(record), revision)
         self._begin_leading()
-        log.info("{me} leads", me=self.registration.me)
+        log.info("{me} was elected leader", me=self.registration.me)
         spawn(self._keep_renewing(lease_id), "leader lease renewal")
 
     async def _keep_renewing(self, lease_id: int) -> None:
@@ -201,22 +207,22 @@
             try:
                 await self.state.renew_lease(lease_id)
             except LeaseExpiredError:
-                log.info("the leader's lease has expired")
+                log.info("the leader's lease has expired; its renewal stops")
                 return
             except StateUnavailableError as error:
-                log.info("renewing the leader's lease failed: {error}", error=error)
+                log.info("renewing the leader's lease failed, will retry: {error}", error=error)
             await sleep(self.clock, self.timeouts.leader_lease / RENEWALS_PER_LEASE)
 
     async def give_up(self) -> None:
-        """Let another controller lead; a no-op while shards are being leased.
+        """Step down so that another controller can lead; a no-op while shards are being leased.
 
         Can be repeated. Raises ConflictError, StateUnavailableError or LeaseExpiredError if the
-        record could not be dropped.
+        leader record could not be deleted.
         """
         if self.shard_leasing.running:
             return
-        # Nothing is decided that the next leader would not know.
-        self.paused_until = self.clock.seconds() + self.timeouts.request * GIVE_UP_REQUESTS
+        # Make no more decisions, as the next leader might not receive them.
+        self.paused_until = self.clock.seconds() + self.timeouts.request * STEP_DOWN_PAUSE_REQUESTS
         await self.state.transact(
             {
                 keys.LEADER: self.mirror.version(keys.LEADER),
@@ -225,4 +231,4 @@
             [drop(keys.LEADER)],
             RequestPriority.URGENT,
         )
-        log.info("{me} gives up the lead", me=self.registration.me)
+        log.info("{me} has stepped down as leader", me=self.registration.me)
