--- a/src/beamspar/leader/shard_leasing.py
+++ b/src/beamspar/leader/shard_leasing.py
@@ -1,4 +1,4 @@
-"""Who holds which shard: new machines are leased, shards moved and dropped."""
+"""Assignment of shards to members: leases new machines, and moves and deletes shards."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 
 log = Logger(namespace="leader")
 
-# Which part of a transaction's operations one pass of rebalancing uses: a new holder must reach
-# each worker before it can start something there.
-BALANCING_SHARE = 4
+# One rebalancing pass moves at most this fraction (1/n) of the shards that a transaction could:
+# a new holder must reach each worker before it can start tasks there.
+BALANCING_OPERATIONS_DIVISOR = 4
 
 
 class ShardLeasing:
-    """Owns the decisions on shards while this controller leads, one pass at a time."""
+    """Decides which member holds which shard while this controller leads, in one pass at a time."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         timeouts: Timeouts,
         operator_settings: OperatorSettings,
         members: dict[str, MemberView],
-        views: Callable[[], list[MachineStatus]],
+        machine_statuses: Callable[[], list[MachineStatus]],
     ) -> None:
         self.mirror = registration.mirror
         self.shard_writer = shard_writer
@@ -56,25 +56,26 @@
         self.settings = settings
         self.timeouts = timeouts
         self.operator_settings = operator_settings
-        # What the members' heartbeats add up to; owned by the leader.
+        # The state reported by each member's heartbeats; owned by the leader's fleet view.
         self.members = members
         self.sites = {**{p.member: p.site for p in settings.peers}, settings.member: settings.site}
         self.running = False
-        # Machines whose workers sent heartbeats and that are in no shard.
+        # Machines whose workers send heartbeats but that belong to no shard yet.
         self.unassigned: dict[str, Machine] = {}
-        # Since when a peer does not answer this controller, None when it does.
+        # Returns the time since which a peer has not answered this controller, None if it does.
         self.unreachable_since: Callable[[str], float | None] = lambda member: None
-        # Members that get no shards, for they are leaving.
+        # Returns the members that get no shards because they are leaving.
         self.excluded_members: Callable[[], set[str]] = lambda: set()
-        # Moves shards between live members.
+        # Moves shards between live members to balance them.
         self.rebalance: Callable[[], Awaitable[None]] = self._rebalance
-        # These callbacks are set later: they are looked up at each call.
+        # Callbacks such as `unreachable_since` are replaced later, so they are looked up at each
+        # call.
         self.reachability = MemberReachability(
             clock,
             self.mirror,
             timeouts,
             members,
-            views,
+            machine_statuses,
             lambda member: self.unreachable_since(member),
         )
         self._failover = ShardFailover(
@@ -85,9 +86,9 @@
         )
 
     async def run(self, led_for_s: float) -> None:
-        """One pass over everything that is to be leased, moved or dropped.
+        """Run one pass over all shards that are to be leased, moved or deleted.
 
-        A write that fails ends the pass; the next one decides anew.
+        A failed write ends the pass; the next pass decides again from the current state.
         """
         try:
             await self._failover.run()
@@ -96,46 +97,56 @@
             await self.rebalance()
             await self._move_unserved_machines()
         except ConflictError as error:
-            log.info("leasing again: {failed}", failed=error.failed)
+            log.info(
+                "shard leasing pass stopped by a write conflict, will retry: {failed}",
+                failed=error.failed,
+            )
         except (StateUnavailableError, LeaseExpiredError) as error:
-            log.info("leasing waits: {error}", error=error)
+            log.info("shard leasing pass failed, will retry: {error}", error=error)
         finally:
             self.running = False
 
-    # -- what the leader and its parts ask
+    # -- interface for the leader and its parts
 
     def observe_unassigned(self, machine: Machine) -> None:
-        """A worker without a holder sent a heartbeat to some member."""
+        """Record a machine without a holder whose worker sent a heartbeat to some member."""
         if machine.name not in self.instance_manager.deleted:
             self.unassigned[machine.name] = machine
 
     def heard(self) -> set[str]:
-        """Live members that this leader and its workers can be expected to reach."""
+        """Return the live members that this leader and the workers can be expected to reach."""
         return self.reachability.reachable_members()
 
     def out_of_reach(self, member: str) -> bool:
-        """Have our calls to the member failed for longer than it is waited for?"""
+        """Return whether calls to the member have failed for longer than the allowed time."""
         return self.reachability.is_unreachable(member)
 
     def cut_off_members(self) -> set[str]:
-        """Members that hear few of their machines: the network fails them, not the machines."""
+        """Return the members that receive heartbeats from few of their machines.
+
+        The network of such a member has failed rather than the machines.
+        """
         return self.reachability.cut_off_members()
 
     @property
     def max_moves(self) -> int:
-        """How many shards one pass of rebalancing moves at most."""
-        return max(self.shard_writer.limits.txn_ops // BALANCING_SHARE, 1)
+        """Maximum number of shards that one rebalancing pass moves."""
+        return max(self.shard_writer.limits.txn_ops // BALANCING_OPERATIONS_DIVISOR, 1)
 
-    # -- the parts of a pass
+    # -- the steps of a pass
 
     def _machine_counts(self) -> dict[str, int]:
-        """How many machines each live member holds, of those that may get more."""
+        """Return the number of machines that each live member holds.
+
+        Members that are leaving are excluded, as they get no more machines.
+        """
         members = self.mirror.members - self.excluded_members()
         return count_machines(self.mirror.shards.values(), members)
 
     async def _lease_new_machines(self, led_for_s: float) -> None:
         if not self.instance_manager.listed and led_for_s < self.timeouts.report * 2:
-            # How large the fleet is decides how large shards are.
+            # The shard size depends on the fleet size, which is not known before the cloud's list
+            # was read; after two report intervals, leasing starts without it.
             return
         machines = [
             machine
@@ -157,7 +168,7 @@
             key = keys.shard(self.shard_writer.free_name(first.name))
             changes.append(RecordChange(key, record))
             log.info(
-                "leasing {names} ({kind}, {zone}) to {holder}",
+                "leasing new shard of {names} ({kind}, {zone}) to {holder}",
                 names=[machine.name for machine in shard.machines],
                 kind=first.kind,
                 zone=first.zone,
@@ -166,7 +177,8 @@
         await self.shard_writer.write(changes)
 
     def _shard_size(self, new_machines: int) -> int:
-        # The cloud's list may be late or out of reach: what sends heartbeats is there as well.
+        # The cloud's list may be stale or unavailable, so machines that send heartbeats are
+        # counted as well.
         fleet_size = max(self.instance_manager.counted, len(self.mirror.shard_of) + new_machines)
         return choose_shard_size(
             fleet_size,
@@ -176,30 +188,35 @@
         )
 
     async def _drop_deleted_machines(self) -> None:
-        """The cloud has confirmed these are gone: without a shard their tasks are too."""
+        """Remove deleted machines from their shards.
+
+        The cloud has confirmed that they are gone. A machine without a shard counts as returned,
+        which ends its tasks.
+        """
         changes: list[RecordChange] = []
         for name, shard in self.mirror.shards.items():
-            left = [m for m in shard.machines if m.name not in self.instance_manager.deleted]
-            if len(left) == len(shard.machines):
+            remaining = [m for m in shard.machines if m.name not in self.instance_manager.deleted]
+            if len(remaining) == len(shard.machines):
                 continue
-            # Those that stay keep their fencing token.
+            # The remaining machines keep their fencing token.
             record = shard_record(
-                shard.holder, left, shard.previous_holder_may_act, shard.fencing_token
+                shard.holder, remaining, shard.previous_holder_may_act, shard.fencing_token
             )
-            changes.append(RecordChange(keys.shard(name), record if left else None))
+            changes.append(RecordChange(keys.shard(name), record if remaining else None))
         if changes:
             await self.shard_writer.write(changes)
 
     async def _rebalance(self) -> None:
-        """Move shards to live controllers that came back with none, their zone's first.
+        """Move shards to live members that hold too few, such as one that came back with none.
 
-        A few at a time: the new holder must reach each worker before it can start there.
+        Members in the shard's own zone come first. Each pass moves only a few shards: the new
+        holder must reach each worker before it can start tasks there.
         """
         reachable = self.reachability.reachable_members()
         counts = {
             member: count
             for member, count in self._machine_counts().items()
-            # One that its workers could not reach a moment ago gets nothing yet.
+            # A member that its workers could not reach recently gets no shards yet.
             if member in reachable and not self.reachability.was_cut_off(member)
         }
         if len(counts) < 2:
@@ -215,11 +232,11 @@
         await self._move(moves)
 
     async def _move_unserved_machines(self) -> None:
-        """Shards whose holder does not serve their machines go to whom the workers reach."""
+        """Move shards whose holder does not answer their workers to members that these reach."""
         moves = self._unserved.choose_moves()
         for move in moves:
             log.info(
-                "moving shard {name}, not served by {source}, to {target}",
+                "moving shard {name} from {source}, which does not serve it, to {target}",
                 name=move.name,
                 source=move.source,
                 target=move.target,
