--- a/src/beamspar/leader/shard_distribution.py
+++ b/src/beamspar/leader/shard_distribution.py
@@ -1,4 +1,4 @@
-"""Which member should hold which shard: decisions without clock and calls."""
+"""Choice of the member that should hold each shard: pure decisions, without clock or I/O."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from beamspar.settings import StateServiceLimits
 from beamspar.state.control_records import Machine, MachineShard
 
-# Bytes that one machine takes in a shard's record, with a margin.
+# Size of one machine in a shard's record, with a margin.
 MACHINE_RECORD_BYTES = 160
-# What an imbalance within a zone must come to before a shard moves: this part of an even share...
-CLEAR_IMBALANCE = 1 / 4
-# ...and so many times the shard.
-CLEAR_IMBALANCE_SHARDS = 3
+# A shard moves within a zone only if the imbalance is at least this fraction of an even share...
+MIN_IMBALANCE_SHARE = 1 / 4
+# ...and at least this many times the size of the shard.
+MIN_IMBALANCE_SHARDS = 3
 
 
 class NewShard(NamedTuple):
-    """New machines that get one holder."""
+    """New machines that form one shard, and its holder."""
 
     holder: str
     machines: list[Machine]
@@ -32,12 +32,16 @@
 
 
 def pick_holder(zone: str, machine_counts: Mapping[str, int], sites: Mapping[str, str]) -> str:
-    """Prefer a controller in the machine's zone: a partition leaves them together."""
+    """Return the member that should hold machines of the zone.
+
+    Members in the same zone come first, as a network partition leaves them connected to the
+    machines; among these, the member with the fewest machines is chosen.
+    """
     return min(machine_counts, key=lambda m: (sites.get(m) != zone, machine_counts[m], m))
 
 
 def count_machines(shards: Iterable[MachineShard], members: Iterable[str]) -> dict[str, int]:
-    """How many machines each of these members holds."""
+    """Return the number of machines that each of these members holds."""
     counts = dict.fromkeys(members, 0)
     for shard in shards:
         if shard.holder in counts:
@@ -46,21 +50,25 @@
 
 
 def zone_of(shard: MachineShard) -> str:
-    """The zone of all machines of the shard; empty if it has none."""
+    """Return the zone that the shard's machines share, empty if the shard has no machines."""
     return shard.machines[0].zone if shard.machines else ""
 
 
 def choose_shard_size(
     fleet_size: int, controllers: int, limits: StateServiceLimits, configured: int
 ) -> int:
-    """So many machines that one transaction moves about all of a controller's shards."""
-    fitting = int(limits.value_kb * 1024 / 2 / MACHINE_RECORD_BYTES)
+    """Return the number of machines per shard.
+
+    Unless configured, it is large enough that one transaction can move about all shards of a
+    controller. It is limited to what fits into half of the largest value of a record.
+    """
+    max_size = int(limits.value_kb * 1024 / 2 / MACHINE_RECORD_BYTES)
     size = -(-fleet_size // (max(controllers, 1) * limits.txn_ops))
-    return max(min(configured or size, fitting), 1)
+    return max(min(configured or size, max_size), 1)
 
 
 def group_into_shards(machines: Iterable[Machine], size: int) -> Iterator[list[Machine]]:
-    """Groups of at most so many machines of one zone, type and price class."""
+    """Yield groups of at most `size` machines that share zone, type and price class."""
     groups: dict[tuple[str, str, bool], list[Machine]] = {}
     for machine in machines:
         groups.setdefault((machine.zone, machine.kind, machine.spot), []).append(machine)
@@ -75,7 +83,10 @@
     machine_counts: dict[str, int],
     sites: Mapping[str, str],
 ) -> list[NewShard]:
-    """New shards and their holders; counts the machines to their holders."""
+    """Group new machines into shards and choose their holders.
+
+    Adds the machines to their holders' `machine_counts`.
+    """
     shards = []
     for group in group_into_shards(machines, size):
         holder = pick_holder(group[0].zone, machine_counts, sites)
@@ -90,16 +101,16 @@
     sites: Mapping[str, str],
     max_moves: int,
 ) -> list[ShardMove]:
-    """Moves to members that hold too few, those of the shard's zone first.
+    """Return moves of shards to members that hold too few machines, within the zone first.
 
-    Only the members that are counted give or get shards. Changes the counts.
+    Only members in `machine_counts` give or get shards. Updates the counts.
     """
-    fair = sum(machine_counts.values()) / len(machine_counts)
+    even_share = sum(machine_counts.values()) / len(machine_counts)
     moves: list[ShardMove] = []
     for name, shard in shards.items():
         if shard.holder not in machine_counts or not shard.machines:
             continue
-        target = _balancing_target(shard, machine_counts, sites, fair)
+        target = _balancing_target(shard, machine_counts, sites, even_share)
         if target is None:
             continue
         machine_counts[shard.holder] -= len(shard.machines)
@@ -114,21 +125,22 @@
     shard: MachineShard,
     machine_counts: Mapping[str, int],
     sites: Mapping[str, str],
-    fair: float,
+    even_share: float,
 ) -> str | None:
-    """Who should get the shard; None if it should stay."""
+    """Return the member that should get the shard, None if it should stay."""
     zone, size = zone_of(shard), len(shard.machines)
     target = pick_holder(zone, machine_counts, sites)
     is_in_zone = sites.get(target) == zone
     if target != shard.holder and is_in_zone and sites.get(shard.holder) != zone:
-        # Back to its zone, whatever the counts are.
+        # A holder in the shard's own zone is preferred regardless of the counts.
         return target
     if target == shard.holder or is_in_zone:
-        # Within a zone, or without one of its own, only a clear imbalance counts.
+        # The shard's holder is in the right zone, or no member is: only a clear imbalance
+        # justifies a move.
         target = min(machine_counts, key=lambda m: (machine_counts[m], m))
         if is_in_zone and sites.get(target) != zone:
             return None
     imbalance = machine_counts[shard.holder] - machine_counts[target]
-    if imbalance < max(fair * CLEAR_IMBALANCE, CLEAR_IMBALANCE_SHARDS * size):
+    if imbalance < max(even_share * MIN_IMBALANCE_SHARE, MIN_IMBALANCE_SHARDS * size):
         return None
     return target
--- a/src/beamspar/leader/shard_failover.py
+++ b/src/beamspar/leader/shard_failover.py
@@ -1,4 +1,4 @@
-"""Failover: members whose registration lease ended are fenced, and others get what they had."""
+"""Failover: fences members whose registration lease expired and reassigns what they held."""
 
 from __future__ import annotations
 
@@ -32,18 +32,18 @@
         self.shard_writer = shard_writer
         self.members = members
         self.sites = sites
-        # How many machines each member holds that may get more.
+        # Returns the number of machines held by each member that may get more.
         self.machine_counts = machine_counts
 
     async def run(self) -> None:
-        """Fence each dead member first; then its work goes on elsewhere.
+        """Fence each dead member, then assign its partitions and shards to successors.
 
-        Raises what `ShardWriter.write` raises.
+        Raises the errors of `ShardWriter.write`.
         """
         owners = {partition.owner for partition in self.mirror.partitions.values()}
         holders = {shard.holder for shard in self.mirror.shards.values()}
         for dead in sorted((owners | holders) - self.mirror.members):
-            # It is dead as long as it is not registered.
+            # The member counts as dead only while it has no registration record.
             conditions = {keys.member(dead): 0}
             await self._fence(dead, conditions)
             counts = self.machine_counts()
@@ -58,13 +58,15 @@
         fence, version = self.mirror.values.get(fence_key, ({}, 0))
         if fence.get("dead"):
             return
-        # What else its fence says stays: its release is known beyond its death.
+        # The fence's other fields stay, so that the member's release remains known after its death.
         fence = {**fence, "inc": int(fence.get("inc", 0)) + 1, "dead": True}
         revision = await self.shard_writer.commit(
             {**conditions, fence_key: version}, [put(fence_key, fence)]
         )
         self.mirror.observe(fence_key, fence, revision)
-        log.warn("{dead} is dead: its jobs and shards move", dead=dead)
+        log.warn(
+            "{dead} is dead and was fenced; its jobs and shards move to other members", dead=dead
+        )
 
     def _partition_changes(self, dead: str, successors: list[str]) -> list[RecordChange]:
         return [
@@ -88,13 +90,19 @@
         return changes
 
     def _previous_holder_may_act(self, shard: MachineShard) -> bool:
-        """May one from before the dead holder still act there? Not once its workers know of
-        the newer fencing token."""
+        """Return whether a holder before the dead one may still send commands to these machines.
+
+        It may not once all of the shard's workers have received the newer fencing token.
+        """
         if not shard.previous_holder_may_act:
             return False
         member = self.members.get(shard.holder)
         for machine in shard.machines:
-            view, _ = member.machines.get(machine.name, (None, 0.0)) if member else (None, 0.0)
-            if view is None or not view.fresh or view.fencing_token < shard.record_fencing_token:
+            status, _ = member.machines.get(machine.name, (None, 0.0)) if member else (None, 0.0)
+            if (
+                status is None
+                or not status.fresh
+                or status.fencing_token < shard.record_fencing_token
+            ):
                 return True
         return False
