--- a/src/beamspar/leader/capacity_needs.py
+++ b/src/beamspar/leader/capacity_needs.py
@@ -1,4 +1,4 @@
-"""How much room the fleet should have: unmet demand, and headroom for each class of jobs."""
+"""Capacity that the fleet needs: unmet demand, and headroom for each class of jobs."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 from beamspar.transport.clock import Clock
 
 HIGHEST_RANK = 0
-# Headroom holds so many of a class's largest jobs, which may come together.
+# Headroom fits this many of a class's largest jobs, as several may be submitted together.
 LARGEST_JOBS_AT_ONCE = 2
 
 
 class RunningClass(msgspec.Struct):
-    """What runs of one class of jobs, over all members."""
+    """Running tasks of one class of jobs, summed over all members."""
 
     tasks_by_zone: dict[str, int] = msgspec.field(default_factory=dict)
-    # Tasks of the largest job.
+    # Number of tasks of the largest job.
     largest_job: int = 0
 
 
 class LargestJob(NamedTuple):
-    """The tasks of the largest job of a class of late, and when it was seen."""
+    """The number of tasks of a class's recent largest job, and when it was last seen."""
 
     tasks: int
     seen_at: float
 
 
 class CapacityNeeds:
-    """Owns the memory of each class's largest job; computes what room is needed."""
+    """Computes the capacity that is needed; remembers each class's recent largest job."""
 
     def __init__(
         self,
@@ -55,7 +55,10 @@
         self._largest_jobs: dict[str, LargestJob] = {}
 
     def current(self) -> list[CapacityNeed]:
-        """Waiting work first, then headroom for each class as it runs now, by priority."""
+        """Return the needs of pending tasks, then the headroom of each running class.
+
+        Both are sorted by priority, the highest first.
+        """
         now = self.clock.seconds()
         needs = self.unmet_demand.current(now)
         running = count_running(member for _, member in self.fleet_view.recently_heard(now))
@@ -64,7 +67,8 @@
         for name, job_class in sorted(running.items(), key=lambda item: templates[item[0]].rank):
             spec = templates[name]
             if spec.rank == LOWEST_RANK:
-                # It uses what others leave: nothing is rented ahead for it, nor kept idle.
+                # The lowest priority uses leftover capacity: no instances are created for it in
+                # advance, and none are kept idle.
                 continue
             tasks = headroom(
                 spec,
@@ -85,7 +89,7 @@
 
 
 def count_running(members: Iterable[MemberView]) -> dict[str, RunningClass]:
-    """What runs of each class at these members, in the order in which they name the classes."""
+    """Sum the running tasks of each class over members, in the order of the members' reports."""
     running: dict[str, RunningClass] = {}
     for member in members:
         for name, job_class in member.classes.items():
@@ -104,10 +108,10 @@
     headroom_share: float,
     zone_count: int,
 ) -> int:
-    """For how many tasks of a class room is kept free."""
-    share = int(sum(tasks_by_zone.values()) * headroom_share) + 1
-    tasks = max(share, LARGEST_JOBS_AT_ONCE * largest_job)
+    """Return the number of a class's tasks for which capacity is kept free."""
+    share_tasks = int(sum(tasks_by_zone.values()) * headroom_share) + 1
+    tasks = max(share_tasks, LARGEST_JOBS_AT_ONCE * largest_job)
     if spec.rank == HIGHEST_RANK and spec.is_service and zone_count > 1:
-        # Replicas that users wait for must find room elsewhere when a zone is lost.
+        # Replicas that serve user requests must fit into other zones when a zone is lost.
         tasks = max(tasks, *tasks_by_zone.values(), 0)
     return tasks
--- a/src/beamspar/leader/capacity_offers.py
+++ b/src/beamspar/leader/capacity_offers.py
@@ -1,4 +1,4 @@
-"""The leader's offers: on which machines of the fleet the tasks of waiting jobs may start."""
+"""The leader's capacity offers: machines on which tasks of pending jobs may start."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 from beamspar.protocol.room import Room
 from beamspar.transport.clock import Clock
 
-# Offers in one answer to one job's request; groups are offered whole.
+# Maximum number of offers in the response to one job's request; groups are offered whole.
 MAX_OFFERS_PER_REQUEST = 200
 
 
 class Placement(NamedTuple):
-    """A machine that was chosen for a task."""
+    """A machine that was chosen for a task, with its free capacity."""
 
     room: Room
-    # Room is made by stopping work of lower priority.
+    # Whether tasks of lower priority must be stopped to free the capacity.
     preempt: bool
 
 
 class CapacityAllocator:
-    """Answers capacity requests; keeps no state between them.
+    """Handles capacity requests; keeps no state between them.
 
-    What it offers is reserved tentatively in the fleet view, and what it can't offer is recorded
-    as unmet demand, for scaling out.
+    Offered capacity is reserved tentatively in the fleet view. Demand that cannot be met is
+    recorded as unmet demand, which drives scaling out.
     """
 
     def __init__(
@@ -56,15 +56,16 @@
         self.fleet_view = fleet_view
         self.gang_reservations = gang_reservations
         self.unmet_demand = unmet_demand
-        # What decides among machines that are equal for a job.
+        # Returns a job's tie-breaker among otherwise equal machines.
         self.preference: Callable[[JobSpec], Preference] = lambda spec: Preference()
 
     def offer(
         self, member: str, requests: list[CapacityRequest], only_zones: Collection[str] | None
     ) -> list[PlacementOffer]:
-        """Offers for a member's requests, in their order; in these zones only, if any are given.
+        """Return offers for a member's requests, in the order of the requests.
 
-        Machines that cache the image come first, then the requesting member's own, then any.
+        Offers are limited to `only_zones` unless it is None. Machines that cache the image come
+        first, then machines held by the requesting member, then all others.
         """
         now = self.clock.seconds()
         rooms = self.fleet_view.rooms()
@@ -75,14 +76,14 @@
             self.gang_reservations.update(demands, rooms, now)
         else:
             rooms = [room for room in rooms if room.zone in only_zones]
-        near = self._machines_of(member)
+        own_machines = self._machines_of(member)
         offers: list[PlacementOffer] = []
         for demand in demands:
             open_rooms = self.gang_reservations.rooms_open_to(demand.spec, rooms)
             if demand.spec.grouped and not demand.request.zones:
-                offers += self._offer_group(demand, open_rooms, near, now)
+                offers += self._offer_group(demand, open_rooms, own_machines, now)
             else:
-                offers += self._offer_singly(demand, open_rooms, near, now)
+                offers += self._offer_individually(demand, open_rooms, own_machines, now)
         return offers
 
     def _machines_of(self, member: str) -> set[str]:
@@ -94,30 +95,31 @@
         }
 
     def _offer_group(
-        self, demand: JobDemand, rooms: list[Room], near: Collection[str], now: float
+        self, demand: JobDemand, rooms: list[Room], own_machines: Collection[str], now: float
     ) -> list[PlacementOffer]:
-        """Room for all of the group's tasks, or none."""
+        """Offer capacity for all of the group's tasks, or for none."""
         spec, request = demand
-        group = choose_rooms_for_group(demand, rooms, near, self.preference(spec))
+        group = choose_rooms_for_group(demand, rooms, own_machines, self.preference(spec))
         offers: list[PlacementOffer] = []
         for room in group:
-            # A machine may be in the group several times: each reservation counts for the next.
+            # A machine may be in the group several times: each reservation reduces the capacity
+            # that the next one sees.
             placement = Placement(room, preempt=not has_room(spec, room))
             offers.append(self._reserve(spec, placement, now))
         self.unmet_demand.record(spec, 0 if group else request.count, now)
         return offers
 
-    def _offer_singly(
-        self, demand: JobDemand, rooms: list[Room], near: Collection[str], now: float
+    def _offer_individually(
+        self, demand: JobDemand, rooms: list[Room], own_machines: Collection[str], now: float
     ) -> list[PlacementOffer]:
-        """Room for as many of the job's tasks as possible."""
+        """Offer capacity for as many of the job's tasks as possible."""
         spec, request = demand
         zones, machines = dict(request.zones), dict(request.machines)
         preference = self.preference(spec)
         offers: list[PlacementOffer] = []
         remaining = min(request.count, MAX_OFFERS_PER_REQUEST)
         while remaining:
-            placement = choose_free_room(demand, rooms, zones, machines, near, preference)
+            placement = choose_free_room(demand, rooms, zones, machines, own_machines, preference)
             if placement is None:
                 placement = choose_by_preemption(demand, rooms, zones)
             if placement is None:
@@ -134,7 +136,7 @@
         room, preempt = placement
         self.fleet_view.reserve_tentatively(spec, room, now)
         if preempt:
-            # What can be stopped there is reserved for this task now.
+            # The preemptible tasks on this machine are now reserved for this task.
             room.preemptible = []
         return PlacementOffer(spec.id, room.name, preempt)
 
@@ -144,20 +146,22 @@
     rooms: list[Room],
     zones: Mapping[str, int],
     machines: Mapping[str, int],
-    near: Collection[str],
+    own_machines: Collection[str],
     preference: Preference,
 ) -> Placement | None:
-    """A machine with room for one more task of the job, which has tasks in these zones and on
-    these machines; None if there is none."""
+    """Return a machine with free capacity for one more task of the job, None if there is none.
+
+    `zones` and `machines` count the tasks that the job already has there.
+    """
     spec, request = demand
-    room = choose(spec, rooms, zones, machines, request.avoid, near, preference=preference)
+    room = choose(spec, rooms, zones, machines, request.avoid, own_machines, preference=preference)
     return None if room is None else Placement(room, preempt=False)
 
 
 def choose_by_preemption(
     demand: JobDemand, rooms: list[Room], zones: Mapping[str, int]
 ) -> Placement | None:
-    """A machine where stopping lower work makes room for one more task of the job, if any."""
+    """Return a machine where preempting tasks of lower priority makes one more task fit, if any."""
     spec, request = demand
     if spec.rank >= LOWEST_RANK:
         return None
@@ -166,12 +170,15 @@
 
 
 def choose_rooms_for_group(
-    demand: JobDemand, rooms: list[Room], near: Collection[str], preference: Preference
+    demand: JobDemand, rooms: list[Room], own_machines: Collection[str], preference: Preference
 ) -> list[Room]:
-    """Machines for all tasks of the group, or none; only a gang may preempt lower work."""
+    """Return machines for all tasks of the group, or none.
+
+    Only a gang may preempt tasks of lower priority.
+    """
     spec, request = demand
     group = choose_group(
-        spec, request.count, rooms, {}, {}, request.avoid, near, preference=preference
+        spec, request.count, rooms, {}, {}, request.avoid, own_machines, preference=preference
     )
     if not group and spec.is_gang and spec.rank < LOWEST_RANK:
         return choose_group_preemption(spec, request.count, rooms, request.avoid)
