--- a/src/beamspar/leader/draining.py
+++ b/src/beamspar/leader/draining.py
@@ -1,4 +1,4 @@
-"""Scaling in: machines that have failed are returned to the cloud, idle ones are drained first."""
+"""Scaling in: deletes failed machines, and drains idle ones before it deletes them."""
 
 from __future__ import annotations
 
@@ -17,35 +17,37 @@
 from beamspar.protocol.room import Room
 from beamspar.timeouts import Timeouts
 
-# Idle machines that are drained at one time, as a share of the fleet.
+# Maximum share of the fleet that is draining at the same time.
 MAX_DRAINING_SHARE = 1 / 15
-# Of a zone's machines, more than one in so many that are silent together are behind a partition.
-PARTITION_SHARE = 3
-# Machines behind a partition are returned when they are silent for so many workers' leases.
-PARTITION_LEASES = 4
-# So many times the needed room stays, so that nothing is rented again for what was returned.
-KEPT_ROOM_FACTOR = 2
+# If more than this fraction (1/n) of a zone's machines is silent at the same time, a network
+# partition is assumed.
+PARTITION_DIVISOR = 3
+# How long machines behind a partition may be silent before they are deleted, in worker leases.
+PARTITION_SILENCE_LEASES = 4
+# Multiple of the needed capacity that is kept, so that no instance is deleted and then created
+# again.
+KEPT_CAPACITY_FACTOR = 2
 
 
 class IdleMachine(NamedTuple):
-    """A machine without work, and for how long it has been so by now."""
+    """A machine without tasks, and for how long it has been idle."""
 
     status: MachineStatus
     idle_s: float
 
 
 class Occupancy(msgspec.Struct):
-    """The fleet's machines, sorted by what may become of them."""
+    """The fleet's machines, grouped by whether they may be deleted."""
 
-    # Drained, or of no use: they go back now.
+    # Machines to delete now, because they are drained or unfit for use.
     to_return: list[str] = msgspec.field(default_factory=list)
-    # Copies of the rooms of machines that stay anyway.
+    # Copies of the rooms of machines that stay in any case.
     kept_rooms: list[Room] = msgspec.field(default_factory=list)
     idle: list[IdleMachine] = msgspec.field(default_factory=list)
 
 
 class Drainer:
-    """Owns which idle machines are being drained, and decides which machines go back."""
+    """Owns the set of draining machines, and decides which machines are deleted."""
 
     def __init__(
         self,
@@ -62,11 +64,14 @@
         self.capacity_needs = capacity_needs
         self.instance_manager = instance_manager
         self.timeouts = timeouts
-        # Machines that are to take no more work, and their holders when that was decided.
+        # Draining machines, which get no new tasks, mapped to their holders at that decision.
         self.draining: dict[str, str] = {}
 
     def draining_machines_of(self, member: str) -> list[str]:
-        """Draining machines by their present holder: one goes on draining when its shard moves."""
+        """Return the draining machines that the member holds now.
+
+        A machine continues to drain when its shard moves to another holder.
+        """
         return [name for name in self.draining if self._holder(name) == member]
 
     def _holder(self, machine: str) -> str:
@@ -74,9 +79,10 @@
 
     # -- silent machines
 
-    def return_silent(self) -> None:
-        """Return machines that have certainly failed."""
-        # A member that hears few of its machines is itself cut off: they have not failed.
+    def delete_failed(self) -> None:
+        """Delete machines that have certainly failed."""
+        # A member that receives heartbeats from few of its machines is cut off itself: the
+        # machines have not failed.
         cut_off = self.shard_leasing.cut_off_members()
         silent: dict[str, list[MachineStatus]] = {}
         total: dict[str, int] = {}
@@ -88,7 +94,7 @@
                 silent.setdefault(zone, []).append(status)
         for zone, statuses in silent.items():
             failed = failed_machines(
-                statuses, total[zone], self.timeouts.worker_lease * PARTITION_LEASES
+                statuses, total[zone], self.timeouts.worker_lease * PARTITION_SILENCE_LEASES
             )
             if failed:
                 self.instance_manager.scale_in(failed)
@@ -96,18 +102,18 @@
     # -- idle machines
 
     def drain_idle(self, now: float) -> None:
-        """Return what lies idle beyond the room that is kept, in two steps.
+        """Delete idle machines that exceed the capacity to keep, in two steps.
 
-        First the holder is told to put nothing there; when it reports that it does so and the
-        machine is still empty, the machine goes back.
+        First the holder is instructed to place no tasks on the machine. Once the holder reports
+        that the machine is draining and it is still empty, the machine is deleted.
         """
         if not self.mirror.members <= self.shard_leasing.heard():
-            # The room and the needs of one member are not known: nothing is surplus now.
+            # The capacity and the needs of some member are unknown, so nothing counts as surplus.
             self.draining.clear()
             return
         occupancy = self._occupancy(now)
         for name in occupancy.to_return:
-            # One by one: the first is returned at once, the others in the calls that follow.
+            # Queued one by one: the first is deleted at once, the others by later calls.
             self.instance_manager.scale_in([name])
         if not any(machine.idle_s > self.timeouts.idle for machine in occupancy.idle):
             self.draining.clear()
@@ -130,7 +136,7 @@
                 is_drained = name in self.draining and status.draining
                 is_unfit = status.is_degraded and status.is_quarantined
                 if is_empty and (is_drained or is_unfit):
-                    # An unfit machine takes the place of a sound one that could be rented.
+                    # An unfit machine takes the place of a healthy one that could be created.
                     occupancy.to_return.append(name)
                 elif not is_empty or status.is_expired or status.is_quarantined:
                     occupancy.kept_rooms.append(copy(status.room))
@@ -140,22 +146,22 @@
         return occupancy
 
     def _unneeded(self, occupancy: Occupancy) -> set[str]:
-        """Idle machines of which the needs, filled in the order of the rooms, use nothing."""
+        """Return the idle machines that stay unused when the needs fill the rooms in order."""
         idle_rooms = [copy(machine.status.room) for machine in occupancy.idle]
         for room in idle_rooms:
             room.usable = True
         free_cpus = {room.name: room.cpus for room in idle_rooms}
         rooms = occupancy.kept_rooms + idle_rooms
         for spec, tasks in self.capacity_needs.current():
-            kept = tasks * KEPT_ROOM_FACTOR
-            bound = self.instance_manager.in_one_zone(spec, kept, rooms)
-            self.instance_manager.take(bound, kept, rooms)
+            kept = tasks * KEPT_CAPACITY_FACTOR
+            zone_spec = self.instance_manager.bind_to_zone(spec, kept, rooms)
+            self.instance_manager.reserve_room(zone_spec, kept, rooms)
         return {room.name for room in idle_rooms if room.cpus == free_cpus[room.name]}
 
     def _select_for_draining(
         self, idle: Iterable[IdleMachine], unneeded: set[str]
     ) -> dict[str, str]:
-        """The first machines that are unneeded and long idle, with their holders."""
+        """Return the first machines that are unneeded and idle for long, with their holders."""
         selected: dict[str, str] = {}
         limit = max(int(len(self.mirror.shard_of) * MAX_DRAINING_SHARE), 1)
         for machine in idle:
@@ -171,12 +177,12 @@
 def failed_machines(
     silent: list[MachineStatus], machines_in_zone: int, partition_silence_s: float
 ) -> list[str]:
-    """Which of a zone's silent machines have failed.
+    """Return which of a zone's silent machines have failed.
 
-    Many that are silent at once are behind a partition and will be back, unless they are silent
-    for long; a few, or a single one, have failed, and returning them proves it sooner than their
-    leases do.
+    Many machines that are silent at the same time are behind a network partition and will recover,
+    unless they are silent for too long. A few machines, or a single one, have failed; deleting
+    them proves that their tasks have ended sooner than waiting for their leases to expire.
     """
-    if len(silent) * PARTITION_SHARE <= machines_in_zone or len(silent) == 1:
+    if len(silent) * PARTITION_DIVISOR <= machines_in_zone or len(silent) == 1:
         return [status.room.name for status in silent]
     return [status.room.name for status in silent if status.silent_s > partition_silence_s]
--- a/src/beamspar/leader/instance_manager.py
+++ b/src/beamspar/leader/instance_manager.py
@@ -1,7 +1,7 @@
-"""The cloud's instances: what the leader creates (scale out), lists, and deletes (scale in).
+"""The cloud's instances: the leader creates (scale out), lists, and deletes (scale in) them.
 
-Names of requests carry the incarnation of the controller that sends them, which the state service
-has handed out once, so no name is ever used twice, not by another controller either.
+The name of a creation request contains the incarnation of the controller that sends it. The state
+service issues each incarnation once, so no name is ever used twice, even by another controller.
 """
 
 from __future__ import annotations
@@ -42,26 +42,27 @@
 
 log = Logger(namespace="instances")
 
-# Instances that the cloud deletes by one request at most (PROTOCOL).
+# Maximum number of instances that the cloud deletes in one request (PROTOCOL).
 MAX_DELETED_AT_ONCE = 100
-# Boots usually take up to this share of the type's boot time (PROTOCOL). A later machine may never
-# come: what waits for it gets another, and the surplus is deleted once it is idle.
-LATE_BOOT = 1.5
-# After so many boot times an instance that is still starting is deleted, and after so many one
-# that this controller asked for is not waited for any more.
-FAILED_BOOT, FORGOTTEN_BOOT = 5, 6
-# How often one page of the list is asked for again before the whole list is given up.
+# Boots usually take up to this multiple of the type's boot time (PROTOCOL). A later machine may
+# never come up, so another is created for the pending tasks; a surplus machine is deleted once it
+# is idle.
+LATE_BOOT_FACTOR = 1.5
+# Multiples of the type's boot time. After the first, an instance that is still starting is
+# deleted; after the second, an instance that is not up yet is no longer expected.
+FAILED_BOOT_FACTOR, ABANDONED_BOOT_FACTOR = 5, 6
+# Retries for one page of the list before reading the whole list is given up.
 PAGE_RETRIES = 3
-# How long a place that had no capacity is not asked again, in lags of the cloud's list: the first
-# pause is the shortest, and each further one twice as long up to the longest.
-SHORTEST_REFUSAL_LAGS, LONGEST_REFUSAL_LAGS = 1, 3
+# Backoff for a place that had no capacity, in multiples of the cloud's list lag: it starts at the
+# minimum and doubles with each refusal up to the maximum.
+MIN_REFUSAL_BACKOFF_LAGS, MAX_REFUSAL_BACKOFF_LAGS = 1, 3
 
 
 class InstanceManager:
-    """Owns the leader's picture of the cloud's instances, and the requests that change it.
+    """Owns the leader's view of the cloud's instances, and the requests that change them.
 
-    Idle while another controller leads. The methods that call the cloud raise what `CloudClient`
-    raises, but for `give_back`.
+    Idle while another controller leads. The methods that call the cloud raise the errors of
+    `CloudClient`, except for `scale_in`, which logs them.
     """
 
     def __init__(
@@ -79,33 +80,33 @@
         self.registration = registration
         self.timeouts = timeouts
         self.list_lag_s = settings.platform.cloud.list_lag_s
-        # The pause between two calls, in seconds: half of the calls are for creating instances,
-        # lists and deletions need the rest.
+        # Pause between two calls of one kind, in seconds; it uses half of the cloud's rate limit.
+        # One half is for creating instances, the other for lists and deletions.
         self.gap = 2.0 / settings.platform.cloud.rps
         self.types = types
         self.planner = ScaleOutPlanner(types, self._is_refused)
         self.listed: dict[str, Instance] = {}
-        # Instances that the list names so far, while its pages are being read.
+        # Number of listed instances; while pages are being read, at least those read so far.
         self.counted = 0
         self.decisions = decisions or DecisionLog(clock, LeadState())
         self.lead = self.decisions.state
-        # Parts of the decided state: changed by decisions, read here.
+        # Parts of the replicated state: modified by decisions, only read here.
         self.booting = self.lead.booting
         self.refused = self.lead.refused
         self.deleted = self.lead.returned
-        # Requests of a former leader whose answer it did not live to see.
+        # Requests of a former leader that failed before it received the response.
         self.inherited: list[InstancesRequested] = []
-        # Those that are to be deleted, and those whose deletion the cloud is being asked for.
+        # Instances that are queued for deletion, and those in the deletion request in flight.
         self.to_delete: set[str] = set()
         self.deleting: set[str] = set()
         self.is_scaling_in = False
         self.listed_at = -1e9
         self.requests_made = 0
 
-    # -- what is there
+    # -- listing
 
     async def refresh(self) -> None:
-        """Read the cloud's list; it lags, and may be older than the one before."""
+        """Read the cloud's list, which lags and may be older than the previous one."""
         instances = await self._list_all()
         now = self.clock.seconds()
         self.listed_at = now
@@ -117,7 +118,7 @@
             if instance.status == "starting":
                 self._observe_starting(instance, now)
             elif instance.status == "failed":
-                log.info("{machine} has failed: it is deleted", machine=instance.machine)
+                log.info("{machine} has failed and will be deleted", machine=instance.machine)
                 self.scale_in([instance.machine])
 
     def _observe_starting(self, instance: Instance, now: float) -> None:
@@ -128,16 +129,18 @@
         )
         kind = self.types.get(instance.kind)
         boot_s = kind.boot_s if kind else self.list_lag_s
-        if instance.age_s > boot_s * FAILED_BOOT:
-            log.warn("{machine} never came up: it is deleted", machine=instance.machine)
+        if instance.age_s > boot_s * FAILED_BOOT_FACTOR:
+            log.warn(
+                "{machine} did not come up in time and will be deleted", machine=instance.machine
+            )
             self.scale_in([instance.machine])
 
     async def _list_all(self) -> list[Instance]:
-        """All pages of the list, the later ones at the pace that leaves the rate to scaling out.
+        """Read all pages of the list, with pauses that leave half of the rate to scaling out.
 
-        One after the other without a pause, more pages than a burst were refused: the list of a
-        fleet beyond 1,500 machines (at 1.5 calls a second) was never read, and each machine got a
-        shard of its own.
+        Without pauses, the cloud refuses the pages beyond its burst limit. The list of a fleet of
+        more than 1,500 machines (at 1.5 calls per second) was then never complete, and each
+        machine got a shard of its own.
         """
         instances: list[Instance] = []
         after = ""
@@ -151,7 +154,7 @@
             await sleep(self.clock, self.gap)
 
     async def _list_page(self, after: str) -> InstancePage:
-        """One page; it is asked for again a few times when it is refused."""
+        """Read one page, retrying a few times when the call fails."""
         for _ in range(PAGE_RETRIES):
             try:
                 return await self.cloud.list_instances(after)
@@ -160,24 +163,26 @@
         return await self.cloud.list_instances(after)
 
     def price(self, room: Room) -> float:
-        """What the machine costs an hour."""
+        """Return the price of the machine per hour."""
         kind = self.types.get(room.kind)
         return (kind.spot_price if room.spot else kind.price) if kind else 0.0
 
     def observe_running(self, name: str) -> None:
-        """The machine's worker sends heartbeats."""
+        """Record that the machine is up, as its worker sends heartbeats."""
         if name in self.booting:
             self.decisions.decide(MachinesStarted([name]))
 
     def inherit_requests(self) -> None:
-        """Lead from now on, by what the former leader was known to have decided."""
+        """Take over the pending requests that the former leader is known to have decided."""
         self.inherited = list(self.lead.pending.values())
 
     # -- scaling in
 
     def scale_in(self, names: list[str]) -> None:
-        """Scale in: delete instances, together, in calls that leave the cloud's rate to scaling
-        out. Those that can't be deleted now are dropped: who asked for it asks again."""
+        """Delete instances in batches, paced to leave half of the cloud's rate to scaling out.
+
+        Instances whose deletion fails are dropped from the queue; the caller requests it again.
+        """
         self.to_delete.update(name for name in names if name not in self.deleted)
         if self.to_delete and not self.is_scaling_in:
             self.is_scaling_in = True
@@ -201,11 +206,15 @@
         try:
             await self.cloud.delete_instances(names)
         except (CloudUnavailableError, NoCapacityError) as error:
-            # Who asked for it asks again while it is so.
-            log.info("deleting {names} waits: {error}", names=names, error=error)
+            # The caller requests the deletion again while its reason persists.
+            log.info(
+                "deleting {names} failed, will retry if still due: {error}",
+                names=names,
+                error=error,
+            )
             return
         log.info("deleted {names}", names=names)
-        # What was refused for want of machines may be had now.
+        # Places that were refused for lack of capacity may have some now.
         known = [self.listed.get(name) or self.booting.get(name) for name in names]
         freed = {(i.kind, i.zone, bool(i.spot)) for i in known if i is not None}
         self.decisions.decide(MachinesDeleted(names, sorted(freed)))
@@ -215,15 +224,17 @@
     def plan_scale_out(
         self, needs: list[tuple[JobSpec, int]], rooms: list[Room]
     ) -> ScaleOut | None:
-        """The next request: what free room and machines that boot don't cover; see
-        `ScaleOutPlanner.plan`."""
+        """Plan the next request for needs that free capacity and booting machines don't cover.
+
+        See `ScaleOutPlanner.plan`.
+        """
         return self.planner.plan(needs, rooms + self._booting_rooms())
 
-    def in_one_zone(self, spec: JobSpec, count: int, rooms: list[Room]) -> JobSpec:
+    def bind_to_zone(self, spec: JobSpec, count: int, rooms: list[Room]) -> JobSpec:
         """See `ScaleOutPlanner.bind_to_zone`."""
         return self.planner.bind_to_zone(spec, count, rooms)
 
-    def take(self, spec: JobSpec, count: int, rooms: list[Room]) -> int:
+    def reserve_room(self, spec: JobSpec, count: int, rooms: list[Room]) -> int:
         """See `reserve_room`."""
         return reserve_room(spec, count, rooms)
 
@@ -232,19 +243,22 @@
         return until > self.clock.seconds()
 
     def _booting_rooms(self) -> list[Room]:
-        """Machines that were created and are not up yet, as if they were empty."""
+        """Return the machines that are created but not up yet, as empty rooms.
+
+        Machines that are no longer expected are removed from `booting`.
+        """
         now = self.clock.seconds()
         rooms = []
         for name, boot in list(self.booting.items()):
             kind = self.types.get(boot.kind)
-            if kind is None or now - boot.since > kind.boot_s * FORGOTTEN_BOOT:
+            if kind is None or now - boot.since > kind.boot_s * ABANDONED_BOOT_FACTOR:
                 del self.booting[name]
-            elif now - boot.since < kind.boot_s * LATE_BOOT:
+            elif now - boot.since < kind.boot_s * LATE_BOOT_FACTOR:
                 rooms.append(empty_room(kind, name, boot.zone, boot.spot))
         return rooms
 
     async def scale_out(self, place: Place, count: int) -> None:
-        """Scale out: create so many instances, under a name that is never used again."""
+        """Create up to `count` instances, with a request name that is never reused."""
         self.requests_made += 1
         name = f"{self.registration.me}.{self.registration.incarnation}.{self.requests_made}"
         request = InstancesRequested(name, place, count)
@@ -252,9 +266,9 @@
         await self._carry_out(request)
 
     async def repeat_inherited_request(self) -> None:
-        """Repeat a former leader's request under its name: it is idempotent, whoever asks."""
+        """Repeat a former leader's request under its name, which makes it idempotent."""
         request = self.inherited.pop(0)
-        log.info("scale-out {name} of a former leader is repeated", name=request.name)
+        log.info("repeating scale-out {name} of a former leader", name=request.name)
         await self._carry_out(request)
 
     async def _carry_out(self, request: InstancesRequested) -> None:
@@ -262,9 +276,14 @@
         try:
             names = await self._create(request)
         except NoCapacityError:
-            pause_s = self._refusal_pause_s(place)
+            pause_s = self._refusal_backoff_s(place)
             self.decisions.decide(InstancesRefused(request.name, place, pause_s))
-            log.info("no {kind} in {zone} (spot {spot})", kind=kind, zone=zone, spot=spot)
+            log.info(
+                "the cloud has no capacity for {kind} in {zone} (spot: {spot})",
+                kind=kind,
+                zone=zone,
+                spot=spot,
+            )
             return
         except CloudUnavailableError:
             self.decisions.decide(InstanceRequestAbandoned(request.name))
@@ -273,16 +292,23 @@
         self.decisions.decide(InstancesGranted(request.name, place, names, pause_s))
         log.info("created {names} for {place}", names=names, place=place)
 
-    def _refusal_pause_s(self, place: Place) -> float:
-        """Twice the place's last pause, within bounds."""
-        _, last_s = self.refused.get(place, (0.0, self.list_lag_s * SHORTEST_REFUSAL_LAGS / 2))
-        return min(last_s * 2, self.list_lag_s * LONGEST_REFUSAL_LAGS)
+    def _refusal_backoff_s(self, place: Place) -> float:
+        """Return twice the last backoff of the place, within the bounds."""
+        _, last_s = self.refused.get(place, (0.0, self.list_lag_s * MIN_REFUSAL_BACKOFF_LAGS / 2))
+        return min(last_s * 2, self.list_lag_s * MAX_REFUSAL_BACKOFF_LAGS)
 
     async def _create(self, request: InstancesRequested) -> list[str]:
-        """Ask twice under the same name when the answer was lost: it is carried out once."""
+        """Send the request, and once more under the same name if the outcome is unknown.
+
+        The name makes the request idempotent, so it takes effect only once.
+        """
         kind, zone, spot = request.place
         try:
             return await self.cloud.create_instances(request.name, kind, zone, spot, request.count)
         except CloudUnavailableError as error:
-            log.info("scale-out {name} is repeated: {error}", name=request.name, error=error)
+            log.info(
+                "scale-out {name} failed, repeating it once: {error}",
+                name=request.name,
+                error=error,
+            )
         return await self.cloud.create_instances(request.name, kind, zone, spot, request.count)
--- a/src/beamspar/leader/leader.py
+++ b/src/beamspar/leader/leader.py
@@ -143,7 +143,7 @@
             self.shard_leasing.running = True
             spawn(self.shard_leasing.run(self.leadership.led_for_s()), "leasing shards")
         self.scaling.start_due_calls(now)
-        self.drainer.return_silent()
+        self.drainer.delete_failed()
         self.drainer.drain_idle(now)
 
     def heartbeat(self, heartbeat: MemberHeartbeat) -> HeartbeatResponse:
--- a/src/beamspar/leader/scaling.py
+++ b/src/beamspar/leader/scaling.py
@@ -1,4 +1,4 @@
-"""Scaling out: keeps the list of the cloud's instances current and rents what is missing."""
+"""Scaling out: keeps the list of the cloud's instances current and creates missing machines."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 log = Logger(namespace="leader")
 
-# The list is read at most once in so many pauses between calls to the cloud.
+# Minimum interval between two reads of the list, in pauses between calls to the cloud.
 LIST_INTERVAL_GAPS = 2
 
 
 class Scaling:
-    """Owns the pace of the leader's calls to the cloud: one list and one request at a time."""
+    """Paces the leader's calls to the cloud: one list and one creation request at a time."""
 
     def __init__(
         self,
@@ -34,16 +34,16 @@
         self.instance_manager = instance_manager
         self.timeouts = timeouts
         self._is_listing = False
-        self._is_renting = False
+        self._is_scaling_out = False
 
     def start_due_calls(self, now: float) -> None:
-        """Begin to read the cloud's list, and to scale out, where it is time for it."""
+        """Start to read the cloud's list and to scale out, if either is due."""
         if not self._is_listing and self._list_is_due(now):
             self._is_listing = True
             spawn(self._refresh_list(), "listing instances")
-        # Without machine types nothing can be chosen.
-        if not self._is_renting and self.instance_manager.types:
-            self._is_renting = True
+        # Without machine types there is nothing to choose from.
+        if not self._is_scaling_out and self.instance_manager.types:
+            self._is_scaling_out = True
             spawn(self._scale_out(), "scaling out")
 
     def _list_is_due(self, now: float) -> bool:
@@ -55,12 +55,12 @@
             await self.instance_manager.refresh()
         except (CloudUnavailableError, NoCapacityError) as error:
             self.instance_manager.listed_at = self.clock.seconds()
-            log.info("listing instances failed, to be repeated: {error}", error=error)
+            log.info("listing instances failed, will retry: {error}", error=error)
         finally:
             self._is_listing = False
 
     async def _scale_out(self) -> None:
-        """Finish a former leader's request, or scale out by the next machines that are needed."""
+        """Repeat a former leader's pending request, else create the next machines needed."""
         try:
             if self.instance_manager.inherited:
                 await self.instance_manager.repeat_inherited_request()
@@ -73,9 +73,9 @@
             if plan is not None:
                 await self.instance_manager.scale_out(*plan)
         except (CloudUnavailableError, NoCapacityError) as error:
-            log.info("scaling out failed, to be repeated: {error}", error=error)
+            log.info("scaling out failed, will retry: {error}", error=error)
         finally:
             self.clock.callLater(self.instance_manager.gap, self._end_pause)
 
     def _end_pause(self) -> None:
-        self._is_renting = False
+        self._is_scaling_out = False
