--- a/src/beamspar/leader/scale_out_planning.py
+++ b/src/beamspar/leader/scale_out_planning.py
@@ -1,4 +1,4 @@
-"""Which machines to create next for work that finds no room: decisions without clock and calls."""
+"""Choice of the machines to create for unmet needs: pure decisions, without clock or I/O."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.room import Room
 
-# Instances that the cloud creates by one request at most (PROTOCOL).
+# Maximum number of instances that the cloud creates in one request (PROTOCOL).
 MAX_CREATED_AT_ONCE = 50
 
 
 class ScaleOut(NamedTuple):
-    """A request to create machines."""
+    """A planned request to create machines."""
 
     place: Place
     machines: int
 
 
 class _Candidate(NamedTuple):
-    """Machines that could be created for a job; the least is the best."""
+    """Machines that could be created for a job; candidates sort best first."""
 
     price_per_task: float
-    # Machines of this type that the zone has already.
+    # Number of machines of this type that the zone already has.
     present: int
     kind: str
     zone: str
@@ -46,30 +46,34 @@
 
 
 class _PlaceGroup(NamedTuple):
-    """A place, and the zones that offer the same as it does."""
+    """A place, and all zones where the same machine type and price class can be created."""
 
     place: Place
     zones: set[str]
-    # The zone of each machine of this type that is in one of them already.
+    # The zone of each existing machine of this type in these zones.
     present: list[str]
 
-    def suits(self, places: list[Place]) -> bool:
-        """Would a job with these candidates create the same, the best one's type above all?"""
-        return self.place in places and _offer(places[0]) == _offer(self.place)
+    def matches(self, places: list[Place]) -> bool:
+        """Return whether a job with these places, best first, is served by the same request.
+
+        Its best place must have this group's type and price class, and the group's place must be
+        among its places.
+        """
+        return self.place in places and _type_and_spot(places[0]) == _type_and_spot(self.place)
 
     def next_request(self, total: int) -> ScaleOut:
-        """This place's part of so many machines.
+        """Return the request for this place's part of `total` machines.
 
-        A large need is spread over the zones: this one, with the fewest machines so far, comes up
-        to what each would have then.
+        A large need is spread over the zones: this place's zone, which has the fewest machines,
+        is filled up to the number that each zone would have with an even spread.
         """
-        level = -(-(len(self.present) + total) // len(self.zones))
-        missing = level - self.present.count(self.place[1])
+        target_per_zone = -(-(len(self.present) + total) // len(self.zones))
+        missing = target_per_zone - self.present.count(self.place[1])
         return ScaleOut(self.place, max(min(missing, total, MAX_CREATED_AT_ONCE), 1))
 
 
 class ScaleOutPlanner:
-    """Plans requests by the cloud's machine types and by what it refused a short while ago."""
+    """Plans requests by the cloud's machine types and its recent refusals."""
 
     def __init__(
         self, types: Mapping[str, MachineType], is_refused: Callable[[Place], bool]
@@ -78,25 +82,26 @@
         self.is_refused = is_refused
 
     def plan(self, needs: Iterable[tuple[JobSpec, int]], rooms: list[Room]) -> ScaleOut | None:
-        """The next request: what the rooms don't cover of the first need with such a gap, and of
-        all later ones that would create the same.
+        """Return the next request, None if there is nothing to create.
 
-        Many small needs of one machine each, after many machines died, would otherwise
-        take a request each, at half the cloud's rate. Takes what the needs get off the rooms.
+        It covers the first need that exceeds the free capacity, and all later such needs that the
+        same machines suit. After many machines died, there are many small needs of one machine
+        each, which would otherwise take one request each at half of the cloud's rate. Subtracts
+        the capacity that the needs use from `rooms`.
         """
         rooms = list(rooms)
         group: _PlaceGroup | None = None
         total = 0
         for need, count in needs:
             spec = self.bind_to_zone(need, count, rooms)
-            # What this need gets is not there for the next.
+            # Capacity that this need uses is not available to the next one.
             missing = count - reserve_room(spec, count, rooms)
             if missing <= 0:
                 continue
             places = self._places(spec, rooms)
-            if not places or (group is not None and not group.suits(places)):
+            if not places or (group is not None and not group.matches(places)):
                 continue
-            group = group or _group(places, rooms)
+            group = group or _group_places(places, rooms)
             created = self._empty_rooms(spec, missing, group.place)
             reserve_room(spec, missing, created)
             rooms += created
@@ -104,8 +109,11 @@
         return group.next_request(total) if group is not None else None
 
     def bind_to_zone(self, spec: JobSpec, count: int, rooms: list[Room]) -> JobSpec:
-        """A job whose tasks must share a zone, as if it named the one that suits it best: with
-        room for all, else with the most room of those where machines can be had."""
+        """Return the spec with the best zone filled in if the tasks must share a zone.
+
+        That is the zone with the most free capacity if all tasks fit there, else the zone with the
+        most free capacity among those where machines may be created.
+        """
         if not spec.grouped or not spec.one_zone or spec.zone is not None:
             return spec
         zones = sorted({zone for kind in self.types.values() for zone in kind.zones})
@@ -118,7 +126,7 @@
         return next((choice for choice in choices if self._places(choice, rooms)), choices[0])
 
     def _places(self, spec: JobSpec, rooms: list[Room]) -> list[Place]:
-        """Where machines for the job may be had, the best first."""
+        """Return the places where machines for the job may be created, the best first."""
         candidates: list[_Candidate] = []
         for kind in self.types.values():
             if fits_type(spec, kind):
@@ -138,14 +146,14 @@
                     yield _Candidate(price / tasks, present, kind.name, zone, spot)
 
     def _empty_rooms(self, spec: JobSpec, tasks: int, place: Place) -> list[Room]:
-        """As many new machines as so many tasks of the job take."""
+        """Return as many empty machines of the place as `tasks` tasks of the job need."""
         name, zone, spot = place
         empty = empty_room(self.types[name], zone=zone, spot=spot)
         return [copy(empty) for _ in range(-(-tasks // max(slots(spec, [empty]), 1)))]
 
 
 def reserve_room(spec: JobSpec, count: int, rooms: Iterable[Room]) -> int:
-    """Take room for so many tasks off these; returns how many found some."""
+    """Subtract the capacity for up to `count` tasks from the rooms; return how many tasks fit."""
     reserved = 0
     for room in rooms:
         if reserved >= count:
@@ -162,19 +170,19 @@
 
 
 def empty_room(kind: MachineType, name: str = "", zone: str = "", spot: bool = False) -> Room:
-    """A machine of this type without any work."""
+    """Return the capacity of a machine of this type without any tasks."""
     return Room(name, kind.name, zone, spot, kind.cpus, kind.gpus, kind.memory_gb)
 
 
-def _offer(place: Place) -> tuple[str, bool]:
-    """What is offered there, wherever that is: the type, and whether it is a spot machine."""
+def _type_and_spot(place: Place) -> tuple[str, bool]:
+    """Return the machine type of the place and whether it is spot, without the zone."""
     kind, _, spot = place
     return kind, spot
 
 
-def _group(places: list[Place], rooms: list[Room]) -> _PlaceGroup:
-    """The best of these places, with those that offer the same."""
+def _group_places(places: list[Place], rooms: list[Room]) -> _PlaceGroup:
+    """Group the best of these places with those of the same machine type and price class."""
     best = places[0]
-    zones = {place[1] for place in places if _offer(place) == _offer(best)}
+    zones = {place[1] for place in places if _type_and_spot(place) == _type_and_spot(best)}
     present = [room.zone for room in rooms if room.kind == best[0] and room.zone in zones]
     return _PlaceGroup(best, zones, present)
