--- a/src/beamspar/leader/capacity_needs.py
+++ b/src/beamspar/leader/capacity_needs.py
@@ -61,7 +61,7 @@
         """
         now = self.clock.seconds()
         needs = self.unmet_demand.current(now)
-        running = count_running(member for _, member in self.fleet_view.recently_heard(now))
+        running = count_running(member for _, member in self.fleet_view.recently_reported(now))
         self._remember_largest_jobs(running, now)
         templates = self.fleet_view.class_templates
         for name, job_class in sorted(running.items(), key=lambda item: templates[item[0]].rank):
--- a/src/beamspar/leader/fleet_view.py
+++ b/src/beamspar/leader/fleet_view.py
@@ -1,4 +1,4 @@
-"""The leader's view of the fleet: what the heartbeats of all members add up to."""
+"""The leader's view of the fleet, combined from the heartbeats of all members."""
 
 from __future__ import annotations
 
@@ -19,14 +19,15 @@
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock
 
-# How many heartbeats an offer's reservation lasts: the holder's own status shows it by then.
+# Lifetime of an offer's reservation in heartbeat intervals: by then the machine status that the
+# holder reports includes it.
 RESERVATION_HEARTBEATS = 2
 
 
 class FleetView:
     """Owns the members' views, the templates of job classes and the tentative reservations.
 
-    The map of cached images is part of the replicated decisions: it is changed by deciding.
+    The map of cached images is part of the replicated state, so it only changes by decisions.
     """
 
     def __init__(
@@ -43,7 +44,7 @@
         self.machine_types = machine_types
         self.timeouts = timeouts
         self.members: dict[str, MemberView] = {}
-        # A job of each class that was ever heard of: what its tasks ask for.
+        # A sample job of each class that was ever reported, for the resources that a task requests.
         self.class_templates: dict[str, JobSpec] = {}
         self._tentative_reservations = TentativeReservations(
             timeouts.heartbeat * RESERVATION_HEARTBEATS
@@ -52,7 +53,10 @@
     # -- heartbeats
 
     def apply_heartbeat(self, heartbeat: MemberHeartbeat, now: float) -> bool:
-        """Apply a heartbeat to its member's view; False if the member must send everything."""
+        """Apply a heartbeat to its member's view.
+
+        Return False if the member must send its complete state.
+        """
         member = self.members.get(heartbeat.member)
         if member is None or member.incarnation != heartbeat.incarnation or heartbeat.since == 0:
             member = self.members[heartbeat.member] = MemberView(heartbeat.incarnation)
@@ -73,7 +77,10 @@
             self._add_cached_images(room.name, room.images, room.kind)
 
     def _add_cached_images(self, name: str, images: dict[str, float], kind: str = "") -> None:
-        """Remember a machine's cache when its shard moves: a new holder knows less of it."""
+        """Add images to the machine's entry in the cache map.
+
+        The entry survives a move of the shard, after which the new holder knows fewer images.
+        """
         known = self.decisions.state.caches.get(name, ({}, 0))[0]
         if images.keys() - known.keys():
             merged = {**{k: v for k, v in known.items() if k not in images}, **images}
@@ -82,21 +89,21 @@
             self.decisions.decide(CacheChanged(name, merged))
 
     def caches_changed_since(self, change_count: int) -> dict[str, dict[str, float]]:
-        """The cached images of each machine whose cache changed after this count of changes."""
+        """Return the images of each machine whose cache changed after this change count."""
         return {
             name: images
             for name, (images, count) in self.decisions.state.caches.items()
             if count > change_count
         }
 
-    # -- what they add up to
+    # -- combined view
 
-    def members_heard_since(self, since: float) -> set[str]:
-        """Members whose complete picture was received at this time or later."""
+    def members_reported_since(self, since: float) -> set[str]:
+        """Return the members with complete state whose last heartbeat came at this time or later."""
         return {name for name, member in self.members.items() if member.heard_at >= since}
 
-    def recently_heard(self, now: float) -> list[tuple[str, MemberView]]:
-        """Members that were heard within one reporting interval, with their views."""
+    def recently_reported(self, now: float) -> list[tuple[str, MemberView]]:
+        """Return the members that sent a heartbeat within one report interval, with their views."""
         return [
             (name, member)
             for name, member in self.members.items()
@@ -104,14 +111,14 @@
         ]
 
     def machine_statuses(self) -> list[MachineStatus]:
-        """Statuses of machines by their present holders, and only of holders recently heard.
+        """Return the machine statuses reported by current holders that reported recently.
 
-        Machines that are in no shard any more are forgotten on the way, with their caches.
+        Machines that are no longer in any shard are removed from the view, with their caches.
         """
         found: list[MachineStatus] = []
-        for name, member in self.recently_heard(self.clock.seconds()):
-            unknown = self._collect_statuses(name, member, found)
-            for machine in unknown:
+        for name, member in self.recently_reported(self.clock.seconds()):
+            unassigned = self._collect_statuses(name, member, found)
+            for machine in unassigned:
                 del member.machines[machine]
                 if machine in self.decisions.state.caches:
                     self.decisions.decide(CacheChanged(machine, {}))
@@ -120,13 +127,16 @@
     def _collect_statuses(
         self, member_name: str, member: MemberView, found: list[MachineStatus]
     ) -> list[str]:
-        """Add the statuses of the machines that the member holds; returns those in no shard."""
+        """Append the statuses of the machines that the member holds to `found`.
+
+        Return the names of the machines that are in no shard.
+        """
         shards, shard_of = self.mirror.shards, self.mirror.shard_of
-        unknown = []
+        unassigned = []
         for machine, (status, _) in member.machines.items():
             shard_name = shard_of.get(machine)
             if shard_name is None:
-                unknown.append(machine)
+                unassigned.append(machine)
                 continue
             shard = shards.get(shard_name)
             if shard and (shard.holder, shard.fencing_token) == (
@@ -134,10 +144,13 @@
                 status.fencing_token,
             ):
                 found.append(status)
-        return unknown
+        return unassigned
 
     def rooms(self) -> list[Room]:
-        """Room on these machines, less what is tentatively reserved: copies to reckon with."""
+        """Return copies of the machines' free capacity, less the tentative reservations.
+
+        Callers may modify the copies.
+        """
         now = self.clock.seconds()
         rooms = []
         for status in self.machine_statuses():
@@ -147,5 +160,5 @@
         return rooms
 
     def reserve_tentatively(self, spec: JobSpec, room: Room, now: float) -> None:
-        """Reserve room for one task until the holder's heartbeats show that it is used."""
+        """Reserve capacity for one task until the holder's heartbeats include its use."""
         self._tentative_reservations.reserve(spec, room, now)
--- a/src/beamspar/leader/leadership.py
+++ b/src/beamspar/leader/leadership.py
@@ -115,7 +115,7 @@
         """Return the members whose complete state was received since the election."""
         if self.leading_since is None:
             return set()
-        return self.fleet_view.members_heard_since(self.leading_since)
+        return self.fleet_view.members_reported_since(self.leading_since)
 
     def confirmed_zones(self) -> set[str]:
         """Return the zones in which every shard holder is confirmed.
--- a/src/beamspar/leader/member_view.py
+++ b/src/beamspar/leader/member_view.py
@@ -1,4 +1,4 @@
-"""What the leader knows of one member, accumulated from its heartbeats."""
+"""The leader's view of one member, accumulated from its heartbeats."""
 
 from __future__ import annotations
 
@@ -21,28 +21,28 @@
 
     def __init__(self, incarnation: int) -> None:
         self.incarnation = incarnation
-        # The member's change count up to which its changes are applied.
+        # The member's change count up to which its changes have been applied.
         self.count = 0
         self.heard_at = NEVER
-        # Every machine of the member was reported at least once.
+        # Whether every machine of the member was reported at least once.
         self.complete = False
         self.machines: dict[str, ReceivedStatus] = {}
         self.classes: dict[str, JobClass] = {}
-        # Machines whose workers came to this member, for their holder does not answer them.
+        # Machines whose workers turned to this member because their holder does not answer them.
         self.unserved: list[str] = []
-        # Tasks of its jobs that are bound or waiting, and how late its timers fire.
+        # Number of bound or pending tasks of its jobs, and how late its timers fire.
         self.demand = 0
         self.late_s = 0.0
 
     def apply_heartbeat(self, heartbeat: MemberHeartbeat, now: float) -> bool:
-        """Apply a heartbeat; False if it builds on one that was not received."""
+        """Apply a heartbeat; return False if it builds on one that was not received."""
         if self.count != heartbeat.since:
             return False
         self.count, self.classes = heartbeat.count, heartbeat.classes
         self.complete = self.complete or not heartbeat.partial
         if self.complete:
-            # Before that the member counts as not heard: for capacity that was not reported
-            # yet, instances would be rented.
+            # A member with incomplete state counts as not reporting. Otherwise instances would be
+            # created to replace capacity that it has not reported yet.
             self.heard_at = now
         self.unserved = heartbeat.unserved_machines
         self.demand, self.late_s = heartbeat.demand, heartbeat.late_s
--- a/src/beamspar/leader/unserved_machines.py
+++ b/src/beamspar/leader/unserved_machines.py
@@ -1,4 +1,4 @@
-"""Machines whose workers are not answered by their holder and turn to other members."""
+"""Machines whose holder does not answer their workers, which turn to other members."""
 
 from __future__ import annotations
 
@@ -13,11 +13,13 @@
 
 
 class UnservedMachines:
-    """Finds the shards that should go to the members which their machines' workers reach.
+    """Finds the shards that should move to members that their workers can reach.
 
-    A controller cut off with its zone is not dead before its registration lease ends, and one
-    that lost only its workers not at all, but the workers' leases end sooner. A live move is
-    safe without its knowing. A crashed one, whose address refuses, is left to come back.
+    A controller that is cut off together with its zone is not dead until its registration lease
+    expires, and one that lost only its workers never is, but the leases of the workers expire
+    sooner. Moving a shard of a live holder is safe even if that holder does not observe the move.
+    A crashed controller, whose address refuses connections, keeps its shards so that it can come
+    back.
     """
 
     def __init__(
@@ -26,23 +28,23 @@
         timeouts: Timeouts,
         members: Mapping[str, MemberView],
         reachability: MemberReachability,
-        excluded: Callable[[], set[str]],
+        excluded_members: Callable[[], set[str]],
     ) -> None:
         self.mirror = mirror
         self.timeouts = timeouts
         self.members = members
         self.reachability = reachability
-        # Members that get no shards, for they are leaving.
-        self.excluded = excluded
+        # Returns the members that get no shards because they are leaving.
+        self.excluded_members = excluded_members
 
     def choose_moves(self) -> list[ShardMove]:
-        """Moves of shards whose holder the leader does not reach, or that lost its machines.
+        """Return moves of shards whose holder is unreachable, or cut off from its machines.
 
-        Holders of the latter kind get no shards for a while.
+        A holder that is cut off from its machines gets no shards for a while.
         """
         targets: dict[str, str] = {}
         cut_off = self.reachability.cut_off_members()
-        for member in sorted(self.reachability.reachable_members() - self.excluded()):
+        for member in sorted(self.reachability.reachable_members() - self.excluded_members()):
             for machine in self.members[member].unserved:
                 shard_name = self.mirror.shard_of.get(machine, "")
                 shard = self.mirror.shards.get(shard_name)
@@ -59,14 +61,14 @@
         if self.reachability.is_unreachable(shard.holder):
             return True
         if shard.holder not in cut_off or not self._is_silent(machine, shard.holder):
-            # Not for one machine alone: that one may receive nobody's answers, and would be
-            # moved from one to the next for ever.
+            # One silent machine alone is no reason to move its shard: the machine may be unable to
+            # receive responses from any member, and would be moved from one to the next forever.
             return False
         self.reachability.mark_cut_off(shard.holder)
         return True
 
     def _is_silent(self, machine: str, holder: str) -> bool:
-        """Has the holder not heard the machine for longer than it is waited for?"""
+        """Return whether the holder got no heartbeat of the machine for longer than allowed."""
         member = self.members.get(holder)
-        view, _ = member.machines.get(machine, (None, 0.0)) if member else (None, 0.0)
-        return view is not None and view.silent_s > self.timeouts.out_of_reach
+        status, _ = member.machines.get(machine, (None, 0.0)) if member else (None, 0.0)
+        return status is not None and status.silent_s > self.timeouts.out_of_reach
