--- a/src/beamspar/leader/cloud_client.py
+++ b/src/beamspar/leader/cloud_client.py
@@ -1,4 +1,4 @@
-"""Client of the cloud that creates, lists and deletes instances (PROTOCOL names them rigs)."""
+"""Client of the cloud, which creates, lists and deletes instances (PROTOCOL calls them rigs)."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from beamspar.protocol.codec import InvalidInputError, convert, pack, unpack
 from beamspar.transport.http import CallFailedError, Net
 
-# Instances that the cloud lists in one answer at most (PROTOCOL).
+# Maximum number of instances that the cloud lists in one response (PROTOCOL).
 PAGE_SIZE = 500
 
 
 class CloudUnavailableError(Exception):
-    """No usable answer; a request to create or delete instances may yet be carried out."""
+    """No usable response; a request to create or delete instances may still take effect."""
 
 
 class NoCapacityError(Exception):
-    """The cloud has no instance left of this type, zone and price class."""
+    """The cloud has no capacity left for this type, zone and price class."""
 
 
 class InstancePage(NamedTuple):
@@ -30,9 +30,9 @@
 
 
 class CloudClient:
-    """Calls of the cloud's interface.
+    """Calls to the cloud's API.
 
-    All raise CloudUnavailableError, or NoCapacityError where the cloud answers that it has none.
+    All raise CloudUnavailableError, or NoCapacityError if the cloud reports a lack of capacity.
     """
 
     def __init__(self, net: Net, address: str, limit_s: float) -> None:
@@ -41,52 +41,54 @@
         self.limit_s = limit_s
 
     async def _call(self, method: str, path: str, body: Any = None) -> dict[str, Any]:
-        """The answer's object."""
+        """Send a request and return the JSON object of the response."""
         raw = pack(body) if body is not None else None
         try:
-            answer = await self.net.request(method, self.address, path, raw, self.limit_s)
-            data = unpack(answer.body) if answer.body else {}
+            response = await self.net.request(method, self.address, path, raw, self.limit_s)
+            data = unpack(response.body) if response.body else {}
         except (CallFailedError, msgspec.DecodeError) as error:
             raise CloudUnavailableError(str(error)) from error
-        if answer.status == 503 and isinstance(data, dict) and data.get("error") == "no capacity":
+        if response.status == 503 and isinstance(data, dict) and data.get("error") == "no capacity":
             raise NoCapacityError
-        if answer.status != 200 or not isinstance(data, dict):
-            raise CloudUnavailableError(f"{method} {path}: {answer.status}")
+        if response.status != 200 or not isinstance(data, dict):
+            raise CloudUnavailableError(f"{method} {path} returned status {response.status}")
         return data
 
     async def types(self) -> list[MachineType]:
-        """Machine types with their present prices."""
+        """Return the machine types with their current prices."""
         data = await self._call("GET", "/machine_types")
         try:
-            found: list[MachineType] = convert(data.get("rig_kinds"), list[MachineType])
+            machine_types: list[MachineType] = convert(data.get("rig_kinds"), list[MachineType])
         except InvalidInputError as error:
-            raise CloudUnavailableError(f"malformed reply: {error}") from error
-        return found
+            raise CloudUnavailableError(f"malformed list of machine types: {error}") from error
+        return machine_types
 
     async def create_instances(
         self, name: str, kind: str, zone: str, spot: bool, count: int
     ) -> list[str]:
-        """Create up to so many instances; returns their names.
+        """Create up to `count` instances and return their names.
 
-        The request is idempotent: a name that was granted before gives the same answer.
+        The request is idempotent: a request name that was granted before gets the same response.
         """
         body = {"hire": name, "rig_kind": kind, "yard": zone, "standby": spot, "how_many": count}
         data = await self._call("POST", "/rentals", body)
         rigs = data.get("rigs")
         if not isinstance(rigs, list):
-            raise CloudUnavailableError("malformed reply: no list of instances")
+            raise CloudUnavailableError(
+                "malformed reply to a creation request: `rigs` is not a list"
+            )
         return [str(r) for r in rigs]
 
     async def delete_instances(self, names: list[str]) -> None:
-        """Delete instances; once this returns, they and all on them are gone."""
+        """Delete instances; once this returns, they and all tasks on them are gone."""
         await self._call("POST", "/rentals/return", {"rigs": names})
 
     async def list_instances(self, after: str) -> InstancePage:
-        """One page of the list: the instances that were created after the named one."""
+        """Return one page of the list: the instances created after the named one."""
         path = f"/rentals?most={PAGE_SIZE}" + (f"&since={after}" if after else "")
         data = await self._call("GET", path)
         try:
             page: list[Instance] = convert(data.get("rigs"), list[Instance])
         except InvalidInputError as error:
-            raise CloudUnavailableError(f"malformed reply: {error}") from error
+            raise CloudUnavailableError(f"malformed list of instances: {error}") from error
         return InstancePage(page, bool(data.get("truncated")) and bool(page))
--- a/src/beamspar/leader/shard_writer.py
+++ b/src/beamspar/leader/shard_writer.py
@@ -1,5 +1,4 @@
-"""The leader's writes of shard and partition records: in one order, within the state service's
-limits."""
+"""The leader's writes of shard and partition records, in a total order and within size limits."""
 
 from __future__ import annotations
 
@@ -18,16 +17,16 @@
 
 
 class RecordChange(NamedTuple):
-    """What a key shall store; None drops the key."""
+    """The record to store under a key; None deletes the key."""
 
     key: str
     record: dict[str, Any] | None
 
 
 class ShardWriter:
-    """Owns the order of the leader's writes.
+    """Orders the leader's writes and keeps them within the limits of the state service.
 
-    Raises ConflictError, LeaseExpiredError or StateUnavailableError where a write fails.
+    Raises ConflictError, LeaseExpiredError or StateUnavailableError if a write fails.
     """
 
     def __init__(
@@ -37,19 +36,20 @@
         self.mirror = registration.mirror
         self.state = state
         self.limits = limits
-        # The lease on which the leader's record is.
+        # The lease to which the leader record is attached.
         self.lease_id = 0
 
     async def commit(self, conditions: dict[str, int], changes: list[dict[str, Any]]) -> int:
-        """Write once as the leader; returns the revision.
+        """Commit one transaction as the leader and return its revision.
 
-        Each write checks the leader's record and writes it anew, so that all are in one order:
-        one that got no answer can't be applied after a newer one. Two leases of the same new
-        machine, grouped differently, would each have found their own key free.
+        Each transaction checks the version of the leader record and rewrites it, which puts all of
+        them in a total order: a write whose response was lost can't be applied after a newer one.
+        Otherwise two leases of the same new machine, grouped into different shards, could both
+        succeed, as each would find its own key free.
         """
         value, version = self.mirror.values.get(keys.LEADER, (None, 0))
         if value is None or value.get("name") != self.registration.me:
-            raise LeaseExpiredError("another controller leads by now")
+            raise LeaseExpiredError("this controller is not the leader any more")
         revision = await self.state.transact(
             {**self.registration.fence_condition(), **conditions, keys.LEADER: version},
             [*changes, put(keys.LEADER, value, self.lease_id)],
@@ -63,9 +63,10 @@
         changes: Sequence[tuple[str, dict[str, Any] | None]],
         conditions: dict[str, int] | None = None,
     ) -> None:
-        """Write shards and partitions, as many at a time as a transaction holds.
+        """Write shards and partitions in as few transactions as their limits allow.
 
-        Every transaction has the given conditions, and that its records are as in the mirror.
+        Each transaction checks the given conditions, and that its records have the versions in the
+        mirror.
         """
         groups = [self._within_value_limit(key, record) for key, record in changes]
         while groups:
@@ -79,21 +80,22 @@
                     self.mirror.observe(key, record, revision)
 
     def _next_batch(self, groups: list[list[RecordChange]]) -> list[RecordChange]:
-        """Take the groups off the list that one transaction holds, at least one."""
+        """Pop the groups that fit into one transaction, at least one; return their changes."""
         batch: list[RecordChange] = []
         size_kb = 0.0
         while groups and len(batch) + len(groups[0]) < self.limits.txn_ops:
             size_kb += sum(len(orjson.dumps(record)) for _, record in groups[0]) / 1024
             if batch and size_kb > job_records.MAX_TRANSACTION_KB * job_records.MARGIN:
-                # Shards of a very large fleet: more of them than one transaction holds.
+                # The shards of a very large fleet don't fit into one transaction.
                 break
             batch += groups.pop(0)
         return batch
 
     def _within_value_limit(self, key: str, record: dict[str, Any] | None) -> list[RecordChange]:
-        """The change itself, or several shards in its place where it is larger than a value may be.
+        """Return the change, split into several shards if its record exceeds the value limit.
 
-        They are written together: a machine that is in no shard counts as returned.
+        The parts must be written in one transaction, as a machine in no shard counts as returned
+        to the cloud.
         """
         whole = RecordChange(key, record)
         if not key.startswith(keys.SHARD_PREFIX) or record is None:
@@ -113,10 +115,11 @@
         ]
 
     def free_name(self, machine: str) -> str:
-        """A shard's name is its first machine's, unless another shard still goes by it.
+        """Return a shard name that is not in use: that of its first machine, if possible.
 
-        A shard keeps its name when that machine has been returned; a late copy of the
-        machine's heartbeat once got it leased again, in place of the shard and all in it.
+        A shard keeps its name after that machine was returned to the cloud. A late copy of the
+        machine's heartbeat can get the machine leased again; under the same name, its new shard
+        would replace the existing one with all machines in it.
         """
         name = machine
         while name in self.mirror.shards:
@@ -129,8 +132,7 @@
 
 
 def _halves(record: dict[str, Any]) -> list[dict[str, Any]]:
-    """A shard's record as two with half of the machines each; one of them may be empty and is
-    left out."""
+    """Split a shard's record into two with half of the machines each; omit an empty half."""
     machines = record["machines"]
     middle = -(-len(machines) // 2)
     halves = [half for half in (machines[:middle], machines[middle:]) if half]
