--- a/src/beamspar/leader/__init__.py
+++ b/src/beamspar/leader/__init__.py
@@ -1,1 +1,1 @@
-"""What only the leader does: shards, capacity offers, instances of the cloud."""
+"""Duties of the leader: assigning shards, offering capacity, and managing cloud instances."""
--- a/src/beamspar/leader/demand.py
+++ b/src/beamspar/leader/demand.py
@@ -1,4 +1,4 @@
-"""What jobs ask the leader for: requests as they come, and what of them could not be met."""
+"""Capacity demand of jobs at the leader: their requests, and the part that was not met."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class JobDemand(NamedTuple):
-    """A job's capacity request, with the job as it was submitted."""
+    """A job's capacity request, with the job's spec as submitted."""
 
     spec: JobSpec
     request: CapacityRequest
 
 
 class CapacityNeed(NamedTuple):
-    """Room that is needed for so many tasks of one job or class."""
+    """Capacity that is needed for a number of tasks of one job or class."""
 
     spec: JobSpec
     tasks: int
@@ -28,18 +28,18 @@
 
 
 class UnmetDemand:
-    """Owns, per job, how many tasks its latest capacity request left without an offer."""
+    """Tracks, per job, how many tasks of its latest capacity request got no offer."""
 
     def __init__(self, lifetime_s: float) -> None:
         self._lifetime_s = lifetime_s
         self._by_job: dict[str, _RecordedNeed] = {}
 
     def record(self, spec: JobSpec, tasks: int, now: float) -> None:
-        """Record the outcome of the job's latest request; 0 tasks mean that it was met."""
+        """Record how many tasks of the job's latest request got no offer, 0 if it was met."""
         self._by_job[spec.id] = _RecordedNeed(CapacityNeed(spec, tasks), now)
 
     def current(self, now: float) -> list[CapacityNeed]:
-        """What is unmet, the highest priority first; met and expired entries are dropped."""
+        """Return the unmet needs, the highest priority first; drop met and expired entries."""
         needs = []
         for job, (need, recorded_at) in list(self._by_job.items()):
             if now - recorded_at > self._lifetime_s or not need.tasks:
--- a/src/beamspar/leader/gang_reservations.py
+++ b/src/beamspar/leader/gang_reservations.py
@@ -1,9 +1,9 @@
-"""Machines that the leader reserves for a large gang that smaller work would starve.
+"""Machines that the leader reserves for a large gang to prevent its starvation by smaller jobs.
 
-A gang needs room for all of its tasks at one moment. Small jobs use what becomes free as soon as
-it does, so under load that moment never comes. For the gang that has waited longest, machines of
-one zone are reserved: what ends there makes room for it, and nothing else of its priority or
-below is placed there meanwhile.
+A gang needs free capacity for all of its tasks at the same time. Under load, small jobs use any
+capacity as soon as it becomes free, so the gang would never start. Therefore machines are reserved
+for the gang that has waited longest, in one zone if the gang must share one. Tasks that end there
+free capacity for the gang, and no other tasks of its priority or below are placed there meanwhile.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 
 
 class GangReservation(msgspec.Struct):
-    """Machines that are reserved for one gang."""
+    """The machines that are reserved for one gang."""
 
     job: str
     rank: int
     machines: frozenset[str]
-    # When it ends, unless the gang's capacity is requested again.
+    # Clock time at which the reservation expires unless the gang's capacity is requested again.
     expires_at: float
 
 
 class GangReservations:
-    """Owns the one reservation there may be at a time."""
+    """Owns the reservation, of which there is at most one at a time."""
 
     def __init__(self, timeouts: Timeouts) -> None:
         self.timeouts = timeouts
         self.current: GangReservation | None = None
 
     def update(self, demands: list[JobDemand], rooms: list[Room], now: float) -> None:
-        """Renew the reservation if its gang is among these, or reserve for a starving one."""
+        """Renew the reservation if its gang is among the demands, or reserve for a starving one."""
         if self.current is not None and self.current.expires_at < now:
             self.current = None
         gangs = [demand for demand in demands if demand.spec.is_gang and not demand.request.zones]
@@ -49,13 +49,13 @@
                     self.current = GangReservation(spec.id, spec.rank, machines, expires_at)
 
     def reserved_machines(self, now: float) -> frozenset[str]:
-        """Machines that no job controller uses without an offer of the leader."""
+        """Return the machines that job controllers may use only with an offer of the leader."""
         if self.current is None or self.current.expires_at < now:
             return frozenset()
         return self.current.machines
 
     def rooms_open_to(self, spec: JobSpec, rooms: list[Room]) -> list[Room]:
-        """The rooms that the job may be placed in."""
+        """Return the rooms that the current reservation leaves open to the job."""
         current = self.current
         if current is None or current.job == spec.id or spec.rank < current.rank:
             return rooms
@@ -63,8 +63,11 @@
 
 
 def _machines_for_gang(spec: JobSpec, count: int, rooms: list[Room]) -> frozenset[str]:
-    """Machines on which the gang will fit once the work there has ended, those with the most
-    room first; of one zone where the gang must share one. Empty when there are not enough."""
+    """Return machines on which the gang will fit once the tasks there have ended.
+
+    Machines with the most free capacity come first. All are in one zone if the gang must share
+    one. Empty if there are not enough machines.
+    """
     best: frozenset[str] = frozenset()
     most_free = -1
     for zone_rooms in _allowed_by_zone(spec, rooms):
@@ -83,7 +86,7 @@
 
 
 def _allowed_by_zone(spec: JobSpec, rooms: list[Room]) -> list[list[Room]]:
-    """The rooms that the gang may use: per zone if it must share one, else all together."""
+    """Return the rooms that the gang may use, grouped by zone if it must share one."""
     by_zone: dict[str, list[Room]] = {}
     for room in rooms:
         if allowed(spec, room, {}):
@@ -92,7 +95,10 @@
 
 
 def _room_when_work_ends(room: Room) -> Room:
-    """The room without the work on it that is not critical: services are, and do not end."""
+    """Return the room's capacity once its preemptible tasks have ended.
+
+    Critical tasks are services, which don't end.
+    """
     if not room.preemptible:
         return room
     cpus, gpus, memory = room.preemptible[0]
--- a/src/beamspar/leader/tentative_reservations.py
+++ b/src/beamspar/leader/tentative_reservations.py
@@ -1,4 +1,4 @@
-"""Capacity that was offered and that its holder's heartbeats do not show as used yet."""
+"""Reservations of offered capacity that its holder's heartbeats don't report as used yet."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TentativeReservation(NamedTuple):
-    """Room for one task on a machine, until it expires."""
+    """Reserved capacity for one task on a machine, until it expires."""
 
     spec: JobSpec
     expires_at: float
@@ -18,8 +18,8 @@
 class TentativeReservations:
     """Owns the reservations of recent offers, per machine.
 
-    Without them, the same room would be offered again before the holder's next heartbeat shows
-    that it is used.
+    Without them, the same capacity would be offered again before the holder's next heartbeat
+    reports it as used.
     """
 
     def __init__(self, lifetime_s: float) -> None:
@@ -27,13 +27,13 @@
         self._by_machine: dict[str, list[TentativeReservation]] = {}
 
     def reserve(self, spec: JobSpec, room: Room, now: float) -> None:
-        """Reserve room for one task, in this room and in those that are computed later."""
+        """Reserve capacity for one task, in this room and in the machine's later copies."""
         room.reserve(spec)
         reservation = TentativeReservation(spec, now + self._lifetime_s)
         self._by_machine.setdefault(room.name, []).append(reservation)
 
     def subtract_from(self, room: Room, now: float) -> None:
-        """Subtract from the room what is reserved there; expired reservations are dropped."""
+        """Subtract the machine's reservations from the room; drop expired reservations."""
         reservations = self._by_machine.get(room.name)
         if reservations is None:
             return
