--- a/src/beamspar/leader/draining.py
+++ b/src/beamspar/leader/draining.py
@@ -155,7 +155,7 @@
         for spec, tasks in self.capacity_needs.current():
             kept = tasks * KEPT_CAPACITY_FACTOR
             zone_spec = self.instance_manager.bind_to_zone(spec, kept, rooms)
-            self.instance_manager.reserve_room(zone_spec, kept, rooms)
+            self.instance_manager.reserve_capacity(zone_spec, kept, rooms)
         return {room.name for room in idle_rooms if room.cpus == free_cpus[room.name]}
 
     def _select_for_draining(
--- a/src/beamspar/leader/fleet_view.py
+++ b/src/beamspar/leader/fleet_view.py
@@ -99,7 +99,7 @@
     # -- combined view
 
     def members_reported_since(self, since: float) -> set[str]:
-        """Return the members with complete state whose last heartbeat came at this time or later."""
+        """Return the members with complete state whose last heartbeat is not older than `since`."""
         return {name for name, member in self.members.items() if member.heard_at >= since}
 
     def recently_reported(self, now: float) -> list[tuple[str, MemberView]]:
--- a/src/beamspar/leader/instance_manager.py
+++ b/src/beamspar/leader/instance_manager.py
@@ -31,7 +31,7 @@
     ScaleOut,
     ScaleOutPlanner,
     empty_room,
-    reserve_room,
+    reserve_capacity,
 )
 from beamspar.protocol.cloud import Instance, MachineType
 from beamspar.protocol.jobs import JobSpec
@@ -234,9 +234,9 @@
         """See `ScaleOutPlanner.bind_to_zone`."""
         return self.planner.bind_to_zone(spec, count, rooms)
 
-    def reserve_room(self, spec: JobSpec, count: int, rooms: list[Room]) -> int:
-        """See `reserve_room`."""
-        return reserve_room(spec, count, rooms)
+    def reserve_capacity(self, spec: JobSpec, count: int, rooms: list[Room]) -> int:
+        """See `reserve_capacity`."""
+        return reserve_capacity(spec, count, rooms)
 
     def _is_refused(self, place: Place) -> bool:
         until, _ = self.refused.get(place, (0.0, 0.0))
--- a/src/beamspar/leader/scale_out_planning.py
+++ b/src/beamspar/leader/scale_out_planning.py
@@ -95,7 +95,7 @@
         for need, count in needs:
             spec = self.bind_to_zone(need, count, rooms)
             # Capacity that this need uses is not available to the next one.
-            missing = count - reserve_room(spec, count, rooms)
+            missing = count - reserve_capacity(spec, count, rooms)
             if missing <= 0:
                 continue
             places = self._places(spec, rooms)
@@ -103,7 +103,7 @@
                 continue
             group = group or _group_places(places, rooms)
             created = self._empty_rooms(spec, missing, group.place)
-            reserve_room(spec, missing, created)
+            reserve_capacity(spec, missing, created)
             rooms += created
             total += len(created)
         return group.next_request(total) if group is not None else None
@@ -152,7 +152,7 @@
         return [copy(empty) for _ in range(-(-tasks // max(slots(spec, [empty]), 1)))]
 
 
-def reserve_room(spec: JobSpec, count: int, rooms: Iterable[Room]) -> int:
+def reserve_capacity(spec: JobSpec, count: int, rooms: Iterable[Room]) -> int:
     """Subtract the capacity for up to `count` tasks from the rooms; return how many tasks fit."""
     reserved = 0
     for room in rooms:
