--- a/tests/test_instance_manager.py
+++ b/tests/test_instance_manager.py
@@ -1,4 +1,8 @@
-"""How the leader scales out: for gangs of one zone, and beside machines that come late."""
+"""Planning of scale-outs for gangs that must share a zone, and while machines boot late.
+
+Guards against a gang that never starts because free capacity in several zones counts as enough, and
+against tasks that wait for a machine that never comes up.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +39,7 @@
     return InstanceManager(SimClock(), unused, unused, settings(), timeouts, {"big": BIG})
 
 
-def test_room_that_lies_in_several_zones_is_none_for_a_gang_of_one() -> None:
+def test_capacity_spread_over_zones_does_not_fit_a_one_zone_gang() -> None:
     place, count = instance_manager().plan_scale_out(
         [(GANG, 4)], rooms(east=3, south=2, west=3)
     ) or (
@@ -46,11 +50,11 @@
     assert count == 1
 
 
-def test_nothing_is_created_when_one_zone_has_room_for_all() -> None:
+def test_nothing_is_created_when_one_zone_fits_the_whole_gang() -> None:
     assert instance_manager().plan_scale_out([(GANG, 4)], rooms(east=2, west=4)) is None
 
 
-def test_a_zone_without_capacity_is_passed_over() -> None:
+def test_a_zone_that_recently_refused_is_skipped() -> None:
     manager = instance_manager()
     manager.refused[("big", "east", False)] = (1e9, 1.0)
     place, count = manager.plan_scale_out([(GANG, 4)], rooms(east=3, west=2)) or (
@@ -61,7 +65,7 @@
     assert count == 2
 
 
-def test_a_machine_later_than_boots_usually_are_is_no_room_to_come() -> None:
+def test_a_machine_that_boots_late_does_not_count_as_capacity() -> None:
     manager = instance_manager()
     manager.booting["host-1"] = Booting("big", "east", False, 0.0)
     task = JobSpec("j-2", "front", "red", "standing", "critical", 1, 30.0, 0.0, 1.0, "img", 1.0)
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -1,4 +1,8 @@
-"""How the leader writes shards whose records are larger than the announced limit."""
+"""The leader splits shards whose records exceed the announced limit on the size of a value.
+
+The limit takes effect without notice, and the state service then refuses larger records. The parts
+must be written in one transaction, as a machine that is in no shard in between counts as returned.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +27,7 @@
 
 
 class TransactionRecorder:
-    """A state service that accepts every transaction and records it."""
+    """State service stand-in that accepts every transaction and records it."""
 
     def __init__(self) -> None:
         self.revision = 10
@@ -58,7 +62,7 @@
     return [Machine(f"host-{n}", f"10.0.0.{n}:9000", "big", "east") for n in range(count)]
 
 
-def test_a_shard_that_outgrew_the_limit_is_split_in_one_write() -> None:
+def test_a_shard_above_the_value_limit_is_split_in_one_transaction() -> None:
     leader, recorder = make_leader(NextLimits(value_kb=1.0))
     leader.registration.mirror.observe(KEY, shard_record("rig-1", machines(20)), 7)
     moved = shard_record("rig-0", machines(20), previous_holder_may_act=True)
@@ -72,7 +76,7 @@
     assert sorted(names) == sorted(machine.name for machine in machines(20))
 
 
-def test_parts_of_one_shard_are_never_in_two_writes() -> None:
+def test_parts_of_one_shard_are_never_split_between_transactions() -> None:
     leader, recorder = make_leader(NextLimits(value_kb=1.0, txn_ops=6))
     changes = []
     for n in range(4):
@@ -82,9 +86,9 @@
     for _, written in recorder.written:
         assert len(written) <= 6
     for key, value in changes:
-        wanted = {machine["name"] for machine in value["machines"]}
+        expected = {machine["name"] for machine in value["machines"]}
         holding = [
             {m["name"] for c in written if c["put"] != keys.LEADER for m in c["data"]["machines"]}
             for _, written in recorder.written
         ]
-        assert sum(1 for there in holding if there & wanted) == 1, key
+        assert sum(1 for written_names in holding if written_names & expected) == 1, key
--- a/tests/test_leader_decisions.py
+++ b/tests/test_leader_decisions.py
@@ -1,4 +1,4 @@
-"""The leader's pure decisions: which machines have failed, headroom, reservations, unmet demand."""
+"""The leader's pure decisions: failed machines, headroom, reservations, demand, preemption."""
 
 from __future__ import annotations
 
@@ -51,13 +51,13 @@
     batch = msgspec.structs.replace(SPEC, shape="sweep", priority="normal")
     assert headroom(batch, {"east": 60, "west": 40}, 1, 0.1, 3) == 11
     assert headroom(batch, {"east": 60, "west": 40}, 8, 0.1, 3) == 16
-    # Only services that users wait for must survive the loss of a zone.
+    # Only services that serve user requests must survive the loss of a zone.
     assert headroom(SPEC, {"east": 60, "west": 40}, 8, 0.1, 3) == 60
     assert headroom(SPEC, {"east": 60, "west": 40}, 8, 0.1, 1) == 16
     assert headroom(SPEC, {}, 0, 0.1, 3) == 1
 
 
-def test_what_runs_of_a_class_is_summed_over_members() -> None:
+def test_running_tasks_of_a_class_are_summed_over_members() -> None:
     first, second = MemberView(1), MemberView(1)
     first.classes = {"front": JobClass({}, 3, {"east": 2})}
     second.classes = {"front": JobClass({}, 2, {"east": 1, "west": 4}), "back": JobClass({}, 1)}
@@ -84,7 +84,7 @@
     assert other.cpus == 4.0
 
 
-def test_unmet_demand_is_forgotten_when_it_is_met_or_old() -> None:
+def test_unmet_demand_is_dropped_once_it_is_met_or_expired() -> None:
     demand = UnmetDemand(lifetime_s=3.0)
     low = msgspec.structs.replace(SPEC, id="j-low", priority="low")
     met = msgspec.structs.replace(SPEC, id="j-met")
@@ -101,7 +101,7 @@
     return CapacityRequest({}, count, {}, {}, [])
 
 
-def test_only_work_above_the_lowest_priority_preempts() -> None:
+def test_only_jobs_above_the_lowest_priority_preempt() -> None:
     full = room(cpus=0.0)
     full.preemptible = [(4.0, 0.0, 0.0)] * 4
     placement = choose_by_preemption(JobDemand(SPEC, request(1)), [full], {})
--- a/tests/test_shard_distribution.py
+++ b/tests/test_shard_distribution.py
@@ -1,4 +1,8 @@
-"""Which member gets which shard where machines are new or unevenly held."""
+"""Assignment of shards to members when machines are new or unevenly distributed.
+
+Guards against holders outside the zone of their machines, which a network partition separates from
+them, and against shards that move for a small imbalance.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +39,7 @@
     return choose_balancing_moves(held, counts, SITES, max_moves)
 
 
-def test_new_machines_go_to_their_zone_and_there_to_who_holds_least() -> None:
+def test_new_machines_go_to_the_least_loaded_member_of_their_zone() -> None:
     counts = {"a": 3, "b": 1, "c": 0}
     new = assign_new_machines(machines(4) + machines(2, "west"), 2, counts, SITES)
     assert [(shard.holder, len(shard.machines)) for shard in new] == [("b", 2), ("a", 2), ("c", 2)]
@@ -54,20 +58,20 @@
         assign_new_machines(machines(1), 1, {}, SITES)
 
 
-def test_shard_size_moves_a_controllers_machines_in_one_transaction() -> None:
+def test_shard_size_lets_one_transaction_move_all_of_a_controller() -> None:
     operations = LIMITS.txn_ops
     assert choose_shard_size(3 * operations * 2, 3, LIMITS, 0) == 2
     assert choose_shard_size(3 * operations * 2 + 1, 3, LIMITS, 0) == 3
     assert choose_shard_size(0, 0, LIMITS, 0) == 1
     assert choose_shard_size(10**6, 3, LIMITS, 5) == 5
-    assert choose_shard_size(10**9, 1, LIMITS, 0) == _fitting(LIMITS)
+    assert choose_shard_size(10**9, 1, LIMITS, 0) == _max_size(LIMITS)
 
 
-def _fitting(limits: StateServiceLimits) -> int:
+def _max_size(limits: StateServiceLimits) -> int:
     return int(limits.value_kb * 1024 / 2 / MACHINE_RECORD_BYTES)
 
 
-def test_a_shard_outside_its_zone_goes_back_whatever_the_counts_are() -> None:
+def test_a_shard_outside_its_zone_moves_back_regardless_of_the_counts() -> None:
     held = shards("a", 1, zone="west") | shards("c", 5, zone="west")
     assert balance(held)[0] == ShardMove("a-west-0", "a", "c")
 
@@ -82,7 +86,7 @@
     assert balance(shards("a", 6) | shards("b", 6)) == []
 
 
-def test_moves_are_at_most_so_many_and_only_among_counted_members() -> None:
+def test_moves_are_limited_and_only_among_counted_members() -> None:
     held = shards("a", 20) | shards("c", 20, zone="west") | shards("d", 20)
     moves = balance(held, max_moves=2)
     assert len(moves) == 2 and {move.source for move in moves} == {"a"}
