--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,8 @@
-"""What grows with the fleet is cut to the size that one message or one page may have."""
+"""Messages and lists that grow with the fleet are split to fit the limits of a message or page.
+
+Guards against large fleets whose heartbeats or desired state exceed what a peer accepts, and whose
+instance list is never read completely because the cloud refuses calls above its rate limit.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +39,7 @@
 
 
 def managed_fleet(count: int) -> tuple[SimClock, Registration, MachineController]:
-    """A controller that manages the whole fleet alone, each machine full of small tasks."""
+    """Return a controller that manages a whole fleet alone, each machine full of small tasks."""
     clock, unused = SimClock(), Timeouts(settings(), OperatorSettings())
     store: Any = None
     registration = Registration(clock, store, settings(), unused)
@@ -56,7 +60,7 @@
     return clock, registration, holder
 
 
-def test_a_full_heartbeat_goes_in_parts_that_a_peer_accepts() -> None:
+def test_a_full_heartbeat_is_split_into_parts_that_a_peer_accepts() -> None:
     _, _, holder = managed_fleet(LARGEST_FLEET)
     sent: list[str] = []
     known, parts = 0, 0
@@ -85,8 +89,8 @@
     assert names == set(holder.machines)
 
 
-class OneJobStore:
-    """A job controller's partition with the same tasks on every machine."""
+class StubJobStore:
+    """Job store stand-in with one loaded partition and no jobs; it may start everything."""
 
     def __init__(self, registration: Registration) -> None:
         self.jobs: dict[str, Job] = {}
@@ -104,17 +108,17 @@
 def assigned_fleet(count: int) -> tuple[Registration, Assignments]:
     clock, registration, _ = managed_fleet(count)
     assignments = Assignments(
-        clock, registration, Timeouts(settings(), OperatorSettings()), OneJobStore(registration)
+        clock, registration, Timeouts(settings(), OperatorSettings()), StubJobStore(registration)
     )
     for name in registration.mirror.shard_of:
-        there: dict[tuple[str, int], Any] = {}
+        tasks: dict[tuple[str, int], Any] = {}
         for index in range(TASKS_EACH):
-            there[(f"j-{name}", index)] = (None, Task())
-        assignments.by_machine[name] = there
+            tasks[(f"j-{name}", index)] = (None, Task())
+        assignments.by_machine[name] = tasks
     return registration, assignments
 
 
-def test_desired_state_of_a_large_fleet_is_cut_by_machines() -> None:
+def test_desired_state_of_a_large_fleet_is_split_by_machines() -> None:
     registration, assignments = assigned_fleet(LARGEST_FLEET)
     parts = assignments._split(registration.me, None)
     assert len(parts) > 1 and None not in parts
@@ -135,7 +139,7 @@
 
 
 def test_a_machine_without_desired_attempts_is_named_in_a_part() -> None:
-    """What was desired there before would stay so at its holder."""
+    """Otherwise its holder would keep the machine's previous desired state."""
     registration, assignments = assigned_fleet(20)
     del assignments.by_machine["host-000007"]
     parts = assignments._split(registration.me, None, max_attempts=40)
@@ -143,25 +147,25 @@
     assert "host-000007" in set().union(*(part or set() for part in parts))
 
 
-def test_what_fits_is_sent_at_once() -> None:
+def test_desired_state_that_fits_is_sent_in_one_message() -> None:
     registration, assignments = assigned_fleet(20)
     assert assignments._split(registration.me, None) == [None]
     assert assignments._split(registration.me, {"host-000001"}) == [{"host-000001"}]
 
 
 @pytest.mark.parametrize("lost", [0, 1, 2])
-def test_parts_after_a_lost_one_are_not_sent_and_all_is_due_again(lost: int) -> None:
+def test_after_a_lost_part_the_others_are_held_back_and_all_are_due_again(lost: int) -> None:
     registration, assignments = assigned_fleet(30)
     registration.mirror.partitions.clear()
     sent: list[set[str] | None] = []
 
-    async def tell(holder: str, machines: set[str] | None) -> bool:
+    async def send_part(holder: str, machines: set[str] | None) -> bool:
         sent.append(machines)
         return len(sent) <= lost
 
-    assignments._send_part = tell  # type: ignore[method-assign]
-    whole = assignments._split
-    assignments._split = lambda holder, names: whole(holder, names, 40)  # type: ignore
+    assignments._send_part = send_part  # type: ignore[method-assign]
+    split = assignments._split
+    assignments._split = lambda holder, names: split(holder, names, 40)  # type: ignore
     due = set(registration.mirror.shard_of)
     assignments.changed_machines[registration.me] = set(due)
     assignments.publishing_to.add(registration.me)
@@ -171,7 +175,7 @@
 
 
 class PagedCloud:
-    """Lists machines by pages, and refuses the calls that the test says."""
+    """Cloud stand-in that lists machines in pages and refuses the given calls."""
 
     def __init__(self, clock: SimClock, count: int, refused: set[int]) -> None:
         self.clock = clock
@@ -194,28 +198,28 @@
 def listed(refused: set[int]) -> tuple[InstanceManager, PagedCloud, Deferred[None]]:
     clock, unused = SimClock(), None
     cloud: Any = PagedCloud(clock, 4000, refused)
-    nobody: Any = unused
+    no_registration: Any = unused
     manager = InstanceManager(
-        clock, cloud, nobody, settings(), Timeouts(settings(), OperatorSettings()), {}
+        clock, cloud, no_registration, settings(), Timeouts(settings(), OperatorSettings()), {}
     )
     done = ensureDeferred(manager.refresh())
     clock.advance_to(100.0)
     return manager, cloud, done
 
 
-def test_pages_of_the_list_leave_half_of_the_rate() -> None:
+def test_listing_pages_uses_at_most_half_of_the_rate() -> None:
     manager, cloud, _ = listed(refused=set())
     assert len(manager.listed) == manager.counted == 4000
     pauses = [b - a for a, b in zip(cloud.calls, cloud.calls[1:], strict=False)]
     assert len(cloud.calls) == 8 and min(pauses) >= manager.gap - 1e-9
 
 
-def test_a_refused_page_is_asked_for_again() -> None:
+def test_a_refused_page_is_requested_again() -> None:
     manager, cloud, _ = listed(refused={3, 5, 6})
     assert len(manager.listed) == 4000 and len(cloud.calls) == 11
 
 
-def test_a_page_that_stays_refused_ends_the_list_and_keeps_the_count() -> None:
+def test_a_page_that_stays_refused_fails_the_list_and_keeps_the_count() -> None:
     manager, cloud, done = listed(refused=set(range(3, 100)))
     failures: list[Any] = []
     done.addErrback(failures.append)
