--- a/src/beamspar/leader/draining.py
+++ b/src/beamspar/leader/draining.py
@@ -40,7 +40,7 @@
     """The fleet's machines, grouped by whether they may be deleted."""
 
     # Machines to delete now, because they are drained or unfit for use.
-    to_return: list[str] = msgspec.field(default_factory=list)
+    to_delete: list[str] = msgspec.field(default_factory=list)
     # Copies of the rooms of machines that stay in any case.
     kept_rooms: list[Room] = msgspec.field(default_factory=list)
     idle: list[IdleMachine] = msgspec.field(default_factory=list)
@@ -112,7 +112,7 @@
             self.draining.clear()
             return
         occupancy = self._occupancy(now)
-        for name in occupancy.to_return:
+        for name in occupancy.to_delete:
             # Queued one by one: the first is deleted at once, the others by later calls.
             self.instance_manager.scale_in([name])
         if not any(machine.idle_s > self.timeouts.idle for machine in occupancy.idle):
@@ -137,7 +137,7 @@
                 is_unfit = status.is_degraded and status.is_quarantined
                 if is_empty and (is_drained or is_unfit):
                     # An unfit machine takes the place of a healthy one that could be created.
-                    occupancy.to_return.append(name)
+                    occupancy.to_delete.append(name)
                 elif not is_empty or status.is_expired or status.is_quarantined:
                     occupancy.kept_rooms.append(copy(status.room))
                 else:
--- a/src/beamspar/leader/shard_leasing.py
+++ b/src/beamspar/leader/shard_leasing.py
@@ -30,8 +30,8 @@
 
 log = Logger(namespace="leader")
 
-# One rebalancing pass moves at most this fraction (1/n) of the shards that a transaction could:
-# a new holder must reach each worker before it can start tasks there.
+# One rebalancing pass uses at most this fraction (1/n) of a transaction's operations, as a new
+# holder must reach each worker before it can start tasks there.
 BALANCING_OPERATIONS_DIVISOR = 4
 
 
