--- a/src/beamspar/leader/instance_manager.py
+++ b/src/beamspar/leader/instance_manager.py
@@ -82,15 +82,16 @@
         self.list_lag_s = settings.platform.cloud.list_lag_s
         # Pause between two calls of one kind, in seconds; it uses half of the cloud's rate limit.
         # One half is for creating instances, the other for lists and deletions.
-        self.gap = 2.0 / settings.platform.cloud.rps
+        self.call_interval_s = 2.0 / settings.platform.cloud.rps
         self.types = types
         self.planner = ScaleOutPlanner(types, self._is_refused)
         self.listed: dict[str, Instance] = {}
         # Number of listed instances; while pages are being read, at least those read so far.
-        self.counted = 0
+        self.listed_count = 0
         self.decisions = decisions or DecisionLog(clock, LeadState())
         self.lead = self.decisions.state
-        # Parts of the replicated state: modified by decisions, only read here.
+        # Parts of the replicated state, which decisions modify. Only entries of `booting` are also
+        # added and removed here without a decision, as the cloud's list and the time show.
         self.booting = self.lead.booting
         self.refused = self.lead.refused
         self.deleted = self.lead.returned
@@ -111,7 +112,7 @@
         now = self.clock.seconds()
         self.listed_at = now
         self.listed = {instance.machine: instance for instance in instances}
-        self.counted = len(instances)
+        self.listed_count = len(instances)
         for instance in instances:
             if instance.machine in self.deleted:
                 continue
@@ -147,11 +148,11 @@
         while True:
             page = await self._list_page(after)
             instances.extend(page.instances)
-            self.counted = max(self.counted, len(instances))
+            self.listed_count = max(self.listed_count, len(instances))
             if not page.truncated:
                 return instances
             after = page.instances[-1].machine
-            await sleep(self.clock, self.gap)
+            await sleep(self.clock, self.call_interval_s)
 
     async def _list_page(self, after: str) -> InstancePage:
         """Read one page, retrying a few times when the call fails."""
@@ -159,7 +160,7 @@
             try:
                 return await self.cloud.list_instances(after)
             except CloudUnavailableError:
-                await sleep(self.clock, self.gap)
+                await sleep(self.clock, self.call_interval_s)
         return await self.cloud.list_instances(after)
 
     def price(self, room: Room) -> float:
@@ -198,7 +199,7 @@
                     await self._delete(names)
                 finally:
                     self.deleting.difference_update(names)
-                await sleep(self.clock, self.gap)
+                await sleep(self.clock, self.call_interval_s)
         finally:
             self.is_scaling_in = False
 
--- a/src/beamspar/leader/scaling.py
+++ b/src/beamspar/leader/scaling.py
@@ -13,8 +13,8 @@
 
 log = Logger(namespace="leader")
 
-# Minimum interval between two reads of the list, in pauses between calls to the cloud.
-LIST_INTERVAL_GAPS = 2
+# Minimum interval between two reads of the list, in intervals between calls to the cloud.
+LIST_INTERVAL_CALLS = 2
 
 
 class Scaling:
@@ -47,7 +47,9 @@
             spawn(self._scale_out(), "scaling out")
 
     def _list_is_due(self, now: float) -> bool:
-        interval_s = max(self.timeouts.report, self.instance_manager.gap * LIST_INTERVAL_GAPS)
+        interval_s = max(
+            self.timeouts.report, self.instance_manager.call_interval_s * LIST_INTERVAL_CALLS
+        )
         return now - self.instance_manager.listed_at > interval_s
 
     async def _refresh_list(self) -> None:
@@ -75,7 +77,7 @@
         except (CloudUnavailableError, NoCapacityError) as error:
             log.info("scaling out failed, will retry: {error}", error=error)
         finally:
-            self.clock.callLater(self.instance_manager.gap, self._end_pause)
+            self.clock.callLater(self.instance_manager.call_interval_s, self._end_pause)
 
     def _end_pause(self) -> None:
         self._is_scaling_out = False
--- a/src/beamspar/leader/shard_leasing.py
+++ b/src/beamspar/leader/shard_leasing.py
@@ -179,7 +179,9 @@
     def _shard_size(self, new_machines: int) -> int:
         # The cloud's list may be stale or unavailable, so machines that send heartbeats are
         # counted as well.
-        fleet_size = max(self.instance_manager.counted, len(self.mirror.shard_of) + new_machines)
+        fleet_size = max(
+            self.instance_manager.listed_count, len(self.mirror.shard_of) + new_machines
+        )
         return choose_shard_size(
             fleet_size,
             self.settings.platform.nodes,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -209,9 +209,9 @@
 
 def test_listing_pages_uses_at_most_half_of_the_rate() -> None:
     manager, cloud, _ = listed(refused=set())
-    assert len(manager.listed) == manager.counted == 4000
+    assert len(manager.listed) == manager.listed_count == 4000
     pauses = [b - a for a, b in zip(cloud.calls, cloud.calls[1:], strict=False)]
-    assert len(cloud.calls) == 8 and min(pauses) >= manager.gap - 1e-9
+    assert len(cloud.calls) == 8 and min(pauses) >= manager.call_interval_s - 1e-9
 
 
 def test_a_refused_page_is_requested_again() -> None:
@@ -225,4 +225,4 @@
     done.addErrback(failures.append)
     assert failures[0].check(CloudUnavailableError)
     assert len(cloud.calls) == 2 + 1 + PAGE_RETRIES
-    assert manager.listed == {} and manager.counted == 1000
+    assert manager.listed == {} and manager.listed_count == 1000
