--- a/src/beamspar/machines/command_planning.py
+++ b/src/beamspar/machines/command_planning.py
@@ -1,4 +1,4 @@
-"""Which commands the difference between the desired and the observed state calls for."""
+"""Plans the commands that bring a machine's observed state to its desired state."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class NextStep(Enum):
-    """What follows for a desired attempt that the worker does not report."""
+    """The next step for a desired attempt that the worker does not report."""
 
     WAIT = auto()
     START = auto()
@@ -43,8 +43,11 @@
 
     # -- attempts that the worker reports
 
-    def stops_and_clears(self, machine: ManagedMachine) -> list[Command]:
-        """The commands for attempts that are there; changes nothing."""
+    def plan_stops_and_clears(self, machine: ManagedMachine) -> list[Command]:
+        """Return the stop and clear commands that are due for attempts that the worker reports.
+
+        Changes no state.
+        """
         may_be_cancelled = bool(self.mirror.cancelled or self.mirror.announced_cancellations)
         present = [
             (key, machine.tasks[key]) for key in machine.pending_keys if key in machine.tasks
@@ -65,7 +68,8 @@
     def _stop_grace_s(
         self, machine: ManagedMachine, key: AttemptKey, may_be_cancelled: bool
     ) -> float | None:
-        """The time to save of an attempt that is to stop; None if it is to go on."""
+        """Return the grace period in which a stopping attempt may save its progress, or None if
+        the attempt is to continue."""
         if may_be_cancelled and self.mirror.is_cancelled(key.job):
             return 0.0
         if key in machine.orphaned:
@@ -76,15 +80,19 @@
         if key in machine.preempted:
             return machine.preempted[key]
         if desired is not None and machine.termination_notice_s is not None:
-            # The machine is about to go: save what can be saved, go on elsewhere.
+            # The machine is about to be terminated: its attempts save their progress and continue
+            # on other machines.
             return stop_grace_s(desired, self.timeouts.gang_peer)
         return None
 
     # -- attempts that the worker does not report
 
     def plan_starts(self, machine: ManagedMachine) -> list[Command]:
-        """The start commands that are due. Marks attempts that can't run any more as terminated,
-        chooses what is preempted, and raises the command token where a start must not happen."""
+        """Return the start commands that are due.
+
+        Marks attempts that can no longer run as terminated, selects attempts to preempt, and raises
+        the command token to prevent indeterminate starts that must not be executed.
+        """
         commands: list[Command] = []
         if not machine.has_confirmed_token:
             return commands
@@ -97,7 +105,7 @@
         ]
         are_starts_paused = machine.starts_paused_until > self.clock.seconds()
         for key, desired in sorted(absent, key=lambda item: item[1].rank):
-            # One at a time: what is decided of one attempt counts for the next.
+            # One at a time, because each decision changes the state that the next one is based on.
             step = self._next_step(machine, key, desired, are_starts_paused)
             if step is NextStep.START:
                 commands.append(StartCommand(key.task, key.attempt))
@@ -105,7 +113,7 @@
                 self._raise_token(machine)
                 return commands
             else:
-                self._carry_out(machine, key, desired, step)
+                self._apply_step(machine, key, desired, step)
         self._release_orphans(machine)
         return commands
 
@@ -121,7 +129,7 @@
         if start is None and are_starts_paused and may_need_start:
             return NextStep.WAIT
         if start is not None and start.is_known_executed:
-            # It was there, and a newer report does not list it.
+            # It was running, and a newer report does not list it.
             return NextStep.DECLARE_GONE
         if desired.action == DesiredAction.HOLD:
             return self._next_step_of_hold(machine, key, desired)
@@ -142,7 +150,7 @@
         self, machine: ManagedMachine, key: AttemptKey, desired: DesiredAttempt
     ) -> NextStep:
         if key in machine.starts:
-            # Repeated until it is answered: it does nothing where the worker has the attempt.
+            # Resent until it is answered: a start has no effect if the worker has the attempt.
             return NextStep.START
         if not self.summaries.is_usable(machine):
             return NextStep.REFUSE
@@ -150,7 +158,7 @@
             return NextStep.START
         return NextStep.PREEMPT if desired.preempt else NextStep.REFUSE
 
-    def _carry_out(
+    def _apply_step(
         self, machine: ManagedMachine, key: AttemptKey, desired: DesiredAttempt, step: NextStep
     ) -> None:
         if step is NextStep.DECLARE_GONE:
@@ -166,7 +174,8 @@
     def _preempt_for(
         self, machine: ManagedMachine, key: AttemptKey, desired: DesiredAttempt
     ) -> bool:
-        """Choose lower work to stop for this attempt; whether that will make room."""
+        """Preempt attempts of lower priority for this one; return whether that will free enough
+        resources."""
         free = self.summaries.free_resources(machine, key)
         victims = choose_victims(machine, key, desired, free)
         if victims is None:
@@ -176,7 +185,7 @@
                 machine.preempted[victim] = stop_grace_s(attempt, self.timeouts.gang_peer)
                 machine.mark_changed(victim)
                 log.info(
-                    "{machine}: {victim} is preempted for {task}",
+                    "{machine}: preempting {victim} for {task}, which has a higher priority",
                     machine=machine.info.name,
                     victim=victim.task,
                     task=key.task,
@@ -184,7 +193,8 @@
         return True
 
     def _release_orphans(self, machine: ManagedMachine) -> None:
-        """Forget orphaned attempts that can't start any more; supersede the others' starts."""
+        """Remove orphaned attempts that can no longer start, and supersede the starts of the
+        others."""
         for key in list(machine.orphaned):
             if key in machine.terminated or key in machine.tasks:
                 continue
@@ -196,27 +206,28 @@
                 return
 
     def _raise_token(self, machine: ManagedMachine) -> None:
-        """A start that nobody wants any more may still be under way: supersede it.
+        """Raise the command token to supersede an unwanted start that may still be in transit.
 
-        The machine is ours by all that the mirror holds, so a lease that we don't know of is
-        newer than that, and so is its fencing token: up to the mirror's revision the token is
-        ours to raise. Repeating the start to stop it at once would start what its user has
-        cancelled.
+        According to the mirror this controller holds the machine. A lease that the mirror lacks is
+        newer than the mirror's revision, and so is its fencing token, so this controller may raise
+        the token up to that revision. The alternative, resending the start in order to stop the
+        attempt at once, would start a task that its user has cancelled.
         """
         if self.mirror.revision > machine.command_token:
             machine.command_token = self.mirror.revision
             machine.has_confirmed_token = False
             machine.mark_all_changed()
             log.info(
-                "{machine}: token raised to {token}, to supersede indeterminate starts",
+                "{machine}: raised the command token to {token} to supersede indeterminate starts",
                 machine=machine.info.name,
                 token=machine.command_token,
             )
 
-    # -- what is left to do
+    # -- convergence
 
     def update_convergence(self, machine: ManagedMachine, due: list[Command]) -> None:
-        """Keep as pending only what may still need something; is anything left on the machine?"""
+        """Remove settled attempts from the pending ones, and record whether the machine has
+        converged."""
         machine.pending_keys = {
             key: None for key in machine.pending_keys if not self._is_settled(machine, key)
         }
@@ -233,8 +244,11 @@
         )
 
     def _is_settled(self, machine: ManagedMachine, key: AttemptKey) -> bool:
-        """Is the attempt as it is wanted, and does its job controller know? Then nothing is due
-        for it before it is marked as changed again."""
+        """Return whether the attempt is in its desired state and its job controller has been
+        informed of that.
+
+        Nothing is due for a settled attempt until it is marked as changed again.
+        """
         task, desired = machine.tasks.get(key), machine.desired_attempts.get(key)
         if desired is None:
             return task is None
@@ -242,7 +256,7 @@
         if observed is None or machine.acknowledged_statuses.get(key) != observed:
             return False
         if task is None:
-            # It is terminated, and its job controller knows.
+            # It is terminated, and its job controller has been informed.
             return True
         return (
             task.status != "ended"
@@ -255,8 +269,8 @@
 
 
 def _is_to_be_cleared(machine: ManagedMachine, key: AttemptKey, task: TaskStatus) -> bool:
-    # After a clear the worker has forgotten the attempt, so a start still under way would run
-    # it once more: never clear while a start is indeterminate.
+    # After a clear the worker no longer has a record of the attempt, so a start still in transit
+    # would run it once more: an attempt is never cleared while its start is indeterminate.
     if task.status != "ended" or machine.has_indeterminate_start(key):
         return False
     desired = machine.desired_attempts.get(key)
@@ -266,10 +280,11 @@
 
 
 def _next_step_of_unwanted(machine: ManagedMachine, start: SentStart | None) -> NextStep:
-    """An attempt that must not run: it is to stop or to be cleared, or its job is cancelled."""
+    """Return the next step for an attempt that must not run: its desired action is to stop or
+    clear it, or its job is cancelled."""
     if start is None:
-        # A report that confirms our token does not list it, older tokens are fenced out and
-        # under this one it was never sent.
+        # A report that confirms the command token does not list it, commands under older tokens
+        # are fenced out, and no start was sent under this one.
         return NextStep.DECLARE_GONE
     if machine.is_superseded(start):
         return NextStep.DECLARE_GONE
--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -1,8 +1,8 @@
-"""The machine controller: alone answers the heartbeats of its machines and sends them commands.
+"""The machine controller: the only sender of heartbeat replies and commands to its machines.
 
-Its state is soft: it is learned anew from job controllers' desired state and workers' heartbeats.
-An attempt is declared `gone` only on proof, and `gone` is final: it will not be started again under
-that fencing token.
+Its state is soft: it is rebuilt from the job controllers' desired state and the workers'
+heartbeats. An attempt is declared `gone` only on proof, and `gone` is final: the attempt is not
+started again under that fencing token.
 """
 
 from __future__ import annotations
@@ -41,12 +41,12 @@
 
 log = Logger(namespace="machines")
 
-# How much later than a pause its end is looked at, so that the pause is certainly over.
+# Added to the length of a pause before starts resume, so that the pause has certainly ended.
 RESUME_DELAY_S = 0.001
 
 
-class HeartbeatAnswer(NamedTuple):
-    """What a worker's heartbeat is answered with."""
+class HeartbeatReply(NamedTuple):
+    """The reply to a worker's heartbeat."""
 
     fencing_token: int
     commands: list[Command]
@@ -59,15 +59,16 @@
 class MachineController:
     """Owns the machines of this controller's shards.
 
-    What others set once all actors of the process are made:
+    These attributes are set from outside once all components of the process exist:
 
     - `push` sends statuses to the controller that owns their jobs;
     - `on_room` is called when an attempt has ended;
-    - `on_released` is called for each machine that became another controller's, with its new
+    - `on_released` is called for each machine that has moved to another controller, with the new
       holder and fencing token;
-    - `repeats_at_once`: commands that only lacked the worker's epoch are repeated without a pause;
-    - `caches` is the cache map as the leader passes it on: heartbeats don't list what is cached,
-      so a new holder would think its machines cold.
+    - `repeats_at_once` enables resending commands without a pause if they were refused only for
+      an outdated agent epoch;
+    - `caches` is the map of cached images that the leader distributes. Heartbeats don't list
+      cached images, so without it a new holder would assume that its machines have none.
     """
 
     def __init__(
@@ -99,18 +100,18 @@
         )
         self.planner = CommandPlanner(clock, self.mirror, self.summaries, timeouts)
         self.sender = CommandSender(clock, workers, self.observer, timeouts, self)
-        self.orphans = OrphanDetector(clock, timeouts, check_binding, self)
+        self.orphan_detector = OrphanDetector(clock, timeouts, check_binding, self)
         self.mirror.listeners.append(self._mirror_changed)
 
-    # -- shards come and go
+    # -- changes of the shards
 
     def _mirror_changed(self, key: str) -> None:
         if key.startswith(keys.SHARD_PREFIX):
-            self._adopt(key.removeprefix(keys.SHARD_PREFIX))
+            self._update_shard(key.removeprefix(keys.SHARD_PREFIX))
         elif key.startswith(keys.CANCELLATION_PREFIX):
-            self._follow_cancellation(key.removeprefix(keys.CANCELLATION_PREFIX))
+            self._handle_cancellation(key.removeprefix(keys.CANCELLATION_PREFIX))
 
-    def _follow_cancellation(self, job: str) -> None:
+    def _handle_cancellation(self, job: str) -> None:
         prefix = job + "/"
         for machine in self.machines.values():
             attempts = [key for key in machine.tasks if key.task.startswith(prefix)]
@@ -118,27 +119,30 @@
                 machine.mark_changed(*attempts)
                 self.reconcile(machine)
 
-    def _adopt(self, shard_name: str) -> None:
-        """Manage the shard's machines if they are ours, and none that are not ours any more."""
+    def _update_shard(self, shard_name: str) -> None:
+        """Start managing the shard's machines if this controller holds it, and stop managing
+        machines that it no longer holds."""
         shard = self.mirror.shards.get(shard_name)
         names: set[str] = set()
         if shard and shard.holder == self.registration.me and self.registration.registered:
             for info in shard.machines:
                 names.add(info.name)
-                known = self.machines.get(info.name)
-                if known is None or known.fencing_token != shard.fencing_token:
-                    self._add(info, shard, known)
+                previous = self.machines.get(info.name)
+                if previous is None or previous.fencing_token != shard.fencing_token:
+                    self._start_managing(info, shard, previous)
         for name in [name for name in self.machines if name not in names]:
-            self._release_if_moved(name)
+            self._stop_managing_if_moved(name)
 
-    def _add(self, info: Machine, shard: MachineShard, known: ManagedMachine | None) -> None:
-        """Manage a machine that is new, or known under a lower fencing token."""
+    def _start_managing(
+        self, info: Machine, shard: MachineShard, previous: ManagedMachine | None
+    ) -> None:
+        """Manage a machine that is new or was managed under a lower fencing token."""
         now = self.clock.seconds()
         silent_since = self.mirror.silent_since(info.name, shard.previous_holder_may_act)
         machine = ManagedMachine(info, shard.fencing_token, now, silent_since)
         machine.is_exclusive = not shard.previous_holder_may_act
-        if known is not None:
-            machine.images = known.images
+        if previous is not None:
+            machine.images = previous.images
         self._restore_images(machine)
         self.machines[info.name] = machine
         log.info(
@@ -151,7 +155,7 @@
         self.desired_state.restore(machine)
         self.reconcile(machine)
 
-    def _release_if_moved(self, name: str) -> None:
+    def _stop_managing_if_moved(self, name: str) -> None:
         holder = self.mirror.holder_of(name)
         if holder == (self.registration.me, self.machines[name].fencing_token):
             return
@@ -161,7 +165,7 @@
             self.on_released(machine, *holder)
 
     def managed(self, name: str) -> ManagedMachine | None:
-        """The machine, if this controller may act for it right now."""
+        """Return the machine if this controller may act for it right now, else None."""
         machine = self.machines.get(name)
         if machine is None or not self.registration.lease_is_valid():
             return None
@@ -170,26 +174,26 @@
 
     # -- messages
 
-    def report(self, heartbeat: WorkerHeartbeat) -> HeartbeatAnswer | None:
-        """Take in a worker's own heartbeat; what to answer with, None if it is not to be
-        answered here."""
+    def report(self, heartbeat: WorkerHeartbeat) -> HeartbeatReply | None:
+        """Process a heartbeat that a worker sent and return the reply to it, or None if this
+        controller must not reply."""
         machine = self.managed(heartbeat.machine)
         if machine is None or not self.observer.accept_heartbeat(machine, heartbeat):
             return None
         if machine.is_converged:
-            # Nothing was due, and nothing is new: most heartbeats of machines with hundreds of
-            # tasks.
-            return HeartbeatAnswer(machine.command_token, [])
-        # Stops ride on every answer while they are due: a message of ours may be waiting for
-        # a machine that hangs, and while it does no other is sent.
-        commands = self.planner.stops_and_clears(machine)
+            # Nothing was due and nothing has changed: true of most heartbeats of machines with
+            # hundreds of tasks.
+            return HeartbeatReply(machine.command_token, [])
+        # Every reply carries the stops that are due: a command request to a machine that hangs
+        # may still be pending, and no other is sent until it completes.
+        commands = self.planner.plan_stops_and_clears(machine)
         self.reconcile(machine)
-        return HeartbeatAnswer(machine.command_token, commands)
+        return HeartbeatReply(machine.command_token, commands)
 
     def sync(self, update: DesiredStateUpdate) -> list[AttemptStatus]:
-        """Take in what a job controller wants of one partition; outdated updates are ignored.
+        """Apply a job controller's desired state of one partition; ignore outdated updates.
 
-        Returns the statuses of the attempts that it names, as far as they are known.
+        Returns the known statuses of the attempts that the update lists.
         """
         applied = self.desired_state.apply(update)
         if applied is None:
@@ -201,67 +205,73 @@
         return self.publisher.answer(update.partition, applied.attempts, self.machines)
 
     def unacknowledged(self, statuses: list[AttemptStatus]) -> None:
-        """These did not reach their job controller: they are pushed again with the next
-        heartbeat."""
+        """Schedule statuses that did not reach their job controller to be pushed again with the
+        next heartbeat."""
         self.publisher.retract(statuses, self.machines)
 
     # -- reconciliation
 
     def reconcile(self, machine: ManagedMachine) -> None:
-        """Compare the desired with the observed state, send what is missing, publish what
-        changed."""
+        """Compare the desired with the observed state, send the commands that are due and
+        publish the statuses that have changed."""
         if self.managed(machine.info.name) is not machine:
             return
         now = self.clock.seconds()
         starts = self.planner.plan_starts(machine)
-        due = self.planner.stops_and_clears(machine) + starts
-        # Nothing is started from a mirror that may lack a cancellation.
+        due = self.planner.plan_stops_and_clears(machine) + starts
+        # No start is based on a mirror that may lack a cancellation.
         commands = due if self.mirror.is_current() else [c for c in due if c not in starts]
         self.publisher.publish(machine)
         self.planner.update_convergence(machine, due)
         if machine.is_sending_commands or now < machine.next_send_at:
             return
-        # One that has not answered commands is asked again, or it would stay out of use.
+        # A worker that has not answered commands is sent another message, otherwise its machine
+        # would stay unusable.
         if not machine.has_confirmed_token or commands or machine.failed_sends:
             self.sender.begin_send(machine, commands if machine.has_confirmed_token else [])
 
     def pause_starts(self, machine: ManagedMachine, until: float) -> None:
-        """Start nothing new there until then. What runs goes on, and heartbeats are answered."""
+        """Start no attempts on the machine until the given time.
+
+        Running attempts continue, and heartbeats are still answered.
+        """
         machine.starts_paused_until = until
         delay_s = max(until - self.clock.seconds(), 0.0) + RESUME_DELAY_S
         self.clock.callLater(delay_s, self._resume_starts, machine)
 
     def _resume_starts(self, machine: ManagedMachine) -> None:
         if self.machines.get(machine.info.name) is machine:
-            # What was wanted meanwhile is due now.
+            # Starts that were requested during the pause are due now.
             machine.mark_all_changed()
             self.reconcile(machine)
 
-    # -- time
+    # -- periodic checks
 
     def tick(self) -> None:
-        """Leases that ran out, unknown tasks, and whatever waits for another try."""
+        """Handle expired worker leases, check unknown tasks and retry what is due again."""
         now = self.clock.seconds()
         if not self.registration.lease_is_valid():
             return
-        # Another may hold a machine since the mirror was last known to be whole, and answer
-        # its worker: a controller that was frozen took machines for silent that had moved.
-        known_until = min(now, self.mirror.watched_at)
+        # Since the mirror was last up to date, another controller may have become the holder of
+        # a machine and answered its worker. Without this bound, a controller that resumed after
+        # being frozen would treat machines that had moved as silent.
+        mirror_valid_until = min(now, self.mirror.watched_at)
         for machine in list(self.machines.values()):
             lease_end = machine.last_possible_answer_at + self.timeouts.worker_gone
-            if not machine.is_expired and known_until > lease_end:
+            if not machine.is_expired and mirror_valid_until > lease_end:
                 self.observer.expire(machine)
                 self.publisher.publish(machine)
             if machine.is_converged:
                 continue
             if machine.has_confirmed_token:
-                self.orphans.check(machine, now)
+                self.orphan_detector.check(machine, now)
             self.reconcile(machine)
 
     # -- cached images
 
     def recall(self, caches: dict[str, dict[str, float]]) -> None:
-        """The cache map has changed for these machines: restore what we don't know of ours."""
+        """Add the cached images that the changed entries of the cache map list for machines
+        managed here."""
         for name in caches.keys() & self.machines.keys():
             self._restore_images(self.machines[name])
 
@@ -269,32 +279,36 @@
         self.add_known_images(machine, self.caches.get(machine.info.name, {}))
 
     def add_known_images(self, machine: ManagedMachine, known: dict[str, float]) -> None:
-        """What others knew of the machine's cache, as far as we don't."""
+        """Add cached images that another controller recorded and this one has not."""
         self.image_caches.add_known(machine, known)
 
     # -- summaries
 
     @property
     def changes(self) -> int:
-        """How many changes of machines were counted so far."""
+        """The number of changes of machines counted so far."""
         return self.summaries.changes
 
     def views(
         self, since: int = 0, most: int = MAX_MACHINE_STATUSES
     ) -> tuple[list[MachineStatus], int]:
-        """What has changed of our machines after that count of changes."""
+        """Return the statuses of machines that changed after `since`, a count of changes, and
+        the count that they bring the receiver up to."""
         return self.summaries.views(self.machines.values(), since, most)
 
     def drain(self, names: list[str]) -> None:
-        """The leader's list of draining machines replaces the one before: a machine that is not
-        on it any more takes new work again."""
+        """Replace the set of draining machines by the leader's list.
+
+        A machine that is no longer listed accepts new work again.
+        """
         for name, machine in self.machines.items():
             if machine.is_draining != (name in names):
                 machine.is_draining = name in names
                 machine.mark_changed()
 
     def rooms(self) -> list[Room]:
-        """Copies for the job controller in this process to reserve from."""
+        """Return copies of the machines' free capacity, from which the job controller in this
+        process makes reservations."""
         if not self.registration.lease_is_valid():
             return []
         return [copy(self.summaries.room(machine)) for machine in self.machines.values()]
--- a/tests/test_command_planning.py
+++ b/tests/test_command_planning.py
@@ -128,20 +128,20 @@
     planning, made = planner(), machine(wants(KEY, DesiredAction.CLEAR))
     made.tasks[KEY] = TaskStatus(*KEY, "ended", "done")
     sent(made, is_answered=True, is_indeterminate=True)
-    assert planning.stops_and_clears(made) == []
+    assert planning.plan_stops_and_clears(made) == []
     made.starts[KEY].is_indeterminate = False
-    assert planning.stops_and_clears(made) == [ClearCommand(*KEY)]
+    assert planning.plan_stops_and_clears(made) == [ClearCommand(*KEY)]
 
 
 def test_a_cancelled_job_stops_without_time_to_save() -> None:
     planning = planner()
     made = machine(wants(KEY, DesiredAction.RUN, saves=True, save_s=4.0))
     made.tasks[KEY] = TaskStatus(*KEY, "running")
-    assert planning.stops_and_clears(made) == []
+    assert planning.plan_stops_and_clears(made) == []
     made.termination_notice_s = 30.0
-    assert planning.stops_and_clears(made) == [StopCommand(*KEY, 6.0)]
+    assert planning.plan_stops_and_clears(made) == [StopCommand(*KEY, 6.0)]
     planning.mirror.cancelled.add("j-1")
-    assert planning.stops_and_clears(made) == [StopCommand(*KEY, 0.0)]
+    assert planning.plan_stops_and_clears(made) == [StopCommand(*KEY, 0.0)]
 
 
 def test_preemption_takes_the_lowest_work_first_and_no_more_than_needed() -> None:
--- a/tests/test_open_attempts.py
+++ b/tests/test_open_attempts.py
@@ -14,7 +14,7 @@
 
 def due(controller: MachineController, machine: ManagedMachine) -> tuple[list[str], set[Any]]:
     """Commands for what the machine reports, and attempts that are neither there nor terminated."""
-    commands = sorted(map(str, controller.planner.stops_and_clears(machine)))
+    commands = sorted(map(str, controller.planner.plan_stops_and_clears(machine)))
     missing = {
         key
         for key in machine.pending_keys
