--- a/src/beamspar/machines/desired_state.py
+++ b/src/beamspar/machines/desired_state.py
@@ -1,7 +1,7 @@
-"""Takes in what job controllers want of the attempts on this controller's machines.
+"""Applies the job controllers' desired states of the attempts on this controller's machines.
 
-Each partition of jobs has a stream of updates. An update replaces what the partition wanted on
-the machines that it names; one that is older than what was taken in is ignored.
+Each partition of jobs has a stream of updates. An update replaces the partition's desired attempts
+on the machines that it lists; an update that is older than the last one applied is ignored.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 
 class UpdateId(NamedTuple):
-    """Orders the updates of one partition: by its record's version, its owner's incarnation and
-    the owner's count."""
+    """Orders the updates of one partition: by the version of its record, the incarnation of its
+    owner and the owner's sequence number."""
 
     version: int
     incarnation: int
@@ -28,16 +28,16 @@
 
 
 class AppliedUpdate(NamedTuple):
-    """What became of an update."""
+    """The effects of an update."""
 
-    # The attempts that it names, in its order.
+    # The attempts that it lists, in its order.
     attempts: list[tuple[AttemptKey, DesiredAttempt]]
-    # The machines where it changes something.
+    # The machines whose desired state it changes.
     changed_machines: list[str]
 
 
 class DesiredState:
-    """Owns what each partition wants on each machine, managed here or not."""
+    """Owns each partition's desired attempts on each machine, whether it is managed here or not."""
 
     def __init__(
         self,
@@ -48,18 +48,18 @@
         self.machines = machines
         self.faults = faults
         self.image_caches = image_caches
-        # By partition: the newest update, and who sent it.
+        # By partition: the newest update, and the controller that sent it.
         self._latest: dict[str, UpdateId] = {}
         self._owners: dict[str, str] = {}
         # By partition and machine.
         self._desired: dict[str, dict[str, Attempts]] = {}
 
     def owner_of(self, partition: str) -> str | None:
-        """The controller that owns the jobs of the partition, if an update of it has arrived."""
+        """Return the controller that owns the partition's jobs, or None before its first update."""
         return self._owners.get(partition)
 
     def apply(self, update: DesiredStateUpdate) -> AppliedUpdate | None:
-        """Take in an update, unless it is outdated."""
+        """Apply an update; return None if it is outdated."""
         update_id = UpdateId(update.version, update.incarnation, update.sequence)
         if update_id <= self._latest.get(update.partition, NO_UPDATE):
             return None
@@ -88,7 +88,7 @@
         return AppliedUpdate(attempts, changed)
 
     def restore(self, machine: ManagedMachine) -> None:
-        """Apply to a machine that has just come what was wanted there before."""
+        """Apply the desired attempts received so far to a machine that is newly managed here."""
         for partition, machines in self._desired.items():
             for key, desired in machines.get(machine.info.name, {}).items():
                 if desired.fencing_token == machine.fencing_token:
@@ -98,8 +98,8 @@
     def _replace(
         self, machine: ManagedMachine, partition: str, before: Attempts, now: Attempts
     ) -> bool:
-        """What one partition wants on one machine replaces what it wanted before; whether that
-        changes something."""
+        """Replace one partition's desired attempts on one machine; return whether that changes
+        any of them."""
         changed = []
         for key, desired in before.items():
             if key not in now and _drop_desired(machine, key, desired):
@@ -112,13 +112,13 @@
                 continue
             if previous != desired:
                 changed.append(key)
-                self._follow_change(machine, key, desired)
+                self._handle_change(machine, key, desired)
             machine.unknown_since.pop(key, None)
         if changed:
             machine.mark_changed(*changed)
         return bool(changed)
 
-    def _follow_change(
+    def _handle_change(
         self, machine: ManagedMachine, key: AttemptKey, desired: DesiredAttempt
     ) -> None:
         if desired.is_job_at_fault:
@@ -130,12 +130,13 @@
 def _set_desired(
     machine: ManagedMachine, key: AttemptKey, desired: DesiredAttempt, partition: str
 ) -> bool:
-    """What one partition wants of an attempt takes effect, unless it only reserves room while
-    another partition wants that attempt.
+    """Set one partition's desired state of an attempt, unless it is only a reservation and another
+    partition desires that attempt.
 
-    A repeated submission may be on its way to being accepted by another controller, under the
-    same names: until its record is refused, what it reserves must not replace what the stored
-    record wants. Tasks that ran were taken for refused, and started elsewhere.
+    Another controller may be in the process of accepting a repeated submission of the same job,
+    with the same task names. Until its record is refused, its reservations must not replace the
+    desired state of the stored record: when they did, running tasks were considered refused and
+    were started elsewhere as well.
     """
     if (
         desired.action == DesiredAction.HOLD
@@ -148,13 +149,15 @@
 
 
 def _drop_desired(machine: ManagedMachine, key: AttemptKey, desired: DesiredAttempt) -> bool:
-    """The partition does not want this any more; False where another's has replaced it."""
+    """Remove a desired attempt of the partition; return False if another partition's has replaced
+    it."""
     if machine.desired_attempts.get(key) is not desired:
         return False
     del machine.desired_attempts[key]
     machine.partition_of.pop(key, None)
     machine.acknowledged_statuses.pop(key, None)
     if key in machine.starts and key not in machine.terminated:
-        # Nobody wants it any more, yet our start may still be under way.
+        # No job controller desires it any more, but the start sent from here may still be in
+        # transit.
         machine.orphaned.add(key)
     return True
--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -294,7 +294,7 @@
     ) -> tuple[list[MachineStatus], int]:
         """Return the statuses of machines that changed after `since`, a count of changes, and
         the count that they bring the receiver up to."""
-        return self.summaries.views(self.machines.values(), since, most)
+        return self.summaries.changed_statuses(self.machines.values(), since, most)
 
     def drain(self, names: list[str]) -> None:
         """Replace the set of draining machines by the leader's list.
--- a/src/beamspar/machines/machine_summaries.py
+++ b/src/beamspar/machines/machine_summaries.py
@@ -1,4 +1,4 @@
-"""What a controller's machines have room for, and what its heartbeats report to the leader."""
+"""Computes the free capacity of a controller's machines and their statuses for the leader."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock
 
-# Priority ranks for which a room has what preemption would add.
+# The number of priority ranks for which a `Room` lists the resources that preemption would free.
 PRIORITY_RANKS = 4
-# After so many failed sends in a row a machine gets no new work.
+# The number of consecutive failed sends after which a machine gets no new work.
 MAX_FAILED_SENDS = 2
 
 
 class MachineSummaries:
-    """Owns the count of changes by which heartbeats report only what is new."""
+    """Owns the count of changes, by which heartbeats report only machines that have changed."""
 
     def __init__(
         self, clock: Clock, timeouts: Timeouts, types: Callable[[], dict[str, MachineType]]
@@ -30,7 +30,7 @@
         self.changes = 0
 
     def is_usable(self, machine: ManagedMachine) -> bool:
-        """May new work be started there now?"""
+        """Return whether new work may be started there now."""
         return (
             machine.has_confirmed_token
             and not machine.is_expired
@@ -38,8 +38,8 @@
             and not machine.is_draining
             and machine.starts_paused_until <= self.clock.seconds()
             and machine.quarantined_until <= self.clock.seconds()
-            # Nor is one that commands don't reach, or whose lease runs out for want of
-            # heartbeats.
+            # A machine that commands don't reach, or whose worker's lease is running out because
+            # its heartbeats don't arrive, gets no new work either.
             and machine.failed_sends < MAX_FAILED_SENDS
             and self.clock.seconds() - machine.last_heartbeat_at < self.timeouts.silent
         )
@@ -47,7 +47,10 @@
     def free_resources(
         self, machine: ManagedMachine, excluding: AttemptKey | None = None
     ) -> Resources:
-        """What no live attempt uses, one of them left out; nothing while the type is unknown."""
+        """Return the resources that no live attempt uses, where the excluded one is not counted.
+
+        Returns no resources while the machine type is unknown.
+        """
         kind = self.types().get(machine.info.kind)
         if kind is None:
             return NO_RESOURCES
@@ -55,30 +58,34 @@
         return Resources(kind.cpus - cpus, kind.gpus - gpus, kind.memory_gb - memory_gb)
 
     def room(self, machine: ManagedMachine) -> Room:
-        """The machine's room, counted anew only when something there has changed."""
+        """Return the machine's free capacity, recomputed only if the machine has changed."""
         if machine.room is None or machine.info.kind not in self.types():
-            machine.room = _count_room(machine, self.free_resources(machine))
-            self._count_change(machine)
+            machine.room = _compute_room(machine, self.free_resources(machine))
+            self._record_change(machine)
         is_usable = self.is_usable(machine)
         if machine.room.usable != is_usable:
             machine.room.usable = is_usable
-            self._count_change(machine)
+            self._record_change(machine)
         return machine.room
 
-    def _count_change(self, machine: ManagedMachine) -> None:
+    def _record_change(self, machine: ManagedMachine) -> None:
         self.changes += 1
         machine.last_change = self.changes
 
-    def views(
+    def changed_statuses(
         self, machines: Iterable[ManagedMachine], since: int, most: int
     ) -> tuple[list[MachineStatus], int]:
-        """What has changed after that count of changes, silent machines always; and the count
-        up to which this goes: of more changes than fit into one message, the earlier ones."""
+        """Return the statuses of machines that changed after `since`, and of silent ones as far
+        as they fit into the message.
+
+        The second result is the count of changes up to which the statuses are complete: if more
+        machines have changed than fit into one message, the earliest changes are returned.
+        """
         now = self.clock.seconds()
         changed: list[ManagedMachine] = []
         silent: list[ManagedMachine] = []
         for machine in machines:
-            # Counted anew where something changed, which moves `machine.last_change`.
+            # This updates `machine.last_change` if the machine has changed.
             self.room(machine)
             if machine.last_change > since:
                 changed.append(machine)
@@ -94,11 +101,12 @@
         return [self._status(machine, now) for machine in reported], count
 
     def _is_silent(self, machine: ManagedMachine, now: float) -> bool:
-        """Has there been no heartbeat for so long that the leader should know?"""
+        """Return whether there has been no heartbeat for so long that it is reported to the
+        leader."""
         return now - machine.last_heartbeat_at > self.timeouts.silent / 2
 
     def _status(self, machine: ManagedMachine, now: float) -> MachineStatus:
-        # Reported while it lasts, and once more when it is over.
+        # A silent machine is reported as long as it is silent, and once more afterwards.
         machine.was_reported_silent = self._is_silent(machine, now)
         return MachineStatus(
             self.room(machine),
@@ -114,7 +122,7 @@
         )
 
 
-def _count_room(machine: ManagedMachine, free: Resources) -> Room:
+def _compute_room(machine: ManagedMachine, free: Resources) -> Room:
     live = {
         key: desired for key, desired in machine.desired_attempts.items() if machine.is_live(key)
     }
@@ -128,24 +136,27 @@
         free.gpus,
         free.memory_gb,
         dict(machine.images),
-        _preemptible(machine, live),
-        # Tasks that no job controller has named yet keep the machine from being idle, too.
+        _preemptible_resources(machine, live),
+        # Tasks that no job controller has listed yet also keep the machine from being idle.
         tasks=_count_unknown_tasks(machine) + len(live),
         fetching=_count_awaited_images(machine, live),
     )
 
 
-def _preemptible(machine: ManagedMachine, live: Attempts) -> list[tuple[float, float, float]]:
-    """By priority rank, the resources of all lower work that is not being preempted already."""
-    lower = [[0.0, 0.0, 0.0] for _ in range(PRIORITY_RANKS)]
+def _preemptible_resources(
+    machine: ManagedMachine, live: Attempts
+) -> list[tuple[float, float, float]]:
+    """Return, for each priority rank, the resources of all attempts of lower priority that are not
+    being preempted already."""
+    preemptible = [[0.0, 0.0, 0.0] for _ in range(PRIORITY_RANKS)]
     for key, desired in live.items():
         if key in machine.preempted:
             continue
         for rank in range(min(desired.rank, PRIORITY_RANKS)):
-            lower[rank][0] += desired.cpus
-            lower[rank][1] += desired.gpus
-            lower[rank][2] += desired.memory_gb
-    return [(cpus, gpus, memory_gb) for cpus, gpus, memory_gb in lower]
+            preemptible[rank][0] += desired.cpus
+            preemptible[rank][1] += desired.gpus
+            preemptible[rank][2] += desired.memory_gb
+    return [(cpus, gpus, memory_gb) for cpus, gpus, memory_gb in preemptible]
 
 
 def _count_unknown_tasks(machine: ManagedMachine) -> int:
--- a/src/beamspar/machines/orphan_detection.py
+++ b/src/beamspar/machines/orphan_detection.py
@@ -1,4 +1,4 @@
-"""Finds tasks that run on a machine though no job controller wants them."""
+"""Detects tasks that run on a machine although no job controller desires them."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 
 log = Logger(namespace="machines")
 
-# Does the stored record bind this attempt of the task to the machine? None: can't tell now.
+# Called with a task, an attempt number and a machine: whether the stored record binds that attempt
+# to the machine; None if that can't be determined now.
 CheckBinding = Callable[[str, int, str], Awaitable[bool | None]]
 
 
 class OrphanDetector:
-    """Asks the stored records about reported tasks that stay unknown, and orphans those that
-    belong to nobody."""
+    """Checks reported tasks that stay unknown against the stored records, and marks those that are
+    not bound to their machine as orphaned."""
 
     def __init__(
         self,
@@ -34,8 +35,8 @@
         self.reconciler = reconciler
 
     def check(self, machine: ManagedMachine, now: float) -> None:
-        """Begin to check those tasks of the machine that no job controller has named for
-        long."""
+        """Start checks of the machine's tasks that have been unknown to all job controllers for
+        too long."""
         for key in list(machine.unknown_since):
             if key not in machine.tasks or key in machine.desired_attempts:
                 del machine.unknown_since[key]
@@ -49,15 +50,20 @@
                 spawn(self._check_task(machine, key), "orphan check")
 
     async def _check_task(self, machine: ManagedMachine, key: AttemptKey) -> None:
-        """The stored record decides."""
+        """Mark the task as orphaned if its stored record does not bind it to the machine."""
         machine.being_checked.add(key)
         try:
             is_bound = await self.check_binding(key.task, key.attempt, machine.info.name)
         finally:
             machine.being_checked.discard(key)
-        # None is no answer; and a job controller may have named it meanwhile.
+        # None means that the record could not be read. Meanwhile a job controller may have listed
+        # the task, or it may have disappeared.
         if is_bound is False and key in machine.tasks and key not in machine.desired_attempts:
-            log.info("{machine}: {key} is orphaned", machine=machine.info.name, key=key)
+            log.info(
+                "{machine}: {key} is orphaned and will be stopped",
+                machine=machine.info.name,
+                key=key,
+            )
             machine.orphaned.add(key)
             machine.mark_changed(key)
             self.reconciler.reconcile(machine)
--- a/src/beamspar/machines/worker_observation.py
+++ b/src/beamspar/machines/worker_observation.py
@@ -1,7 +1,7 @@
-"""Takes in what workers report, in heartbeats and in answers to commands.
+"""Processes the reports of workers, from heartbeats and from replies to commands.
 
-A report is believed as far as it is newer than what is known, and the absence of an attempt only
-once the worker has confirmed our command token.
+A report is accepted only if it is newer than the known state, and the absence of an attempt from
+it counts only once the worker has confirmed the command token.
 """
 
 from __future__ import annotations
@@ -21,35 +21,35 @@
 
 
 class WorkerObserver:
-    """Brings managed machines up to date with their workers' reports."""
+    """Updates managed machines from their workers' reports."""
 
     def __init__(
         self,
         clock: Clock,
         faults: FaultEvidence,
         image_caches: ImageCaches,
-        on_room: Callable[[], None],
+        on_capacity_freed: Callable[[], None],
     ) -> None:
         self.clock = clock
         self.faults = faults
         self.image_caches = image_caches
-        # Called when an attempt has ended, for there may be room.
-        self.on_room = on_room
+        # Called when an attempt has ended, because that may have freed capacity.
+        self.on_capacity_freed = on_capacity_freed
 
     def accept_heartbeat(self, machine: ManagedMachine, heartbeat: WorkerHeartbeat) -> bool:
-        """Take in a worker's own heartbeat; False where it must not be answered."""
+        """Process a heartbeat that a worker sent; return False if it must not be answered."""
         heartbeat_id = HeartbeatId(heartbeat.agent_epoch, heartbeat.seq)
         if (
             heartbeat_id <= machine.last_heartbeat_id
             or heartbeat.agent_epoch < machine.min_agent_epoch
         ):
-            # A late copy: an answer would not reach the worker, and counting it as
-            # answered would put off the proof that a silent worker's lease ran out.
-            log.info("{machine}: late copy of a heartbeat", machine=heartbeat.machine)
+            # The reply to a late copy would not reach the worker, and counting it as answered
+            # would delay the proof that a silent worker's lease has expired.
+            log.info("{machine}: ignoring a late copy of a heartbeat", machine=heartbeat.machine)
             return False
         if heartbeat.observed_fencing_token > machine.command_token:
             log.info(
-                "{machine} knows a higher fencing token {token}",
+                "{machine}: ignoring a heartbeat with a higher fencing token, {token}",
                 machine=heartbeat.machine,
                 token=heartbeat.observed_fencing_token,
             )
@@ -61,7 +61,7 @@
         return True
 
     def observe(self, machine: ManagedMachine, heartbeat: WorkerHeartbeat) -> None:
-        """Bring the machine up to date, if this is newer than what is known of it."""
+        """Update the machine's state if this heartbeat is newer than the known state."""
         if (
             heartbeat.agent_epoch < machine.min_agent_epoch
             or heartbeat.machine != machine.info.name
@@ -74,20 +74,24 @@
             self._begin_agent_epoch(machine, heartbeat.agent_epoch)
         machine.agent_epoch, machine.observed_seq = heartbeat.agent_epoch, heartbeat.seq
         machine.is_expired = False
-        is_standing_changed = _observe_standing(machine, heartbeat)
+        is_token_or_notice_changed = _observe_token_and_notice(machine, heartbeat)
         changed, absent = _observe_tasks(machine, heartbeat.tasks)
-        if is_standing_changed:
+        if is_token_or_notice_changed:
             machine.mark_all_changed()
         if changed or absent:
             machine.mark_changed(*absent, *changed)
         for key, task in changed.items():
-            self._follow_status(machine, key, task)
+            self._handle_status_change(machine, key, task)
         if any(task.status != "ended" for task in machine.tasks.values()):
             machine.idle_since = now
 
     def expire(self, machine: ManagedMachine) -> None:
-        """Nobody answered the worker for longer than its lease: all on it is gone."""
-        log.warn("{machine} is silent beyond its lease", machine=machine.info.name)
+        """Declare all attempts on the machine gone: no controller has answered its worker for
+        longer than the worker's lease."""
+        log.warn(
+            "{machine}: the worker's lease has expired, its attempts are gone",
+            machine=machine.info.name,
+        )
         machine.is_expired = True
         machine.has_confirmed_token = False
         machine.min_agent_epoch = machine.agent_epoch + 1 if machine.agent_epoch else 0
@@ -98,20 +102,29 @@
         machine.mark_all_changed()
 
     def _begin_agent_epoch(self, machine: ManagedMachine, agent_epoch: int) -> None:
-        # A new epoch has its full lease, answered or not: after an outage the last answer
-        # may be long past while tasks of this epoch run.
+        # A new epoch begins with a full lease even if no heartbeat was answered: after an outage,
+        # tasks of this epoch may be running although the last answer was sent long ago.
         self._record_answer(machine)
         for key, start in list(machine.starts.items()):
             if start.agent_epoch < agent_epoch:
-                # The epoch's end killed it, and commands of that epoch are not executed.
+                # Its attempt was killed when that epoch ended, and the worker does not execute
+                # commands of an earlier epoch.
                 del machine.starts[key]
                 machine.terminated[key] = AttemptState.GONE
         machine.mark_all_changed()
         if machine.agent_epoch:
-            log.info("{machine}: agent epoch {epoch}", machine=machine.info.name, epoch=agent_epoch)
+            log.info(
+                "{machine}: the worker has begun agent epoch {epoch}",
+                machine=machine.info.name,
+                epoch=agent_epoch,
+            )
 
     def _record_answer(self, machine: ManagedMachine) -> None:
-        """Only a worker that knows our token takes no answer of a former holder."""
+        """Record the time of an answer to the worker.
+
+        Only a worker that has confirmed the command token rejects answers of a previous holder;
+        until then, the recorded time of the last possible answer is never moved back.
+        """
         now = self.clock.seconds()
         machine.answered_at = now
         if machine.has_confirmed_token:
@@ -119,7 +132,9 @@
         else:
             machine.last_possible_answer_at = max(machine.last_possible_answer_at, now)
 
-    def _follow_status(self, machine: ManagedMachine, key: AttemptKey, task: TaskStatus) -> None:
+    def _handle_status_change(
+        self, machine: ManagedMachine, key: AttemptKey, task: TaskStatus
+    ) -> None:
         desired = machine.desired_attempts.get(key)
         if task.status in ("gathering", "running", "saving") and desired:
             self.image_caches.record_use(machine, desired.image, desired.image_gb)
@@ -129,26 +144,29 @@
             is_job_at_fault = desired is not None and desired.is_job_at_fault
             self._attribute_failure(machine, key.job, is_job_at_fault)
         machine.is_degraded = machine.is_degraded and task.exit_reason != "done"
-        self.on_room()
+        self.on_capacity_freed()
 
     def _attribute_failure(self, machine: ManagedMachine, job: str, is_job_at_fault: bool) -> None:
         now = self.clock.seconds()
         jobs = self.faults.attribute_failure(machine, job, is_job_at_fault, now)
         if jobs:
             log.warn(
-                "{machine} fails tasks of {jobs}: quarantined", machine=machine.info.name, jobs=jobs
+                "{machine}: quarantined because tasks of {jobs} failed there",
+                machine=machine.info.name,
+                jobs=jobs,
             )
 
 
-def _observe_standing(machine: ManagedMachine, heartbeat: WorkerHeartbeat) -> bool:
-    """Does the worker know our token, and is its machine about to go? Whether that changed."""
+def _observe_token_and_notice(machine: ManagedMachine, heartbeat: WorkerHeartbeat) -> bool:
+    """Update whether the worker has confirmed the command token and whether its machine has a
+    termination notice; return whether either has changed."""
     had_confirmed = machine.has_confirmed_token
     had_notice = machine.termination_notice_s is not None
     machine.termination_notice_s = heartbeat.termination_notice_s
     machine.has_confirmed_token = (
         had_confirmed or heartbeat.observed_fencing_token == machine.command_token
     )
-    # A worker that knows our token takes no answer of a former holder.
+    # A worker that has confirmed the command token rejects answers of a previous holder.
     machine.is_exclusive = machine.is_exclusive or machine.has_confirmed_token
     has_notice = machine.termination_notice_s is not None
     return had_confirmed != machine.has_confirmed_token or had_notice != has_notice
@@ -157,9 +175,13 @@
 def _observe_tasks(
     machine: ManagedMachine, reported: list[TaskStatus]
 ) -> tuple[dict[AttemptKey, TaskStatus], list[AttemptKey]]:
-    """Replace the machine's tasks; those whose status is new, and those that are absent now."""
+    """Replace the machine's tasks by the reported ones.
+
+    Returns the tasks that are new or have a new status, and the keys of those that have
+    disappeared.
+    """
     known = machine.tasks
-    # Most heartbeats of machines with hundreds of tasks bring nothing new.
+    # Most heartbeats of machines with hundreds of tasks contain no change.
     if list(known.values()) == reported:
         return {}, []
     machine.tasks = {AttemptKey(task.task, task.attempt): task for task in reported}
