--- a/src/beamspar/machines/__init__.py
+++ b/src/beamspar/machines/__init__.py
@@ -1,1 +1,1 @@
-"""The machines of this controller's shards: heartbeats, commands, quarantine."""
+"""Management of the machines of this controller's shards: heartbeats, commands, quarantine."""
--- a/src/beamspar/machines/command_sending.py
+++ b/src/beamspar/machines/command_sending.py
@@ -1,4 +1,4 @@
-"""Sends commands to workers, and keeps account of starts whose outcome is unknown."""
+"""Sends commands to workers and tracks starts whose outcome is indeterminate."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class CommandSender:
-    """Sends to each machine one message at a time, and paces what has to be repeated."""
+    """Sends each machine one message at a time and paces retries."""
 
     def __init__(
         self,
@@ -33,8 +33,8 @@
         self.timeouts = timeouts
         self.reconciler = reconciler
 
-    def begin_send(self, machine: ManagedMachine, commands: list[Command]) -> None:
-        """Send the commands in the background. An empty list asks the worker for a heartbeat."""
+    def send_in_background(self, machine: ManagedMachine, commands: list[Command]) -> None:
+        """Send the commands in the background; an empty list only requests a heartbeat."""
         machine.is_sending_commands = True
         spawn(self._send(machine, commands), "commands")
 
@@ -53,7 +53,8 @@
         machine.is_sending_commands = False
         machine.failed_sends = 0
         _record_outcome(machine, sent, result)
-        # By the epoch that was sent: what we know of it may have changed meanwhile.
+        # Compares with the epoch that was sent, because `machine.agent_epoch` may have changed
+        # meanwhile.
         is_epoch_outdated = epoch != result.heartbeat.agent_epoch
         if not result.is_executed:
             pause_s = 0.0 if is_epoch_outdated else self.timeouts.retry
@@ -61,7 +62,8 @@
         self.observer.observe(machine, result.heartbeat)
         may_repeat_at_once = is_epoch_outdated and self.reconciler.repeats_at_once
         if not machine.has_confirmed_token and not may_repeat_at_once:
-            # Not the answer we wait for (an epoch that must end first): no haste.
+            # The worker has not confirmed the command token (an agent epoch may have to end
+            # first), so there is no need to hurry.
             earliest = self.clock.seconds() + self.timeouts.retry
             machine.next_send_at = max(machine.next_send_at, earliest)
         self.reconciler.reconcile(machine)
@@ -73,24 +75,29 @@
         had_commands: bool,
         error: CallFailedError,
     ) -> None:
-        """The worker may still execute what was sent."""
+        """Mark the starts that were sent as indeterminate, since the worker may still execute
+        them, and schedule a retry."""
         for start in sent.values():
             start.is_indeterminate = True
         machine.failed_sends += 1
         pause_s = self.timeouts.retry if had_commands else self.timeouts.report
         machine.next_send_at = self.clock.seconds() + pause_s
-        log.info("commands to {machine} failed: {error}", machine=machine.info.name, error=error)
+        log.info(
+            "{machine}: sending commands failed, will retry: {error}",
+            machine=machine.info.name,
+            error=error,
+        )
         machine.is_sending_commands = False
 
 
 def _record_start(machine: ManagedMachine, key: AttemptKey, epoch: int, token: int) -> SentStart:
-    """Note the start before it is sent: from then on the worker may execute it."""
+    """Record a start before it is sent, because from then on the worker may execute it."""
     start = machine.starts.setdefault(key, SentStart(epoch, token))
     if machine.is_superseded(start):
         start.is_indeterminate = start.is_answered = False
     start.agent_epoch, start.fencing_token = epoch, token
     log.info(
-        "start {task} attempt {attempt} on {machine} under fencing token {token}",
+        "{machine}: sending the start of {task} attempt {attempt} under fencing token {token}",
         task=key.task,
         attempt=key.attempt,
         machine=machine.info.name,
@@ -106,5 +113,6 @@
         if result.is_executed:
             start.is_answered = True
         elif start.agent_epoch == result.heartbeat.agent_epoch and machine.starts.get(key) is start:
-            # Refused for the token: a higher one is out, so it can't run.
+            # The agent epoch matches, so the start was refused for its fencing token: the worker
+            # has seen a higher one and will not execute this start.
             start.is_indeterminate = True
--- a/src/beamspar/machines/image_caches.py
+++ b/src/beamspar/machines/image_caches.py
@@ -1,7 +1,7 @@
-"""Which images each machine caches, derived from what runs there.
+"""Tracks which images each machine caches, derived from the tasks that run there.
 
-Heartbeats of workers don't list what is cached, so an image counts as cached where a task that
-uses it has fetched it.
+Workers' heartbeats don't list cached images, so an image counts as cached on a machine once a task
+that uses it has fetched it there.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 
 
 class ImageCaches:
-    """Keeps each machine's list of cached images within the cache of its type."""
+    """Maintains each machine's list of cached images within the cache size of its type."""
 
     def __init__(self, types: Callable[[], Mapping[str, MachineType]]) -> None:
         self.types = types
 
     def add_known(self, machine: ManagedMachine, known: Mapping[str, float]) -> None:
-        """What others knew of the machine's cache, as far as we don't."""
+        """Add cached images that another controller recorded and this one has not."""
         if known.keys() - machine.images.keys():
             machine.images = {**known, **machine.images}
             self._evict(machine)
             machine.mark_changed()
 
     def record_use(self, machine: ManagedMachine, image: str, size_gb: float) -> None:
-        """The machine keeps the most recently used images within its cache."""
+        """Mark an image as the most recently used one, and evict those that no longer fit."""
         machine.images.pop(image, None)
         machine.images[image] = size_gb
         self._evict(machine)
--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -202,12 +202,12 @@
             machine = self.managed(name)
             if machine:
                 self.reconcile(machine)
-        return self.publisher.answer(update.partition, applied.attempts, self.machines)
+        return self.publisher.statuses_of(update.partition, applied.attempts, self.machines)
 
     def unacknowledged(self, statuses: list[AttemptStatus]) -> None:
         """Schedule statuses that did not reach their job controller to be pushed again with the
         next heartbeat."""
-        self.publisher.retract(statuses, self.machines)
+        self.publisher.mark_undelivered(statuses, self.machines)
 
     # -- reconciliation
 
@@ -228,7 +228,7 @@
         # A worker that has not answered commands is sent another message, otherwise its machine
         # would stay unusable.
         if not machine.has_confirmed_token or commands or machine.failed_sends:
-            self.sender.begin_send(machine, commands if machine.has_confirmed_token else [])
+            self.sender.send_in_background(machine, commands if machine.has_confirmed_token else [])
 
     def pause_starts(self, machine: ManagedMachine, until: float) -> None:
         """Start no attempts on the machine until the given time.
--- a/src/beamspar/machines/preemption.py
+++ b/src/beamspar/machines/preemption.py
@@ -1,4 +1,4 @@
-"""Which attempts on a machine stop for one of a higher priority, and their time to save."""
+"""Selects attempts to preempt for one of a higher priority, and their grace period to save."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from beamspar.machines.resources import Resources
 from beamspar.protocol.peer_messages import DesiredAttempt
 
-# What a task that saves may take, as a share of what its job says.
+# The time that a task may take to save, as a multiple of the time that its job specifies.
 SAVE_MARGIN = 1.5
 
 Victims = list[tuple[AttemptKey, DesiredAttempt]]
@@ -15,10 +15,11 @@
 def choose_victims(
     machine: ManagedMachine, key: AttemptKey, desired: DesiredAttempt, free: Resources
 ) -> Victims | None:
-    """The attempts whose end would make room for this one; None if that is not enough.
+    """Return the attempts to stop so that this one fits, or None if stopping them is not enough.
 
-    The lowest priority stops first; at equal priority gangs last, since stopping one of their
-    tasks costs all of them their time, and what saves its progress before what does not.
+    Attempts of the lowest priority stop first. At equal priority, gangs stop last, since stopping
+    one of their tasks wastes the time of all of them, and attempts that save their progress stop
+    before those that don't.
     """
     candidates = sorted(
         (
@@ -38,7 +39,8 @@
 
 
 def stop_grace_s(desired: DesiredAttempt, gang_peer_s: float) -> float:
-    """How long a task that is stopped may take to save; one of a gang waits for the others."""
+    """Return how long a stopped task may take to save, which for a gang's task includes the wait
+    for the others."""
     if not desired.saves:
         return 0.0
     return desired.save_s * SAVE_MARGIN + (gang_peer_s if desired.gang else 0.0)
--- a/src/beamspar/machines/reconciler.py
+++ b/src/beamspar/machines/reconciler.py
@@ -1,4 +1,4 @@
-"""What the parts of the machine controller ask of it."""
+"""The interface of the machine controller that its components depend on."""
 
 from __future__ import annotations
 
@@ -8,10 +8,12 @@
 
 
 class Reconciler(Protocol):
-    """Compares a machine's desired with its observed state."""
+    """Reconciles a machine's observed state with its desired state."""
 
-    # Are commands that only lacked the worker's epoch repeated without a pause?
+    # Whether commands that were refused only for an outdated agent epoch are resent without a
+    # pause.
     repeats_at_once: bool
 
     def reconcile(self, machine: ManagedMachine) -> None:
-        """Do what the machine needs now; nothing if this controller may not act for it."""
+        """Take the actions that are due for the machine; do nothing if this controller may not
+        act for it."""
--- a/src/beamspar/machines/resources.py
+++ b/src/beamspar/machines/resources.py
@@ -1,4 +1,4 @@
-"""Amounts of CPUs, accelerators and memory, and whether they suffice for an attempt."""
+"""Arithmetic on amounts of CPUs, accelerators and memory, and whether an attempt fits in them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     memory_gb: float
 
     def covers(self, desired: DesiredAttempt) -> bool:
-        """Is there as much of each resource as the attempt asks for?"""
+        """Return whether there is enough of each resource for the attempt."""
         return (
             desired.cpus <= self.cpus + EPS
             and desired.gpus <= self.gpus + EPS
@@ -24,7 +24,7 @@
         )
 
     def plus(self, desired: DesiredAttempt) -> Resources:
-        """These resources and those of the attempt."""
+        """Return the sum of these resources and those of the attempt."""
         return Resources(
             self.cpus + desired.cpus,
             self.gpus + desired.gpus,
@@ -32,7 +32,7 @@
         )
 
     def minus(self, desired: DesiredAttempt) -> Resources:
-        """These resources without those of the attempt."""
+        """Return these resources without those of the attempt."""
         return Resources(
             self.cpus - desired.cpus,
             self.gpus - desired.gpus,
--- a/src/beamspar/machines/status_publishing.py
+++ b/src/beamspar/machines/status_publishing.py
@@ -1,4 +1,4 @@
-"""Publishes the states of attempts to their job controllers; repeats what did not arrive."""
+"""Publishes the statuses of attempts to their job controllers, and resends those that were lost."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def observed_status(
     machine: ManagedMachine, key: AttemptKey, desired: DesiredAttempt
 ) -> ObservedStatus | None:
-    """What the job controller should know of the attempt; None: nothing is known."""
+    """Return the status to report to the attempt's job controller, or None if it is unknown."""
     terminated = machine.terminated.get(key)
     if terminated is not None:
         return ObservedStatus(terminated, None)
@@ -44,8 +44,7 @@
 
 
 class StatusPublisher:
-    """Decides which statuses are new to their job controllers, by each machine's
-    `acknowledged_statuses`."""
+    """Publishes the statuses that differ from each machine's `acknowledged_statuses`."""
 
     def __init__(
         self,
@@ -56,7 +55,7 @@
         self.push = push
 
     def publish(self, machine: ManagedMachine) -> None:
-        """Push to the job controllers what has changed on the machine."""
+        """Push the machine's changed statuses to their job controllers."""
         by_owner: dict[str, list[AttemptStatus]] = {}
         for key in machine.pending_keys:
             desired = machine.desired_attempts.get(key)
@@ -70,14 +69,14 @@
         for owner, statuses in by_owner.items():
             self.push(owner, statuses)
 
-    def answer(
+    def statuses_of(
         self,
         partition: str,
         attempts: Iterable[tuple[AttemptKey, DesiredAttempt]],
         machines: Mapping[str, ManagedMachine],
     ) -> list[AttemptStatus]:
-        """The statuses of attempts that an update of the partition names, as far as known."""
-        answers = []
+        """Return the known statuses of the attempts that an update of the partition lists."""
+        statuses = []
         for key, desired in attempts:
             machine = machines.get(desired.machine)
             if machine is None or machine.fencing_token != desired.fencing_token:
@@ -87,13 +86,13 @@
             observed = observed_status(machine, key, desired)
             if observed is not None:
                 machine.acknowledged_statuses[key] = observed
-                answers.append(_message(machine, key, observed))
-        return answers
+                statuses.append(_message(machine, key, observed))
+        return statuses
 
-    def retract(
+    def mark_undelivered(
         self, statuses: Iterable[AttemptStatus], machines: Mapping[str, ManagedMachine]
     ) -> None:
-        """These did not arrive: they are pushed again with the next reconciliation."""
+        """Mark statuses as undelivered, so that the next reconciliation pushes them again."""
         for status in statuses:
             machine = machines.get(status.machine)
             if machine is not None and machine.fencing_token == status.fencing_token:
--- a/src/beamspar/machines/worker_client.py
+++ b/src/beamspar/machines/worker_client.py
@@ -1,4 +1,4 @@
-"""Client of the workers: direct commands, and the heartbeat that answers them."""
+"""Client that sends direct commands to workers and parses the heartbeats in their replies."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 )
 from beamspar.transport.http import CallFailedError, Net
 
-EXECUTED = 200
-# The fencing token or the agent epoch that the commands carried is outdated.
-REFUSED = 409
+STATUS_EXECUTED = 200
+# The fencing token or the agent epoch of the commands is outdated.
+STATUS_REFUSED = 409
 
 
 class CommandResult(NamedTuple):
-    """What a worker answers to commands."""
+    """A worker's reply to commands."""
 
     is_executed: bool
-    # The worker's state after them.
+    # The worker's state after the commands.
     heartbeat: WorkerHeartbeat
 
 
@@ -36,17 +36,17 @@
     async def send_commands(
         self, address: str, fencing_token: int, agent_epoch: int, commands: list[Command]
     ) -> CommandResult:
-        """Whether the commands were executed, and the worker's heartbeat after them.
+        """Send commands; return whether they were executed and the worker's heartbeat after them.
 
-        Raises CallFailedError when the outcome is indeterminate: the commands may be executed
-        minutes later, while fencing token and agent epoch still match.
+        Raises CallFailedError if the outcome is indeterminate: as long as the fencing token and
+        the agent epoch match, the commands may still be executed minutes later.
         """
         body = encode_commands(fencing_token, agent_epoch, commands)
         answer = await self.net.request("POST", address, "/orders", body, self.timeout_s)
-        if answer.status not in (EXECUTED, REFUSED):
-            raise CallFailedError(f"worker {address} answered {answer.status}")
+        if answer.status not in (STATUS_EXECUTED, STATUS_REFUSED):
+            raise CallFailedError(f"worker {address}: unexpected HTTP status {answer.status}")
         try:
             heartbeat = parse_worker_heartbeat(answer.body)
         except InvalidInputError as error:
             raise CallFailedError(f"worker {address}: malformed heartbeat: {error}") from error
-        return CommandResult(answer.status == EXECUTED, heartbeat)
+        return CommandResult(answer.status == STATUS_EXECUTED, heartbeat)
