--- a/src/beamspar/cluster/__init__.py
+++ b/src/beamspar/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""This controller's registration, and its mirror of the cluster's control records."""
+"""This controller's registration and its mirror of the cluster's control records."""
--- a/src/beamspar/cluster/state_mirror.py
+++ b/src/beamspar/cluster/state_mirror.py
@@ -1,7 +1,8 @@
-"""A watched cache of the control records, and indexes derived from them.
+"""A cache of the control records that is kept current by a watch, and indexes derived from them.
 
-A mirror may lag behind the state service, never be ahead of it. Decisions that must not rest on
-stale records carry the versions that they were based on as conditions of their transaction.
+A mirror may lag behind the state service but is never ahead of it. A decision that must not be
+based on stale records includes the versions of the records it used as conditions of its
+transaction.
 """
 
 from __future__ import annotations
@@ -24,9 +25,9 @@
 
 log = Logger(namespace="mirror")
 
-# Removed keys that are remembered, to recognise the late answer to a write of our own.
-REMEMBERED_REMOVALS = 1000
-# Before anything happened.
+# The number of removed keys kept, to recognize a late reply to a write of this controller.
+MAX_REMEMBERED_REMOVALS = 1000
+# Earlier than any time of the process's clock.
 NEVER = -1e9
 
 # Called with the key of a record that has changed.
@@ -36,10 +37,10 @@
 
 
 class StateMirror:
-    """Owns the cached control records and what is derived from them.
+    """Owns the cached control records and the indexes derived from them.
 
-    `listeners` are called with each key that changed, in the order in which they were added;
-    `on_fence_changed` is called before them. Other objects read the indexes and never change them.
+    `listeners` are called with each changed key, in the order in which they were added;
+    `on_fence_changed` is called before them. Other objects only read the indexes.
     """
 
     def __init__(
@@ -54,28 +55,29 @@
         self.state = state
         self.timeouts = timeouts
         self.me = settings.member
-        # All controllers of the settings, registered or not.
+        # All controllers listed in the settings, registered or not.
         self.known_members = [self.me, *(peer.member for peer in settings.peers)]
         # All changes up to this revision are in the mirror.
         self.revision = 0
-        # When the request was sent whose answer brought the mirror up to date last.
+        # The time at which the request was sent whose reply last brought the mirror up to date.
         self.watched_at = NEVER
-        # By key: what it stores, and the revision of its last change.
+        # By key: the stored value and the revision of its last change.
         self.values: dict[str, tuple[Any, int]] = {}
-        # By key: the revision of its removal, the oldest first.
+        # By key: the revision of its removal, the oldest removal first.
         self._removed: dict[str, int] = {}
         self.shards: dict[str, MachineShard] = {}
         # By machine: the name of its shard.
         self.shard_of: dict[str, str] = {}
         self.partitions: dict[str, JobPartition] = {}
-        # Members whose registration lease lasts, and when this process learned of the end of
-        # others' leases.
+        # Members whose registration lease has not expired, and the times at which this process
+        # observed that others' leases had ended.
         self.members: set[str] = set()
         self._lease_ended_at: dict[str, float] = {}
-        # By machine: who held it before its present holder.
+        # By machine: the holder before the current one.
         self.previous_holders: dict[str, str] = {}
-        # Jobs that their users cancelled and that are not over yet: by the stored marks, and as
-        # announced by the controller that stored one, with the revision of its write.
+        # Unfinished jobs that their users have cancelled: those with a stored cancellation mark,
+        # and those announced by the controller that stored the mark, with the revision of its
+        # write.
         self.cancelled: set[str] = set()
         self.announced_cancellations: dict[str, int] = {}
         self.listeners: list[Listener] = []
@@ -84,73 +86,80 @@
     # -- queries
 
     def value(self, key: str) -> Any:
-        """What the key stores; None if it does not exist."""
+        """Return the value of the key; None if it does not exist."""
         value, _ = self.values.get(key, (None, 0))
         return value
 
     def version(self, key: str) -> int:
-        """The revision of the key's last change; 0 if it does not exist."""
+        """Return the revision of the key's last change; 0 if it does not exist."""
         _, version = self.values.get(key, (None, 0))
         return version
 
     def is_current(self) -> bool:
-        """Is the mirror recent enough to start new work by it?
+        """Return whether the mirror is recent enough to start new work.
 
-        What runs goes on while our lease lasts, but a start by a stale mirror may be of a job
-        that its user has cancelled: a controller that is cut off or was frozen starts nothing.
+        Running work continues while the controller's lease lasts. A start based on a stale mirror,
+        however, may be of a job that its user has cancelled, so a controller that is partitioned
+        from the state service or was frozen starts nothing.
         """
         return self.clock.seconds() - self.watched_at < self.timeouts.mirror_freshness
 
     @property
     def leader(self) -> str | None:
-        """Who leads; None while nobody does."""
+        """The current leader; None while there is none."""
         record = self.value(keys.LEADER)
         return str(record.get("name")) if isinstance(record, dict) else None
 
     def holder_of(self, machine: str) -> tuple[str, int] | None:
-        """Who holds the machine, and under which fencing token."""
+        """Return the holder of the machine and its fencing token, or None if there is none."""
         shard = self.shards.get(self.shard_of.get(machine, ""))
         return (shard.holder, shard.fencing_token) if shard else None
 
     def partition_condition(self, partition: str) -> dict[str, int]:
-        """The condition that a partition is still owned as the mirror has it."""
+        """Return the transaction condition that a partition's record is still the one in the
+        mirror."""
         record = self.partitions.get(partition)
         return {keys.partition(partition): record.version if record else 0}
 
     def is_cancelled(self, job: str) -> bool:
-        """Has the job's user cancelled it?"""
+        """Return whether the job's user has cancelled it."""
         return job in self.cancelled or job in self.announced_cancellations
 
     def all_members_run(self, release: int) -> bool:
-        """Does every controller of the settings run this release or a newer one?
+        """Return whether every controller in the settings runs this release or a newer one.
 
-        Its fence says so, also while it is down: it restarts with the release that it
-        registered with last.
+        This is read from each controller's fence, even while the controller is down: it restarts
+        with the release with which it last registered.
         """
         return all(
             stored_release(self.value(keys.fence(member))) >= release
             for member in self.known_members
         )
 
-    def silent_since(self, machine: str, previous_holder_may_act: bool) -> float:
-        """The latest time at which a previous holder may have answered the machine's worker.
+    def last_possible_answer_at(self, machine: str, previous_holder_may_act: bool) -> float:
+        """Return the latest time at which a previous holder may have answered the machine's worker.
 
-        From then on the worker's own lease runs out, if nobody else answers it.
+        The worker's own lease starts to run out at that time unless another controller answers it.
         """
         now = self.clock.seconds()
         if previous_holder_may_act:
-            # It may not know yet that it was replaced, and act until its own lease ends.
+            # It may not have observed yet that it was replaced, and may act until its own lease
+            # ends.
             return now + self.timeouts.registration_lease
         previous = self.previous_holders.get(machine, self.me)
         if previous != self.me and previous not in self.members:
-            # It stopped acting before its registration lease ended, and we learned of that then.
+            # It stopped acting before its registration lease ended, which this process observed at
+            # the recorded time.
             return min(self._lease_ended_at.get(previous, now), now)
         return now
 
     # -- following the state service
 
     async def load(self) -> None:
-        """Read all control records; raises StateUnavailableError."""
+        """Read all control records.
+
+        Raises StateUnavailableError if the state service can't be read.
+        """
         sent = self.clock.seconds()
         items, revision = await self.state.scan(keys.CONTROL_PREFIX, RequestPriority.URGENT)
         self._replace_all(items, revision)
@@ -176,7 +185,7 @@
                 except StateUnavailableError:
                     await sleep(self.clock, self.timeouts.retry)
             except StateUnavailableError as error:
-                log.info("watch failed: {error}", error=error)
+                log.info("watching the control records failed, will retry: {error}", error=error)
                 await sleep(self.clock, self.timeouts.retry)
 
     async def _watch_once(self, is_over: Callable[[], bool]) -> None:
@@ -198,10 +207,10 @@
             self._apply(event.drop, None, event.version)
 
     def _caught_up(self, revision: int) -> None:
-        """The mirror holds all changes up to this revision.
+        """Record that the mirror contains all changes up to this revision.
 
-        Called after they were applied: a machine controller holds its machines by all that the
-        mirror has up to its revision.
+        Must be called after the changes are applied, because a machine controller relies on the
+        mirror being complete up to its revision when it determines which machines it holds.
         """
         self.revision = max(self.revision, revision)
         stored = [job for job, at in self.announced_cancellations.items() if at <= self.revision]
@@ -209,17 +218,18 @@
             del self.announced_cancellations[job]
 
     def observe(self, key: str, value: Any, version: int) -> None:
-        """Apply a control record that was written or read apart from the watch."""
+        """Apply a control record that was written or read independently of the watch."""
         known = max(self.version(key), self._removed.get(key, 0))
         if version > known:
             self._apply(key, value, version)
 
     def observe_cancellations(self, jobs: dict[str, int]) -> None:
-        """Cancellations that a peer has stored, with the revisions of their writes.
+        """Apply cancellations that a peer has stored, given with the revisions of their writes.
 
-        They arrive also while the state service is out of reach for us. A stored cancellation is
-        final, so it is obeyed without a read. Those up to our mirror's revision are ignored: the
-        mirror has them, or their jobs are over and have no mark any more.
+        They are received even while this controller can't reach the state service. A stored
+        cancellation is final, so it takes effect without a read. Those up to the mirror's revision
+        are ignored: either the mirror contains them, or their jobs have finished and the marks were
+        removed.
         """
         for job, revision in jobs.items():
             if revision > self.revision and not self.is_cancelled(job):
@@ -245,18 +255,19 @@
         self._notify(key)
 
     def _remove(self, key: str, version: int) -> bool:
-        """Remove a key; False if it does not exist or was written after this removal."""
+        """Remove a key; return False if it does not exist or was written after this removal."""
         if key not in self.values or self.version(key) > version:
             return False
         del self.values[key]
-        # The answer to a write of our own may come after the watch reported its removal.
+        # The reply to a write of this controller may arrive after the watch has reported the
+        # removal of the key.
         self._removed[key] = version
-        while len(self._removed) > REMEMBERED_REMOVALS:
+        while len(self._removed) > MAX_REMEMBERED_REMOVALS:
             del self._removed[next(iter(self._removed))]
         return True
 
     def _index(self, key: str, value: Any, version: int) -> None:
-        """Update what is derived from each kind of record; raises if the record is malformed."""
+        """Update the indexes derived from this kind of record; raise if the record is malformed."""
         prefix, name = keys.kind_and_name(key)
         if prefix == keys.SHARD_PREFIX:
             self._index_shard(name, value, version)
@@ -268,7 +279,7 @@
             self._index_member(name, is_alive=value is not None)
         elif prefix == keys.FENCE_PREFIX:
             self._on_fence_changed(name, version)
-            self._renew_fencing_tokens(name)
+            self._raise_fencing_tokens(name)
 
     def _index_cancellation(self, job: str, is_stored: bool) -> None:
         if is_stored:
@@ -317,12 +328,13 @@
             if old_holder != shard.holder:
                 self.previous_holders[machine.name] = old_holder
 
-    def _renew_fencing_tokens(self, member: str) -> None:
-        """Raise the tokens of a member's shards: a new incarnation or the leader wrote its fence.
+    def _raise_fencing_tokens(self, member: str) -> None:
+        """Raise the tokens of a member's shards after a new incarnation or the leader wrote its
+        fence.
 
-        Listeners are notified of our own shards even where the token stays: a shard that was
-        leased between our registration and the read after it is applied before our fence, and
-        could not be held then.
+        For this controller's own shards, listeners are notified even if the token stays the same. A
+        shard that was leased between this controller's registration and the read that follows it
+        is applied before the controller's fence, and could not be held at that time.
         """
         fence = self.version(keys.fence(member))
         for name, shard in self.shards.items():
--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -138,8 +138,10 @@
     ) -> None:
         """Manage a machine that is new or was managed under a lower fencing token."""
         now = self.clock.seconds()
-        silent_since = self.mirror.silent_since(info.name, shard.previous_holder_may_act)
-        machine = ManagedMachine(info, shard.fencing_token, now, silent_since)
+        last_possible_answer_at = self.mirror.last_possible_answer_at(
+            info.name, shard.previous_holder_may_act
+        )
+        machine = ManagedMachine(info, shard.fencing_token, now, last_possible_answer_at)
         machine.is_exclusive = not shard.previous_holder_may_act
         if previous is not None:
             machine.images = previous.images
