--- a/tests/test_command_planning.py
+++ b/tests/test_command_planning.py
@@ -1,4 +1,8 @@
-"""What follows for one attempt from its desired and its observed state, decided without I/O."""
+"""The command planner's decisions from an attempt's desired and observed state, without I/O.
+
+They guard against starts that are executed twice or after a cancellation, and against attempts that
+are declared gone while a start of theirs may still be executed.
+"""
 
 from __future__ import annotations
 
@@ -35,125 +39,140 @@
     return CommandPlanner(clock, mirror, summaries, timeouts)
 
 
-def wants(key: AttemptKey, action: DesiredAction, cpus: float = 1.0, rank: int = 0, **options):
+def desired_attempt(
+    key: AttemptKey, action: DesiredAction, cpus: float = 1.0, rank: int = 0, **options
+):
     return DesiredAttempt("m-1", TOKEN, *key, action, cpus, rank=rank, **options)
 
 
 def machine(*desired: DesiredAttempt) -> ManagedMachine:
-    """A machine whose worker has confirmed our token."""
-    made = ManagedMachine(Machine("m-1", "m-1:9", "small", "east"), TOKEN, 0.0, 0.0)
-    made.has_confirmed_token = True
+    """Return a machine whose worker has confirmed the command token."""
+    host = ManagedMachine(Machine("m-1", "m-1:9", "small", "east"), TOKEN, 0.0, 0.0)
+    host.has_confirmed_token = True
     for attempt in desired:
-        made.desired_attempts[AttemptKey(attempt.task, attempt.attempt)] = attempt
-    made.mark_all_changed()
-    return made
+        host.desired_attempts[AttemptKey(attempt.task, attempt.attempt)] = attempt
+    host.mark_all_changed()
+    return host
 
 
-def sent(made: ManagedMachine, is_answered: bool, is_indeterminate: bool) -> None:
-    made.starts[KEY] = SentStart(1, TOKEN, is_answered, is_indeterminate)
+def record_sent_start(host: ManagedMachine, is_answered: bool, is_indeterminate: bool) -> None:
+    host.starts[KEY] = SentStart(1, TOKEN, is_answered, is_indeterminate)
 
 
 def test_an_attempt_that_fits_is_started() -> None:
-    assert planner().plan_starts(machine(wants(KEY, DesiredAction.RUN))) == [StartCommand(*KEY)]
+    assert planner().plan_starts(machine(desired_attempt(KEY, DesiredAction.RUN))) == [
+        StartCommand(*KEY)
+    ]
 
 
-def test_nothing_is_decided_before_the_worker_confirms_the_token() -> None:
-    made = machine(wants(KEY, DesiredAction.STOP), wants(AttemptKey("j-2/0", 1), DesiredAction.RUN))
-    made.has_confirmed_token = False
-    assert planner().plan_starts(made) == [] and made.terminated == {}
+def test_no_start_is_planned_before_the_worker_confirms_the_token() -> None:
+    host = machine(
+        desired_attempt(KEY, DesiredAction.STOP),
+        desired_attempt(AttemptKey("j-2/0", 1), DesiredAction.RUN),
+    )
+    host.has_confirmed_token = False
+    assert planner().plan_starts(host) == [] and host.terminated == {}
 
 
 @pytest.mark.parametrize("action", [DesiredAction.RUN, DesiredAction.HOLD])
-def test_what_does_not_fit_is_refused(action: DesiredAction) -> None:
-    made = machine(wants(KEY, action, cpus=5.0))
-    assert planner().plan_starts(made) == []
-    assert made.terminated == {KEY: AttemptState.REFUSED}
+def test_an_attempt_that_does_not_fit_is_refused(action: DesiredAction) -> None:
+    host = machine(desired_attempt(KEY, action, cpus=5.0))
+    assert planner().plan_starts(host) == []
+    assert host.terminated == {KEY: AttemptState.REFUSED}
 
 
-def test_a_higher_priority_is_looked_at_first() -> None:
+def test_attempts_of_higher_priority_are_checked_first() -> None:
     low, high = AttemptKey("j-low/0", 1), AttemptKey("j-high/0", 1)
-    made = machine(
-        wants(low, DesiredAction.RUN, 3.0, rank=2), wants(high, DesiredAction.RUN, 3.0, rank=0)
+    host = machine(
+        desired_attempt(low, DesiredAction.RUN, 3.0, rank=2),
+        desired_attempt(high, DesiredAction.RUN, 3.0, rank=0),
     )
-    planner().plan_starts(made)
-    # Each counts as using its room until it is refused.
-    assert made.terminated[high] == AttemptState.REFUSED and low not in made.terminated
+    planner().plan_starts(host)
+    # Each attempt counts as using its resources until it is refused.
+    assert host.terminated[high] == AttemptState.REFUSED and low not in host.terminated
 
 
-def test_starts_wait_during_a_pause() -> None:
-    made = machine(wants(KEY, DesiredAction.RUN))
-    made.starts_paused_until = 5.0
-    assert planner().plan_starts(made) == [] and made.terminated == {}
+def test_no_attempt_is_started_or_refused_during_a_pause() -> None:
+    host = machine(desired_attempt(KEY, DesiredAction.RUN))
+    host.starts_paused_until = 5.0
+    assert planner().plan_starts(host) == [] and host.terminated == {}
 
 
 @pytest.mark.parametrize("action", [DesiredAction.STOP, DesiredAction.CLEAR])
-def test_what_was_never_started_is_gone(action: DesiredAction) -> None:
-    made = machine(wants(KEY, action))
-    planner().plan_starts(made)
-    assert made.terminated == {KEY: AttemptState.GONE}
+def test_an_unwanted_attempt_that_was_never_started_is_declared_gone(action: DesiredAction) -> None:
+    host = machine(desired_attempt(KEY, action))
+    planner().plan_starts(host)
+    assert host.terminated == {KEY: AttemptState.GONE}
 
 
-def test_a_start_that_was_executed_and_is_not_listed_any_more_is_gone() -> None:
-    made = machine(wants(KEY, DesiredAction.RUN))
-    sent(made, is_answered=True, is_indeterminate=False)
-    assert planner().plan_starts(made) == []
-    assert made.terminated == {KEY: AttemptState.GONE}
+def test_an_executed_attempt_that_is_no_longer_reported_is_declared_gone() -> None:
+    host = machine(desired_attempt(KEY, DesiredAction.RUN))
+    record_sent_start(host, is_answered=True, is_indeterminate=False)
+    assert planner().plan_starts(host) == []
+    assert host.terminated == {KEY: AttemptState.GONE}
 
 
 @pytest.mark.parametrize("is_answered", [False, True])
-def test_an_indeterminate_start_that_is_not_wanted_is_superseded_first(is_answered: bool) -> None:
-    planning, made = planner(), machine(wants(KEY, DesiredAction.STOP))
-    sent(made, is_answered, is_indeterminate=True)
-    planning.plan_starts(made)
-    assert made.command_token == TOKEN and made.terminated == {}, "no newer token is ours yet"
-    planning.mirror.revision = TOKEN + 1
-    planning.plan_starts(made)
-    assert made.command_token == TOKEN + 1 and not made.has_confirmed_token
-    assert made.terminated == {}, "the worker has not confirmed the token"
-    made.has_confirmed_token = True
-    planning.plan_starts(made)
-    assert made.terminated == {KEY: AttemptState.GONE}
-
-
-def test_the_token_is_not_raised_while_commands_are_under_way() -> None:
-    planning, made = planner(), machine(wants(KEY, DesiredAction.STOP))
-    planning.mirror.revision = TOKEN + 1
-    sent(made, is_answered=False, is_indeterminate=True)
-    made.is_sending_commands = True
-    planning.plan_starts(made)
-    assert made.command_token == TOKEN and made.terminated == {}
+def test_an_unwanted_indeterminate_start_is_superseded_before_it_is_declared_gone(
+    is_answered: bool,
+) -> None:
+    command_planner, host = planner(), machine(desired_attempt(KEY, DesiredAction.STOP))
+    record_sent_start(host, is_answered, is_indeterminate=True)
+    command_planner.plan_starts(host)
+    assert host.command_token == TOKEN and host.terminated == {}, (
+        "the mirror contains no newer revision yet"
+    )
+    command_planner.mirror.revision = TOKEN + 1
+    command_planner.plan_starts(host)
+    assert host.command_token == TOKEN + 1 and not host.has_confirmed_token
+    assert host.terminated == {}, "the worker has not confirmed the token"
+    host.has_confirmed_token = True
+    command_planner.plan_starts(host)
+    assert host.terminated == {KEY: AttemptState.GONE}
+
+
+def test_the_token_is_not_raised_while_commands_are_being_sent() -> None:
+    command_planner, host = planner(), machine(desired_attempt(KEY, DesiredAction.STOP))
+    command_planner.mirror.revision = TOKEN + 1
+    record_sent_start(host, is_answered=False, is_indeterminate=True)
+    host.is_sending_commands = True
+    command_planner.plan_starts(host)
+    assert host.command_token == TOKEN and host.terminated == {}
 
 
 def test_an_ended_attempt_is_not_cleared_while_its_start_is_indeterminate() -> None:
-    planning, made = planner(), machine(wants(KEY, DesiredAction.CLEAR))
-    made.tasks[KEY] = TaskStatus(*KEY, "ended", "done")
-    sent(made, is_answered=True, is_indeterminate=True)
-    assert planning.plan_stops_and_clears(made) == []
-    made.starts[KEY].is_indeterminate = False
-    assert planning.plan_stops_and_clears(made) == [ClearCommand(*KEY)]
-
-
-def test_a_cancelled_job_stops_without_time_to_save() -> None:
-    planning = planner()
-    made = machine(wants(KEY, DesiredAction.RUN, saves=True, save_s=4.0))
-    made.tasks[KEY] = TaskStatus(*KEY, "running")
-    assert planning.plan_stops_and_clears(made) == []
-    made.termination_notice_s = 30.0
-    assert planning.plan_stops_and_clears(made) == [StopCommand(*KEY, 6.0)]
-    planning.mirror.cancelled.add("j-1")
-    assert planning.plan_stops_and_clears(made) == [StopCommand(*KEY, 0.0)]
-
-
-def test_preemption_takes_the_lowest_work_first_and_no_more_than_needed() -> None:
+    command_planner, host = planner(), machine(desired_attempt(KEY, DesiredAction.CLEAR))
+    host.tasks[KEY] = TaskStatus(*KEY, "ended", "done")
+    record_sent_start(host, is_answered=True, is_indeterminate=True)
+    assert command_planner.plan_stops_and_clears(host) == []
+    host.starts[KEY].is_indeterminate = False
+    assert command_planner.plan_stops_and_clears(host) == [ClearCommand(*KEY)]
+
+
+def test_a_cancelled_job_is_stopped_without_a_grace_period() -> None:
+    command_planner = planner()
+    host = machine(desired_attempt(KEY, DesiredAction.RUN, saves=True, save_s=4.0))
+    host.tasks[KEY] = TaskStatus(*KEY, "running")
+    assert command_planner.plan_stops_and_clears(host) == []
+    host.termination_notice_s = 30.0
+    assert command_planner.plan_stops_and_clears(host) == [StopCommand(*KEY, 6.0)]
+    command_planner.mirror.cancelled.add("j-1")
+    assert command_planner.plan_stops_and_clears(host) == [StopCommand(*KEY, 0.0)]
+
+
+def test_preemption_stops_the_lowest_priority_first_and_no_more_than_needed() -> None:
     lower = [
-        wants(AttemptKey(f"j-low-{n}/0", 1), DesiredAction.RUN, 2.0, rank=rank, gang=gang)
+        desired_attempt(AttemptKey(f"j-low-{n}/0", 1), DesiredAction.RUN, 2.0, rank=rank, gang=gang)
         for n, (rank, gang) in enumerate([(1, False), (3, True), (3, False)])
     ]
-    desired = wants(KEY, DesiredAction.RUN, 4.0, rank=1)
-    made = machine(desired, *lower)
+    desired = desired_attempt(KEY, DesiredAction.RUN, 4.0, rank=1)
+    host = machine(desired, *lower)
     free = Resources(0.0, 0.0, 16.0)
-    victims = choose_victims(made, KEY, desired, free)
+    victims = choose_victims(host, KEY, desired, free)
     assert victims is not None
     assert [key.task for key, _ in victims] == ["j-low-2/0", "j-low-1/0"]
-    assert choose_victims(made, KEY, wants(KEY, DesiredAction.RUN, 5.0, rank=1), free) is None
-    assert choose_victims(made, KEY, desired, Resources(4.0, 0.0, 16.0)) == []
+    assert (
+        choose_victims(host, KEY, desired_attempt(KEY, DesiredAction.RUN, 5.0, rank=1), free)
+        is None
+    )
+    assert choose_victims(host, KEY, desired, Resources(4.0, 0.0, 16.0)) == []
--- a/tests/test_open_attempts.py
+++ b/tests/test_open_attempts.py
@@ -1,4 +1,9 @@
-"""Reconciliation looks at pending attempts only, and misses nothing that is due elsewhere."""
+"""Reconciliation checks pending attempts only, and no other attempt may need an action.
+
+An attempt that is removed from the pending ones too early, or not added after a change, would never
+be started, stopped, cleared or reported. At each reconciliation of a run with random faults, the
+actions that are due for pending attempts are compared with those that are due for all.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +18,8 @@
 
 
 def due(controller: MachineController, machine: ManagedMachine) -> tuple[list[str], set[Any]]:
-    """Commands for what the machine reports, and attempts that are neither there nor terminated."""
+    """Return the commands for reported attempts, and the desired attempts that are neither reported
+    nor terminated."""
     commands = sorted(map(str, controller.planner.plan_stops_and_clears(machine)))
     missing = {
         key
@@ -26,33 +32,38 @@
 
 
 @pytest.mark.parametrize("seed", [3, 4])
-def test_nothing_is_due_for_what_is_not_pending(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_nothing_is_due_for_attempts_that_are_not_pending(
+    seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     reconcile = MachineController.reconcile
-    # An exception in a reconciliation is logged by its caller, so misses are kept.
-    missed: list[Any] = []
+    # The caller of `reconcile` only logs exceptions, so mismatches are collected and checked at the
+    # end.
+    mismatches: list[Any] = []
     counts = {"all": 0, "with something settled": 0}
 
     def checked(self: MachineController, machine: ManagedMachine) -> None:
-        found = due(self, machine)
-        known = machine.pending_keys
+        due_for_pending = due(self, machine)
+        pending = machine.pending_keys
         machine.pending_keys = dict.fromkeys([*machine.tasks, *machine.desired_attempts])
-        everything = due(self, machine)
+        due_for_all = due(self, machine)
         unacknowledged = {
             key
             for key, desired in machine.desired_attempts.items()
-            if (mark := observed_status(machine, key, desired))
-            and machine.acknowledged_statuses.get(key) != mark
+            if (observed := observed_status(machine, key, desired))
+            and machine.acknowledged_statuses.get(key) != observed
         }
         counts["all"] += 1
-        counts["with something settled"] += len(known.keys() & machine.pending_keys.keys()) < len(
+        counts["with something settled"] += len(pending.keys() & machine.pending_keys.keys()) < len(
             machine.pending_keys
         )
-        machine.pending_keys = known
-        if found != everything or not unacknowledged <= known.keys():
-            missed.append((machine.info.name, found, everything, unacknowledged - known.keys()))
+        machine.pending_keys = pending
+        if due_for_pending != due_for_all or not unacknowledged <= pending.keys():
+            mismatches.append(
+                (machine.info.name, due_for_pending, due_for_all, unacknowledged - pending.keys())
+            )
         reconcile(self, machine)
 
     monkeypatch.setattr(MachineController, "reconcile", checked)
     random_faults(seed)
-    assert missed == []
+    assert mismatches == []
     assert counts["with something settled"] > counts["all"] / 10
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -1,4 +1,9 @@
-"""Registration while the leader leases, with the state service scripted."""
+"""Registration while the leader leases a shard to the controller, with a fake state service.
+
+The shard is written after the controller's fence and before the controller reads the records again.
+That read applies the shard before the fence, when the controller can't hold it yet; without another
+notification after the fence, the controller would never manage the shard's machines.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +24,9 @@
 FENCE = "c/fence/rig-0"
 
 
-class Store:
-    """A shard is leased to us after our fence was written and before the keys are read again."""
+class FakeStateClient:
+    """A state service where a shard is leased to the controller after its fence was written and
+    before the records are read again."""
 
     def __init__(self) -> None:
         self.items: list[KeyValue] = []
@@ -40,21 +46,21 @@
         return 10
 
 
-class Net:
-    """Nothing is answered."""
+class UnusedNet:
+    """A network on which no request is expected."""
 
     async def request(self, *call: Any) -> Any:
         raise AssertionError("no call is expected before the registration has finished")
 
 
-def test_a_shard_that_is_leased_while_its_machine_controller_registers_is_held() -> None:
-    clock, store = SimClock(), Store()
+def test_a_shard_that_is_leased_during_registration_is_managed() -> None:
+    clock, store = SimClock(), FakeStateClient()
     timeouts = Timeouts(settings(), OperatorSettings())
     registration = Registration(clock, store, settings(), timeouts)  # type: ignore[arg-type]
     machine_controller = MachineController(
         clock,
         registration,
-        WorkerClient(Net(), timeouts.command),  # type: ignore[arg-type]
+        WorkerClient(UnusedNet(), timeouts.command),  # type: ignore[arg-type]
         timeouts,
         lambda: {},
         lambda task, attempt, machine: None,
@@ -63,4 +69,4 @@
     ensureDeferred(registration._register()).addCallback(done.append)
     assert done == [True]
     assert registration.mirror.holder_of("m-1") == ("rig-0", 12)
-    assert set(machine_controller.machines) == {"m-1"}, "else nobody ever answers its worker"
+    assert set(machine_controller.machines) == {"m-1"}, "the worker would never be answered"
--- a/tests/test_steady_state_cost.py
+++ b/tests/test_steady_state_cost.py
@@ -1,5 +1,8 @@
-"""What a minute in the steady state costs, in calls: it is the same on every machine and must not
-grow unnoticed."""
+"""The cost of one minute in the steady state, counted in calls.
+
+The counts don't depend on the computer that runs the test, so they reveal changes that make
+controllers send or compute more while nothing changes.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,8 @@
 
 
 def steady_world(machines: int) -> World:
-    """A service fills each machine, no more can be rented, and nothing has happened for long."""
+    """Return a cluster in which a service fills each machine, no more machines can be rented and
+    nothing has changed for a while."""
     world = World(
         3,
         machines=[{"kind": "small", "zone": zone, "count": machines // 3} for zone in ZONES],
@@ -35,42 +39,45 @@
     return world
 
 
-def calls_of_a_minute(world: World) -> Counter[str]:
-    """How many calls the controllers send in a minute, by path or service."""
+def count_calls_in_a_minute(world: World) -> Counter[str]:
+    """Return the number of calls that the controllers send in a minute, by path or address."""
     calls: Counter[str] = Counter()
     request = world.network.request
 
-    def counting(source: str, method: str, address: str, path: str, *rest: Any) -> Any:
+    def count_call(source: str, method: str, address: str, path: str, *rest: Any) -> Any:
         if source in world.names:
             calls[path.partition("?")[0] if path.startswith("/peer/") else address] += 1
         return request(source, method, address, path, *rest)
 
-    world.network.request = counting  # type: ignore[method-assign]
+    world.network.request = count_call  # type: ignore[method-assign]
     world.run(world.clock.seconds() + STEADY_S)
     return calls
 
 
-def test_calls_of_a_minute_in_the_steady_state() -> None:
+def test_the_number_of_calls_in_the_steady_state_is_bounded() -> None:
     world = steady_world(90)
     writes = len(world.state.history)
-    calls = calls_of_a_minute(world)
-    # Three controllers, a heartbeat every half second: two of them send it to the leader, each
-    # probes both peers and waits that long; and all repeat their desired state once in a worker's
-    # lease.
+    calls = count_calls_in_a_minute(world)
+    # There are three controllers, and the heartbeat interval is half a second. Two of them send
+    # heartbeats to the leader, each probes both peers with pauses of that length, and all resend
+    # their desired state once per worker lease.
     assert calls["/peer/beat"] <= 2 * 2 * STEADY_S * 1.2
     assert calls["/peer/pulse"] <= 3 * 2 * STEADY_S * 1.5
     assert calls["/peer/sync"] <= 3 * 2 * (STEADY_S / 15.0 + 2)
     assert calls["/peer/statuses"] == 0
     assert calls["/peer/asks"] == 0
-    # Renewals, watches and the comparisons behind polls; all of the service's rate is 150.
+    # Lease renewals, watches and the comparisons that polls require. The rate limit of the state
+    # service is 150 per second.
     assert calls["state:1"] <= 16 * STEADY_S
-    assert not [address for address in calls if address.endswith(":9000")], "no orders"
-    # The leader's own record aside, nothing is written.
+    assert not [address for address in calls if address.endswith(":9000")], (
+        "commands were sent to workers"
+    )
+    # Nothing is written except the leader's own record.
     assert len(world.state.history) - writes <= 1
 
 
 @pytest.mark.parametrize("machines", [30, 90])
-def test_a_heartbeat_without_changes_computes_no_room(
+def test_a_heartbeat_without_changes_recomputes_no_free_capacity(
     machines: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     world = steady_world(machines)
@@ -78,32 +85,34 @@
     reports: list[str] = []
     report = MachineController.report
 
-    def counting(holder: MachineController, message: Any) -> Any:
+    def count_report(holder: MachineController, message: Any) -> Any:
         reports.append(message.machine)
         return report(holder, message)
 
-    monkeypatch.setattr(MachineController, "report", counting)
+    monkeypatch.setattr(MachineController, "report", count_report)
     world.run(world.clock.seconds() + STEADY_S)
     assert len(reports) >= machines * STEADY_S / 3.0 * 0.8
     assert {name: node.machine_controller.changes for name, node in world.nodes.items()} == counts
 
 
-def test_a_heartbeat_without_changes_reconciles_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_heartbeat_without_changes_triggers_no_reconciliation(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     world = steady_world(30)
-    steps: Counter[str] = Counter()
+    reconciliations: Counter[str] = Counter()
     reports: Counter[str] = Counter()
-    step, report = MachineController.reconcile, MachineController.report
+    reconcile, report = MachineController.reconcile, MachineController.report
 
-    def counted_step(self: MachineController, machine: Any) -> None:
-        steps[machine.info.name] += 1
-        step(self, machine)
+    def count_reconciliation(self: MachineController, machine: Any) -> None:
+        reconciliations[machine.info.name] += 1
+        reconcile(self, machine)
 
-    def counted_report(self: MachineController, message: Any) -> Any:
+    def count_report(self: MachineController, message: Any) -> Any:
         reports[message.machine] += 1
         return report(self, message)
 
-    monkeypatch.setattr(MachineController, "reconcile", counted_step)
-    monkeypatch.setattr(MachineController, "report", counted_report)
+    monkeypatch.setattr(MachineController, "reconcile", count_reconciliation)
+    monkeypatch.setattr(MachineController, "report", count_report)
     world.run(world.clock.seconds() + STEADY_S)
     assert sum(reports.values()) > 30 * STEADY_S / 4
-    assert sum(steps.values()) <= sum(reports.values()) * 0.05
+    assert sum(reconciliations.values()) <= sum(reports.values()) * 0.05
