--- a/src/beamspar/cluster/registration.py
+++ b/src/beamspar/cluster/registration.py
@@ -111,7 +111,7 @@
         self.started = True
         log.info("registered as {me}.{incarnation}", me=self.me, incarnation=self.incarnation)
         spawn(self._renew_until_ended(), "lease renewal")
-        spawn(self.mirror.follow(lambda: self.lost), "watch")
+        spawn(self.mirror.watch_until(lambda: self.lost), "watch")
 
     async def _register(self) -> bool:
         """Attempt to register once; return True if the stored fence is that of this incarnation."""
--- a/src/beamspar/cluster/state_mirror.py
+++ b/src/beamspar/cluster/state_mirror.py
@@ -174,7 +174,7 @@
             if self.version(key) != version:
                 self._apply(key, value, version)
 
-    async def follow(self, is_over: Callable[[], bool]) -> None:
+    async def watch_until(self, is_over: Callable[[], bool]) -> None:
         """Watch the control records and apply their changes, until `is_over()`."""
         while not is_over():
             try:
--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -101,11 +101,11 @@
         self.planner = CommandPlanner(clock, self.mirror, self.summaries, timeouts)
         self.sender = CommandSender(clock, workers, self.observer, timeouts, self)
         self.orphan_detector = OrphanDetector(clock, timeouts, check_binding, self)
-        self.mirror.listeners.append(self._mirror_changed)
+        self.mirror.listeners.append(self._on_mirror_changed)
 
     # -- changes of the shards
 
-    def _mirror_changed(self, key: str) -> None:
+    def _on_mirror_changed(self, key: str) -> None:
         if key.startswith(keys.SHARD_PREFIX):
             self._update_shard(key.removeprefix(keys.SHARD_PREFIX))
         elif key.startswith(keys.CANCELLATION_PREFIX):
@@ -294,8 +294,8 @@
     def views(
         self, since: int = 0, most: int = MAX_MACHINE_STATUSES
     ) -> tuple[list[MachineStatus], int]:
-        """Return the statuses of machines that changed after `since`, a count of changes, and
-        the count that they bring the receiver up to."""
+        """Return the statuses of machines that changed after the count of changes `since`, and the
+        count up to which these statuses are complete."""
         return self.summaries.changed_statuses(self.machines.values(), since, most)
 
     def drain(self, names: list[str]) -> None:
