--- a/src/beamspar/cluster/registration.py
+++ b/src/beamspar/cluster/registration.py
@@ -30,7 +30,7 @@
 
 log = Logger(namespace="registration")
 
-# Earlier than any time of the process's clock.
+# A time long before any reading of the process's clock.
 NEVER = -1e9
 
 
--- a/src/beamspar/cluster/state_mirror.py
+++ b/src/beamspar/cluster/state_mirror.py
@@ -27,7 +27,7 @@
 
 # The number of removed keys kept, to recognize a late reply to a write of this controller.
 MAX_REMEMBERED_REMOVALS = 1000
-# Earlier than any time of the process's clock.
+# A time long before any reading of the process's clock.
 NEVER = -1e9
 
 # Called with the key of a record that has changed.
--- a/src/beamspar/machines/managed_machine.py
+++ b/src/beamspar/machines/managed_machine.py
@@ -18,7 +18,7 @@
 
 # The number of terminated attempts kept per machine.
 MAX_TERMINATED = 400
-# Earlier than any time of the process's clock.
+# A time long before any reading of the process's clock.
 NEVER = -1e9
 
 
