--- a/src/beamspar/jobs/indeterminate_accepts.py
+++ b/src/beamspar/jobs/indeterminate_accepts.py
@@ -1,7 +1,7 @@
-"""Resolves accepts that got no answer: they may have been applied, or may be minutes later.
+"""Resolves accepts without a reply: the write may have been applied, or may be minutes later.
 
-What such a job uses of its team's quota stays counted until its outcome is known, or a record
-that turns up late would exceed the quota.
+The quota usage of such a job stays counted until the outcome is known. Otherwise a record that is
+applied late could exceed the team's quota.
 """
 
 from __future__ import annotations
@@ -24,23 +24,25 @@
 
 log = Logger(namespace="jobs")
 
-# Checks of an indeterminate accept before later application of it is ruled out by a write.
+# After this many reads without a known outcome, a write to the partition's record fences out
+# accepts that are still in flight.
 CHECKS_BEFORE_FENCING = 3
 
 
 class AcceptOutcome(Enum):
-    """What the stored records say of an accept without an answer."""
+    """Outcome of an accept without a reply, according to the stored records."""
 
-    # There is no record of the job, though one may be written yet.
+    # No record of the job exists, but one may still be written.
     NOT_STORED = "not stored"
-    # It is stored as ours, and what it binds is counted by the indeterminate accept alone.
+    # The record is in a partition of this controller, but the job could not be loaded: only the
+    # indeterminate accept counts the tasks that it binds.
     NOT_IN_MEMORY = "not in memory"
-    # The job is in memory, another controller's or finished.
+    # The job is in memory, finished or owned by another controller.
     RESOLVED = "resolved"
 
 
 class IndeterminateAccepts:
-    """Owns the jobs whose accept got no answer."""
+    """Tracks the jobs whose accept received no reply."""
 
     def __init__(
         self,
@@ -56,31 +58,31 @@
         self._state = state
         self._timeouts = timeouts
         self._job_store = job_store
-        # By job ID; a repeated submission may add one more for the same job.
+        # By job ID; a repeated submission may add another entry for the same job.
         self.jobs: dict[str, list[Job]] = {}
 
     def add(self, job: Job) -> None:
-        """The job's accept got no answer: its use of the quota counts until that is resolved."""
+        """Keep counting the job's quota usage, and begin to resolve its accept without a reply."""
         accepts = self.jobs.setdefault(job.id, [])
         accepts.append(job)
         if len(accepts) == 1:
             spawn(self._resolve(job.id), "indeterminate accept")
 
-    def resolved(self, job_id: str) -> None:
-        """The job's record is known now: its indeterminate accepts count no longer."""
+    def mark_resolved(self, job_id: str) -> None:
+        """Stop counting the job's indeterminate accepts, as its outcome is now known."""
         for job in self.jobs.pop(job_id, ()):
-            self.release_quota(job)
+            self.release_quota_usage(job)
 
-    def release_quota(self, job: Job) -> None:
-        """Nothing of the job counts against its team's quota any more."""
+    def release_quota_usage(self, job: Job) -> None:
+        """Stop counting the job against its team's quota."""
         if self._job_store.quota_manager:
             self._job_store.quota_manager.release(job)
 
     async def _resolve(self, job_id: str) -> None:
-        """Check what is stored until the outcome is known.
+        """Read the stored records until the outcome is known.
 
-        After a few checks our partition's record is written anew: accepts are conditional on
-        its version, so none is applied late from then on.
+        After CHECKS_BEFORE_FENCING reads, this controller's partition record is rewritten.
+        Accepts are conditional on its version, so none can be applied late from then on.
         """
         checks, is_fenced = 0, False
         while job_id in self.jobs and not self._registration.lost:
@@ -88,22 +90,28 @@
             checks += 1
             try:
                 if checks > CHECKS_BEFORE_FENCING and not is_fenced:
-                    await self._fence_late_accepts()
+                    await self._fence_out_late_accepts()
                     is_fenced = True
-                outcome = await self._outcome(job_id)
+                outcome = await self._read_outcome(job_id)
             except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
-                log.info("accept of {job} stays indeterminate: {error}", job=job_id, error=error)
+                log.info(
+                    "{job}: accept is still indeterminate, will check again: {error}",
+                    job=job_id,
+                    error=error,
+                )
                 continue
             if outcome is AcceptOutcome.RESOLVED or (
                 outcome is AcceptOutcome.NOT_STORED and is_fenced
             ):
-                self.resolved(job_id)
+                self.mark_resolved(job_id)
 
-    async def _outcome(self, job_id: str) -> AcceptOutcome:
+    async def _read_outcome(self, job_id: str) -> AcceptOutcome:
         item = await self._state.get(keys.job(job_id), RequestPriority.PLACEMENT)
         if item is None:
-            end = await self._state.get(keys.finished_job(job_id), RequestPriority.PLACEMENT)
-            return AcceptOutcome.NOT_STORED if end is None else AcceptOutcome.RESOLVED
+            finished_item = await self._state.get(
+                keys.finished_job(job_id), RequestPriority.PLACEMENT
+            )
+            return AcceptOutcome.NOT_STORED if finished_item is None else AcceptOutcome.RESOLVED
         if records.read_job(item).partition not in self._job_store.partitions:
             return AcceptOutcome.RESOLVED
         await self._job_store.adopt(job_id)
@@ -111,8 +119,8 @@
             return AcceptOutcome.RESOLVED
         return AcceptOutcome.NOT_IN_MEMORY
 
-    async def _fence_late_accepts(self) -> None:
-        """Write our partition's record anew: accepts made on its former version are void."""
+    async def _fence_out_late_accepts(self) -> None:
+        """Rewrite this controller's partition record, so that accepts on its old version fail."""
         key = keys.partition(self._registration.partition)
         value = {"owner": self._registration.me}
         conditions = {
--- a/src/beamspar/jobs/job_acceptor.py
+++ b/src/beamspar/jobs/job_acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts submitted jobs: places their first tasks and stores them in one write."""
+"""Accepts submitted jobs: binds their first tasks and stores job and tasks in one transaction."""
 
 from __future__ import annotations
 
@@ -27,7 +27,10 @@
 
 
 class JobAcceptor:
-    """Owns the jobs that are being accepted; `accept` raises what the state client raises."""
+    """Tracks the jobs that are being accepted.
+
+    Errors of the state client pass through `accept` to its caller.
+    """
 
     def __init__(
         self,
@@ -44,24 +47,24 @@
         self._timeouts = timeouts
         self._job_store = job_store
         self._indeterminate = IndeterminateAccepts(clock, registration, state, timeouts, job_store)
-        # Jobs that are being accepted, by ID.
+        # Jobs whose accept is in progress, by job ID.
         self.jobs_being_accepted: dict[str, Job] = {}
 
     @property
     def indeterminate_accepts(self) -> dict[str, list[Job]]:
-        """Jobs whose accept got no answer, by ID."""
+        """Jobs whose accept received no reply from the state service, by job ID."""
         return self._indeterminate.jobs
 
     def settled(self, job_id: str) -> None:
-        """The job's record is known now: its indeterminate accepts count no longer."""
-        self._indeterminate.resolved(job_id)
+        """Stop counting the job's indeterminate accepts, as its stored record is now known."""
+        self._indeterminate.mark_resolved(job_id)
 
     async def accept(self, spec: JobSpec) -> bool:
-        """Store a new job, with its first tasks bound if there is room; returns True.
+        """Store a new job, with its first tasks bound as far as capacity is free; return True.
 
-        Raises ConflictError if the job is stored already or this controller is fenced,
-        OutcomeUnknownError if it may be stored, and StateUnavailableError or
-        LeaseExpiredError if it is not.
+        Raises ConflictError if the job is already stored or this controller is fenced out,
+        OutcomeUnknownError if the job may have been stored, and StateUnavailableError or
+        LeaseExpiredError if it was not stored.
         """
         layout = self._job_store.writer.layout_for_new_job()
         job = Job(spec, self._registration.partition, layout, self._clock.seconds())
@@ -80,17 +83,21 @@
         change = put(keys.job(job.id), msgspec.to_builtins(job.record()))
         try:
             version = await self._state.transact(
-                self._conditions(job), [change], RequestPriority.ACCEPT
+                self._preconditions(job), [change], RequestPriority.ACCEPT
             )
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
             self._discard(job, error)
             raise
         self._apply_stored(job, version, bound_count)
-        self._start(job)
+        self._begin_work(job)
         return True
 
-    def _conditions(self, job: Job) -> dict[str, int]:
-        """Ours by fence and partition, and no job of that ID is stored, live or finished."""
+    def _preconditions(self, job: Job) -> dict[str, int]:
+        """Return the versions that the transaction requires.
+
+        This controller's fence and its ownership of the partition must be unchanged, and no
+        record of the job may exist, neither of a live nor of a finished job.
+        """
         return {
             **self._registration.fence_condition(),
             **self._mirror.partition_condition(job.partition),
@@ -99,19 +106,19 @@
         }
 
     def _discard(self, job: Job, error: Exception) -> None:
-        """The job is not accepted as far as is known: release its machines."""
+        """Unbind the tasks of a job whose accept failed or has an unknown outcome."""
         for index, task in job.tasks.items():
             if task.machine is not None:
                 self._job_store.unassign(task.machine, job, index)
         if isinstance(error, OutcomeUnknownError):
-            # It may be stored yet, with what it binds: its use stays counted, or a record
-            # that turns up late would go over the team's quota.
+            # The record, with its bound tasks, may still be stored. Its usage stays counted,
+            # as a record that appears late would otherwise exceed the team's quota.
             self._indeterminate.add(job)
         else:
-            self._indeterminate.release_quota(job)
+            self._indeterminate.release_quota_usage(job)
 
     def _apply_stored(self, job: Job, version: int, bound_count: int) -> None:
-        """The job's record is stored: its tasks in the first chunk may be started."""
+        """Apply the stored record: the bound tasks of its first chunk may now be started."""
         self.settled(job.id)
         job.version = version
         job.dirty.discard(0)
@@ -121,18 +128,22 @@
                 task.stored = True
                 self._job_store.touch(task.machine)
 
-    def _start(self, job: Job) -> None:
-        """Hand the stored job over, and see to what is due of it."""
+    def _begin_work(self, job: Job) -> None:
+        """Add the stored job to the jobs in memory and begin its pending work.
+
+        This applies a cancellation, writes the changed chunks, and places pending tasks.
+        """
         self._job_store.jobs[job.id] = job
         log.info(
-            "accepted {job} ({job_class}): {n} tasks, {placed} placed",
+            "{job} accepted ({job_class}): {placed} of its {n} tasks are bound",
             job=job.id,
             job_class=job.spec.job_class,
             n=job.spec.tasks,
             placed=job.bound,
         )
         if self._mirror.is_cancelled(job.id):
-            # Another controller read what we wrote, and its answer was the faster one.
+            # Another controller read the new record and stored a cancellation before this
+            # controller received the reply to its write.
             self._job_store.apply_cancellation(job.id)
         self._job_store.writer.flush(job)
         if job.waiting(self._clock.seconds(), 1):
