--- a/src/beamspar/jobs/job_writer.py
+++ b/src/beamspar/jobs/job_writer.py
@@ -1,4 +1,4 @@
-"""Writes the records of the jobs that this controller owns, one write at a time for each."""
+"""Writes the records of the jobs that this controller owns, one write at a time per job."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class JobWriter:
-    """Decides when a job's records are written, and stores the end of a finished job."""
+    """Decides when a job's records are written, and stores the final record of a finished job."""
 
     def __init__(
         self,
@@ -61,15 +61,15 @@
         )
 
     def layout_for_new_job(self) -> ChunkLayout:
-        """The layout for a new job's record."""
+        """Return the layout for a new job's record."""
         return self._layouts.for_new_job()
 
     def next_write_stamp(self) -> str:
-        """A name for the next write."""
+        """Return a unique name for the next write."""
         return self._transactions.next_write_stamp()
 
     def tick(self) -> None:
-        """Rewrite what may outgrow the announced limit, before that limit comes."""
+        """Migrate jobs whose records may exceed the announced limit, before it takes effect."""
         if not self._layouts.is_readable_by_all():
             return
         for job in list(self._job_store.jobs.values()):
@@ -77,17 +77,23 @@
                 self.flush(job)
 
     def flush(self, job: Job) -> None:
-        """Write what has changed, unless a write is under way, which will go on with it."""
+        """Start writing the job's changed records.
+
+        If a write is already in progress, it continues with the new changes.
+        """
         if not job.writing and job.id in self._job_store.jobs and self._is_write_due(job):
             job.writing = True
             spawn(self._write(job), f"writing {job.id}")
 
     async def refresh(self, job: Job) -> None:
-        """Read the stored record again, which may have been written by others or late by us."""
+        """Re-read the stored record.
+
+        Another controller, or a late write of this one, may have changed it.
+        """
         await self._refresher.refresh(job)
 
     def publish_clears(self, job: Job) -> None:
-        """The ends of the job's attempts are stored, so its machines may clear them."""
+        """Let machines clear the job's ended attempts, as the ends of these are now stored."""
         self._transactions.publish_clears(job)
 
     def _is_write_due(self, job: Job) -> bool:
@@ -98,11 +104,11 @@
         )
 
     async def _write(self, job: Job) -> None:
-        """One write at a time, each with all that has changed since the last."""
+        """Write until nothing is due, one write at a time, each with all changes so far."""
         try:
             while job.id in self._job_store.jobs and not self._registration.lost:
                 if job.is_finished:
-                    if await self._finish(job):
+                    if await self._store_final_record(job):
                         return
                 elif self._layouts.may_outgrow_limit(job) and self._layouts.is_readable_by_all():
                     await self._migration.migrate(job)
@@ -113,8 +119,12 @@
         finally:
             job.writing = False
 
-    async def _finish(self, job: Job) -> bool:
-        """Move the job to its final record; True when it is not ours any more."""
+    async def _store_final_record(self, job: Job) -> bool:
+        """Replace the job's record by its final one; return True when the job has left memory.
+
+        It has also left memory if its record turned out to be finished already, or to belong to
+        another controller.
+        """
         status = JobStatus.CANCELLED if job.status == JobStatus.CANCELLED else JobStatus.DONE
         conditions = {**self._transactions.conditions(job), keys.finished_job(job.id): 0}
         changes = _final_changes(job, status)
@@ -124,12 +134,16 @@
             await self.refresh(job)
             return job.id not in self._job_store.jobs
         except (StateUnavailableError, LeaseExpiredError) as error:
-            log.info("{job}: end waits: {error}", job=job.id, error=error)
+            log.info(
+                "{job}: storing its final record failed, will retry: {error}",
+                job=job.id,
+                error=error,
+            )
             await sleep(self._clock, self._timeouts.retry)
             if isinstance(error, OutcomeUnknownError):
                 await self.refresh(job)
             return job.id not in self._job_store.jobs
-        log.info("{job} is {status}", job=job.id, status=status)
+        log.info("{job} finished, final record stored: {status}", job=job.id, status=status)
         self._job_store.forget(job, ended=True)
         if job.chunk_versions:
             removal = self._chunk_remover.remove(job.id, job.layout, job.chunk_versions)
@@ -138,11 +152,14 @@
 
 
 def _final_changes(job: Job, status: JobStatus) -> list[dict[str, Any]]:
-    """The job's record gives way to its final one, and its cancellation with it."""
-    end = EndRecord(status, job.done_count)
+    """Return the changes that replace the job's record by its final one.
+
+    For a cancelled job they also remove the cancellation record.
+    """
+    end_record = EndRecord(status, job.done_count)
     changes = [
         drop(keys.job(job.id)),
-        put(keys.finished_job(job.id), msgspec.to_builtins(end)),
+        put(keys.finished_job(job.id), msgspec.to_builtins(end_record)),
     ]
     if status == JobStatus.CANCELLED:
         changes.append(drop(keys.cancellation(job.id)))
--- a/src/beamspar/jobs/layout_migration.py
+++ b/src/beamspar/jobs/layout_migration.py
@@ -58,6 +58,6 @@
         """Write the chunks, and with the last of them the record that names their layout."""
         while len(job.dirty - {0}) > self._chunks_at_once:
             chunks = sorted(job.dirty - {0})[: self._chunks_at_once]
-            if not await self._transactions.write_unnamed_chunks(job, chunks):
+            if not await self._transactions.write_chunks_of_new_layout(job, chunks):
                 return False
         return await self._transactions.write_record(job)
--- a/src/beamspar/jobs/record_transactions.py
+++ b/src/beamspar/jobs/record_transactions.py
@@ -1,7 +1,8 @@
 """Transactions on the stored records of this controller's jobs.
 
-Every transaction is conditional on our fence, on the job's partition being ours and on the
-version of the job's own record, so none is applied on top of a write that is not known here.
+Every transaction is conditional on this controller's fence, on its ownership of the job's
+partition and on the version of the job's own record. So none is applied on top of a write that
+this controller has not observed.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 
 
 class WrittenAttempt(NamedTuple):
-    """A task's attempt as a record that is being written has it."""
+    """A task's attempt as it appears in a record that is being written."""
 
     task_index: int
     attempt: int
@@ -44,22 +45,22 @@
 
 
 class RecordWrite(msgspec.Struct, frozen=True):
-    """A write of a job's record that is under way, and what it makes known once it is stored."""
+    """A write of a job's records in progress, with what is to be applied in memory once stored."""
 
     conditions: dict[str, int]
     changes: list[dict[str, Any]]
-    # The chunks in it, and those to be written again if it fails.
+    # The chunks that the write contains, and those to be written again if it fails.
     chunks: list[int]
     chunks_to_retry: Collection[int]
-    # How many tasks each chunk binds.
+    # The number of bound tasks per chunk.
     bound_by_chunk: dict[int, int]
     attempts: list[WrittenAttempt]
-    # Tasks that are stored as completed: nothing more is kept of them.
+    # Tasks whose completion is in the write: they leave memory once it is stored.
     completed: list[int]
 
 
 class RecordTransactions:
-    """Performs single writes of job records; the caller has one at a time per job."""
+    """Performs single writes of job records; the caller runs at most one at a time per job."""
 
     def __init__(
         self,
@@ -82,23 +83,27 @@
         self._write_count = 0
 
     def next_write_stamp(self) -> str:
-        """A name for the next write."""
+        """Return a unique name for the next write."""
         self._write_count += 1
         registration = self._registration
         return f"{registration.me}.{registration.incarnation}.{self._write_count}"
 
     def conditions(self, job: Job) -> dict[str, int]:
-        """Ours by fence and partition, and nobody has written the record since."""
+        """Return the versions that each transaction on the job requires.
+
+        This controller's fence, its ownership of the partition and the job's own record must be
+        unchanged.
+        """
         return {
             **self._registration.fence_condition(),
             **self._mirror.partition_condition(job.partition),
             keys.job(job.id): job.version,
         }
 
-    # -- writing
+    # -- writes
 
     async def write_record(self, job: Job) -> bool:
-        """Write the job's record and some of its chunks; False when that is not known."""
+        """Write the job's record and some changed chunks; return whether they are known as stored."""
         write = self._prepare(job)
         try:
             version = await self._state.transact(
@@ -109,10 +114,10 @@
             await self._refresh_after_conflict(job, error)
             return False
         except (StateUnavailableError, LeaseExpiredError) as error:
-            # An indeterminate write may be applied yet, even late; the record's version tells
-            # the two apart at the next write, so nothing is decided here.
+            # An indeterminate write may have been applied, or may be later. The next write is
+            # conditional on the record's version, which shows whether it was.
             job.dirty.update(write.chunks_to_retry)
-            await self._wait_after_failure(job, error)
+            await self._delay_after_failure(job, error)
             return False
         self._apply_stored(job, write, version)
         return True
@@ -123,31 +128,35 @@
             chunks = chunks[: records.chunks_at_once(self._limits)]
         job.dirty.difference_update(chunks)
         job.write_stamp = self.next_write_stamp()
-        with_first = {0, *chunks}
-        bound_by_chunk = self._begin_write(job, with_first)
+        chunks_and_first = {0, *chunks}
+        bound_by_chunk = self._begin_write(job, chunks_and_first)
         conditions = self.conditions(job)
         changes = [put(keys.job(job.id), msgspec.to_builtins(job.record()))]
         for chunk in chunks:
             if chunk:
                 key = job.layout.key(job.id, chunk)
                 if not job.is_changing_layout:
-                    # What an attempt to change the layout left there is not known.
+                    # A migration sets no conditions on chunks: an earlier, failed migration may
+                    # have left chunks of unknown versions under the same keys.
                     conditions[key] = job.chunk_versions.get(chunk, 0)
                 changes.append(put(key, msgspec.to_builtins(job.chunk_record(chunk))))
-        # With the last write of a new layout all chunks of it count as stored.
-        stored_chunks = job.started_chunks if job.is_changing_layout else with_first
+        # The last write of a migration makes all chunks of the new layout count as stored.
+        chunks_stored_after = job.started_chunks if job.is_changing_layout else chunks_and_first
         return RecordWrite(
             conditions=conditions,
             changes=changes,
             chunks=chunks,
-            chunks_to_retry=with_first if job.is_changing_layout else chunks,
+            chunks_to_retry=chunks_and_first if job.is_changing_layout else chunks,
             bound_by_chunk=bound_by_chunk,
-            attempts=_attempts_in(job, stored_chunks),
+            attempts=_attempts_in_chunks(job, chunks_stored_after),
             completed=[index for chunk in chunks for index in job.completed.get(chunk, ())],
         )
 
     def _apply_stored(self, job: Job, write: RecordWrite, version: int) -> None:
-        """The write is stored: what it binds may be started, what it unbinds is released."""
+        """Apply a stored write: tasks that it binds may be started.
+
+        Quota usage of tasks that it unbinds is released.
+        """
         job.version = version
         for chunk in write.chunks:
             if chunk:
@@ -163,8 +172,11 @@
         self._complete_write(job, write.bound_by_chunk)
         self.publish_clears(job)
 
-    async def write_unnamed_chunks(self, job: Job, chunks: list[int]) -> bool:
-        """Write chunks that the job's record does not name yet; False when that is not known."""
+    async def write_chunks_of_new_layout(self, job: Job, chunks: list[int]) -> bool:
+        """Write chunks of a layout that the job's record does not name yet.
+
+        Returns whether they are known to be stored.
+        """
         job.dirty.difference_update(chunks)
         bound_by_chunk = self._begin_write(job, chunks)
         changes = [
@@ -176,7 +188,11 @@
                 self.conditions(job), changes, RequestPriority.PLACEMENT, job.write_weight
             )
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
-            log.info("{job}: new layout waits: {error}", job=job.id, error=error)
+            log.info(
+                "{job}: writing chunks in the new layout failed, will retry: {error}",
+                job=job.id,
+                error=error,
+            )
             await sleep(self._clock, self._timeouts.retry)
             await self._refresher.refresh(job)
             return False
@@ -186,16 +202,17 @@
         return True
 
     def _begin_write(self, job: Job, chunks: Iterable[int]) -> dict[int, int]:
-        """These chunks are about to be written; returns how many tasks each will bind.
+        """Account for a write of these chunks that is about to begin; return their bound tasks.
 
-        Until it is known whether they were, the larger of both counts against the quota.
+        Until the outcome of the write is known, each chunk's larger count, before or after it,
+        counts against the quota.
         """
         bound_by_chunk = {chunk: job.quota_usage.writing(chunk) for chunk in chunks}
         self._job_store.quota_usage_changed(job)
         return bound_by_chunk
 
     def _complete_write(self, job: Job, bound_by_chunk: dict[int, int]) -> None:
-        """These chunks are stored: what they don't bind any more counts no longer."""
+        """Stop counting against the quota what the stored chunks no longer bind."""
         for chunk, tasks in bound_by_chunk.items():
             job.quota_usage.written(chunk, tasks)
         if not job.dirty:
@@ -203,7 +220,7 @@
         self._job_store.quota_usage_changed(job)
 
     def publish_clears(self, job: Job) -> None:
-        """The ends of the job's attempts are stored, so its machines may clear them."""
+        """Let machines clear the job's ended attempts, as the ends of these are now stored."""
         for machine in job.clearing:
             self._job_store.touch(machine)
         job.clearing.clear()
@@ -211,23 +228,30 @@
     # -- failed writes
 
     async def _refresh_after_conflict(self, job: Job, error: ConflictError) -> None:
-        log.info("{job}: write conflicts at {failed}", job=job.id, failed=error.failed)
+        log.info(
+            "{job}: write rejected, versions differ at {failed}; will re-read and retry",
+            job=job.id,
+            failed=error.failed,
+        )
         if keys.job(job.id) not in error.failed:
-            # Fenced, or a chunk's late write: the mirror will tell, an immediate retry won't.
+            # This controller's fence or partition has changed, or a late write changed a chunk. An
+            # immediate retry would fail again: the mirror has yet to observe such a change.
             await sleep(self._clock, self._timeouts.retry)
         await self._refresher.refresh_with_chunks(job)
 
-    async def _wait_after_failure(self, job: Job, error: Exception) -> None:
-        log.info("{job}: write waits: {error}", job=job.id, error=error)
+    async def _delay_after_failure(self, job: Job, error: Exception) -> None:
+        log.info("{job}: write failed, will retry: {error}", job=job.id, error=error)
         await sleep(self._clock, self._timeouts.retry)
         if isinstance(error, TooLargeError):
-            log.error("{job}: larger than the state service takes", job=job.id)
+            log.error(
+                "{job}: write exceeds the size limit of the state service, will retry", job=job.id
+            )
         if isinstance(error, OutcomeUnknownError):
             await self._refresher.refresh_with_chunks(job)
 
 
-def _attempts_in(job: Job, chunks: Iterable[int]) -> list[WrittenAttempt]:
-    """The attempts that records of these chunks hold."""
+def _attempts_in_chunks(job: Job, chunks: Iterable[int]) -> list[WrittenAttempt]:
+    """Return the task attempts that the records of these chunks contain."""
     attempts: list[WrittenAttempt] = []
     for chunk in chunks:
         for index in job.started_indexes(chunk):
