--- a/src/beamspar/jobs/chunk_removal.py
+++ b/src/beamspar/jobs/chunk_removal.py
@@ -1,4 +1,4 @@
-"""Removes chunks of jobs' records that no record names any more."""
+"""Removes the chunks of job records that no job record refers to any more."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ChunkRemover:
-    """Removes chunks in the background, as many at a time as a transaction takes."""
+    """Removes chunks in the background, as many per transaction as the state service accepts."""
 
     def __init__(
         self, clock: Clock, state: StateClient, limits: StateServiceLimits, timeouts: Timeouts
@@ -26,14 +26,14 @@
         self._timeouts = timeouts
 
     async def remove(self, job_id: str, layout: ChunkLayout, chunks: Iterable[int]) -> None:
-        """Remove these chunks, retrying for as long as the state service is unavailable."""
+        """Remove these chunks; retry for as long as the state service is unavailable."""
         remaining = sorted(chunks)
-        most = self._limits.smallest.txn_ops
+        batch_size = self._limits.smallest.txn_ops
         while remaining:
-            changes = [drop(layout.key(job_id, chunk)) for chunk in remaining[:most]]
+            changes = [drop(layout.key(job_id, chunk)) for chunk in remaining[:batch_size]]
             try:
                 await self._state.transact({}, changes, RequestPriority.BACKGROUND)
             except StateUnavailableError:
                 await sleep(self._clock, self._timeouts.retry)
             else:
-                del remaining[:most]
+                del remaining[:batch_size]
--- a/src/beamspar/jobs/empty_partitions.py
+++ b/src/beamspar/jobs/empty_partitions.py
@@ -1,7 +1,7 @@
-"""Deletes the records of partitions whose jobs are all over.
+"""Deletes the records of partitions whose jobs have all finished.
 
-Nothing can be accepted into a partition of one of our earlier incarnations, which are fenced
-out. Left, there would be one more with every restart, in all that lists partitions.
+No job can be accepted into a partition of an earlier incarnation, which is fenced out. Without
+deletion, each restart would leave one more partition in everything that lists partitions.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
 log = Logger(namespace="jobs")
 
 
-class JobStore(Protocol):
-    """The jobs of our partitions."""
+class LoadedJobStore(Protocol):
+    """The jobs of this controller's partitions."""
 
     jobs: dict[str, Job]
     loaded: set[str]
 
     @property
     def indeterminate_accepts(self) -> dict[str, list[Job]]:
-        """Accepts whose outcome is indeterminate."""
+        """Jobs whose accept has an unknown outcome, by ID."""
 
 
 class EmptyPartitions:
-    """Owns the deletion that is under way, one at a time."""
+    """Deletes empty partitions, at most one at a time."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         registration: Registration,
         state: StateClient,
         timeouts: Timeouts,
-        job_store: JobStore,
+        job_store: LoadedJobStore,
     ) -> None:
         self.clock = clock
         self.registration = registration
@@ -55,7 +55,7 @@
         self.is_deleting = False
 
     def delete_one(self, quota_manager: QuotaManager) -> None:
-        """Begin to delete one partition that is of no use any more, if there is one."""
+        """Begin to delete one loaded partition without jobs and quota, if there is one."""
         if self.is_deleting:
             return
         job_store = self.job_store
@@ -76,10 +76,12 @@
             await self.state.transact(
                 conditions, [drop(keys.partition(partition))], RequestPriority.BACKGROUND
             )
-            log.info("partition {partition} is empty: deleted", partition=partition)
+            log.info("deleted empty partition {partition}", partition=partition)
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
             log.info(
-                "deleting partition {partition} waits: {error}", partition=partition, error=error
+                "deleting empty partition {partition} failed, will retry: {error}",
+                partition=partition,
+                error=error,
             )
         await sleep(self.clock, self.timeouts.resync)
         self.is_deleting = False
--- a/src/beamspar/jobs/job_loader.py
+++ b/src/beamspar/jobs/job_loader.py
@@ -1,8 +1,8 @@
 """Loads the jobs of this controller's partitions from the state service into memory.
 
-What is read of a partition that becomes ours only later may be older than the last writes of its
-former owner. So a load counts for the partitions that were ours when it began, and are still
-ours by the same failover when it ends.
+Records that are read before this controller acquires their partition may be older than the last
+writes of the previous owner. So a load is valid only for partitions that this controller owned when
+the load began, and has owned without interruption until it ends.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class JobLoader:
-    """Owns the loads that are under way."""
+    """Reads jobs from the state service, and tracks the loads in progress."""
 
     def __init__(
         self,
@@ -50,41 +50,46 @@
         self._limits = limits
         self._timeouts = timeouts
         self._job_store = job_store
-        # Loads under way, and jobs that finished meanwhile: what was read of those is older.
+        # The number of loads in progress, and the jobs that finished during them: a record that a
+        # load has read of such a job is outdated.
         self.load_count = 0
         self.finished_meanwhile: set[str] = set()
 
     async def load(self) -> None:
-        """Load the jobs of our partitions that are not in memory yet."""
-        with self._load_under_way():
+        """Load the jobs of this controller's partitions that are not in memory yet."""
+        with self._count_load():
             while not self._registration.lost:
-                # Partitions that become ours only from here on are left to another load.
+                # Partitions that are acquired after this point need another load.
                 ownership = self._ownership_revisions()
                 try:
                     await self._load_all(ownership)
                 except StateUnavailableError as error:
-                    log.info("reading jobs waits: {error}", error=error)
+                    log.info("loading jobs failed, will retry: {error}", error=error)
                     await sleep(self._clock, self._timeouts.retry)
                     continue
                 self._mark_loaded(ownership)
                 return
 
     async def adopt(self, job_id: str) -> Job | None:
-        """Load a stored job of our partitions; None when that is not done."""
-        with self._load_under_way():
+        """Load one stored job of this controller's partitions.
+
+        Returns None if the job was not loaded: it is already in memory or being accepted, is not
+        stored in an owned partition, or could not be read.
+        """
+        with self._count_load():
             try:
                 return await self._adopt(job_id)
             except StateUnavailableError as error:
-                log.info("adopting {job} waits: {error}", job=job_id, error=error)
+                log.info("{job}: loading the stored job failed: {error}", job=job_id, error=error)
                 return None
 
     def job_finished(self, job_id: str) -> None:
-        """The job is finished: what a load under way has read of it is older."""
+        """Make the loads in progress discard what they have read of a finished job."""
         if self.load_count:
             self.finished_meanwhile.add(job_id)
 
     @contextmanager
-    def _load_under_way(self) -> Iterator[None]:
+    def _count_load(self) -> Iterator[None]:
         self.load_count += 1
         try:
             yield
@@ -93,17 +98,19 @@
             if not self.load_count:
                 self.finished_meanwhile.clear()
 
-    # -- which partitions are ours
+    # -- ownership of partitions
 
     def _ownership_revisions(self) -> dict[str, int]:
-        """Our partitions, and the revision since which each is ours."""
-        known = self._mirror.partitions
+        """Return this controller's partitions, each with the revision at which it was acquired."""
+        partition_records = self._mirror.partitions
         return {
-            name: known[name].owned_since for name in self._job_store.partitions if name in known
+            name: partition_records[name].owned_since
+            for name in self._job_store.partitions
+            if name in partition_records
         }
 
     def _is_still_owned(self, partition: str, ownership: dict[str, int]) -> bool:
-        """Has the partition been ours all the time since then?"""
+        """Whether this controller has owned the partition since `ownership` was taken."""
         return (
             partition in ownership
             and self._ownership_revisions().get(partition) == ownership[partition]
@@ -113,13 +120,13 @@
         job_store = self._job_store
         job_store.loaded |= {name for name in ownership if self._is_still_owned(name, ownership)}
         log.info(
-            "{n} jobs of {partitions}",
+            "loaded partitions {partitions}: {n} jobs in memory",
             n=len(job_store.jobs),
             partitions=sorted(job_store.partitions),
         )
         job_store.on_jobs_loaded()
 
-    # -- reading
+    # -- reads
 
     async def _load_all(self, ownership: dict[str, int]) -> None:
         items, _ = await self._state.scan(keys.JOB_PREFIX, RequestPriority.ACCEPT)
@@ -133,7 +140,7 @@
             return
         job = await self._restore(record, item.version)
         if self._is_still_owned(record.partition, ownership):
-            self._keep(job)
+            self._add_to_memory(job)
 
     async def _adopt(self, job_id: str) -> Job | None:
         ownership = self._ownership_revisions()
@@ -149,11 +156,15 @@
             return None
         job = await self._restore(record, item.version)
         is_owned = self._is_still_owned(record.partition, ownership)
-        is_kept = is_owned and job_id not in self._job_store.jobs_being_accepted and self._keep(job)
-        return job if is_kept else None
+        is_added = (
+            is_owned
+            and job_id not in self._job_store.jobs_being_accepted
+            and self._add_to_memory(job)
+        )
+        return job if is_added else None
 
     async def _restore(self, record: JobRecord, version: int) -> Job:
-        """The job as its record and its further chunks say."""
+        """Build the job from its record and its further chunks."""
         layout = records.layout_of(record, self._limits)
         job = job_from_record(record, version, layout, self._clock.seconds())
         job.gang_wait_s = self._timeouts.gang_wait
@@ -168,8 +179,11 @@
         restore_tasks(job, chunks)
         return job
 
-    def _keep(self, job: Job) -> bool:
-        """Hand a restored job over, once; False when it is not ours to keep."""
+    def _add_to_memory(self, job: Job) -> bool:
+        """Add a restored job to the jobs in memory; return whether it was added.
+
+        It is not if it is already there, has finished, or its partition is not owned any more.
+        """
         job_store = self._job_store
         if (
             job.id in job_store.jobs
--- a/src/beamspar/jobs/job_restore.py
+++ b/src/beamspar/jobs/job_restore.py
@@ -11,7 +11,10 @@
 
 
 def job_from_record(record: JobRecord, version: int, layout: ChunkLayout, now: float) -> Job:
-    """The job as its own record says, without its tasks; raises ValidationError."""
+    """Return the job of this record, without its tasks.
+
+    Raises msgspec.ValidationError if the specification is malformed.
+    """
     job = Job(records.read_spec(record), record.partition, layout, now)
     job.version = version
     job.status = record.status
@@ -21,12 +24,12 @@
 
 
 def restore_tasks(job: Job, chunks: Mapping[int, Chunk]) -> None:
-    """Add the tasks that the chunks, by number, tell of."""
+    """Add the tasks in these chunks, given by chunk number, to the job."""
     for number, chunk in sorted(chunks.items()):
         _restore_chunk(job, number, chunk)
     job.done_count = sum(len(indexes) for indexes in job.completed.values())
-    # Below the mark all that is neither bound, completed nor waiting again was never
-    # started: it waits with attempt 0.
+    # Every task below `next_unstarted` that is not bound, completed or awaiting another attempt
+    # was never started: it is pending with attempt 0.
     for index in range(job.next_unstarted):
         if index not in job.tasks and not job.is_completed(index):
             job.tasks[index] = Task()
--- a/src/beamspar/jobs/job_store.py
+++ b/src/beamspar/jobs/job_store.py
@@ -1,6 +1,6 @@
-"""What the writer, the loader and the acceptor of job records need of the jobs' controller.
+"""Interfaces of the job controller to the writer, the loader and the acceptor of job records.
 
-Each protocol holds what its user calls and nothing more; the job controller implements all.
+Each protocol contains only what its user calls; the job controller implements all of them.
 """
 
 from __future__ import annotations
@@ -22,57 +22,57 @@
 
 
 class WritableJobStore(JobStore, Protocol):
-    """The jobs whose records are written, and reactions to what their records say."""
+    """The jobs whose records are written, and the reactions to the contents of stored records."""
 
     def touch(self, machine: str) -> None:
-        """Tell the machine's controller the desired state of the machine."""
+        """Publish the desired state of the machine to its machine controller."""
 
     def forget(self, job: Job, ended: bool = False) -> None:
-        """The job is finished, or another controller's."""
+        """Remove a job from memory that is finished or owned by another controller."""
 
     def cancel(self, job: Job) -> None:
-        """The job's user has cancelled it."""
+        """Cancel the job, as its user has requested."""
 
     def quota_usage_changed(self, job: Job) -> None:
-        """What of the job counts against its team's quota has changed."""
+        """Update the quota usage of the job's team after a change of the job's."""
 
 
 class LoadableJobStore(JobStore, Protocol):
-    """Where jobs go that were read from the state service."""
+    """The store that receives jobs which were read from the state service."""
 
     loaded: set[str]
 
     @property
     def jobs_being_accepted(self) -> dict[str, Job]:
-        """Jobs that are being accepted here."""
+        """Jobs that this controller is accepting, by ID."""
 
     def keep(self, job: Job) -> None:
-        """Add a restored job."""
+        """Add a restored job to the jobs in memory."""
 
     def on_jobs_loaded(self) -> None:
-        """Jobs of more partitions are in memory."""
+        """React to further partitions having been loaded."""
 
 
 class AcceptingJobStore(JobStore, Protocol):
-    """Who owns the jobs once they are accepted, and places their first tasks."""
+    """The store that places the first tasks of new jobs, and holds the jobs once accepted."""
 
     writer: JobWriter
     quota_manager: QuotaManager | None
 
     async def place(self, jobs: list[Job]) -> None:
-        """Bind the tasks that can be bound now."""
+        """Bind the tasks of these jobs that can be placed now."""
 
     def unassign(self, machine: str, job: Job, index: int) -> None:
-        """The job's task is not bound to the machine any more."""
+        """Remove the task from the machine's assignments."""
 
     def touch(self, machine: str) -> None:
-        """Tell the machine's controller the desired state of the machine."""
+        """Publish the desired state of the machine to its machine controller."""
 
     def apply_cancellation(self, job_id: str) -> None:
-        """The job's user has cancelled it."""
+        """Apply a stored cancellation to the job, if it is in memory."""
 
     async def adopt(self, job_id: str) -> None:
-        """Load a stored job that is not in memory."""
+        """Load a stored job of this controller's partitions that is not in memory."""
 
     def schedule(self) -> None:
-        """Place the tasks that wait."""
+        """Place pending tasks."""
--- a/src/beamspar/jobs/layout_migration.py
+++ b/src/beamspar/jobs/layout_migration.py
@@ -1,7 +1,7 @@
 """Rewrites a job's records in the layout that fits the announced limit of the state service.
 
-The new chunks lie apart from the old ones, and count when the job's record names their
-layout. Until then the old records hold, and nothing is bound anew.
+The new chunks are stored under other keys than the old ones, and become valid when the job's
+record names their layout. Until then the old records are valid, and no further tasks are bound.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class LayoutMigration:
-    """Moves jobs to the smallest layout, and removes the chunks of the former one."""
+    """Migrates jobs to the smallest layout, and removes the chunks of the previous one."""
 
     def __init__(
         self,
@@ -35,10 +35,14 @@
         self._chunk_remover = chunk_remover
 
     async def migrate(self, job: Job) -> None:
-        """Rewrite the job's records with fewer tasks in each; the job is unchanged on failure."""
+        """Rewrite the job's records with fewer tasks per chunk; keep the old layout on failure."""
         old_layout, old_versions = job.layout, job.chunk_versions
         layout = self._layouts.smallest
-        log.info("{job}: records of {per} tasks", job=job.id, per=layout.tasks_per_chunk)
+        log.info(
+            "{job}: migrating its records to {per} tasks per chunk",
+            job=job.id,
+            per=layout.tasks_per_chunk,
+        )
         job.is_changing_layout = True
         job.change_layout(layout)
         is_stored = False
@@ -47,7 +51,7 @@
         finally:
             job.is_changing_layout = False
             if not is_stored:
-                # Not there yet: the record still names the old layout.
+                # Roll back: as far as is known, the record still names the old layout.
                 job.change_layout(old_layout)
                 job.chunk_versions = old_versions
         if is_stored and old_versions:
@@ -55,7 +59,10 @@
             spawn(removal, "dropping chunks")
 
     async def _write_all(self, job: Job) -> bool:
-        """Write the chunks, and with the last of them the record that names their layout."""
+        """Write the chunks, the last of them together with the record that names their layout.
+
+        Returns whether all of them are known to be stored.
+        """
         while len(job.dirty - {0}) > self._chunks_at_once:
             chunks = sorted(job.dirty - {0})[: self._chunks_at_once]
             if not await self._transactions.write_chunks_of_new_layout(job, chunks):
--- a/src/beamspar/jobs/record_refresh.py
+++ b/src/beamspar/jobs/record_refresh.py
@@ -1,4 +1,7 @@
-"""Reads stored records of this controller's jobs again, when others or late writes changed them."""
+"""Re-reads stored records of this controller's jobs.
+
+Other controllers, or late writes of this one, may have changed them.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,10 @@
 
 
 class RecordRefresher:
-    """Brings a job in memory up to the version of its records; a read that fails is left out."""
+    """Updates jobs in memory to the versions of their stored records.
+
+    A read that fails is skipped.
+    """
 
     def __init__(
         self,
@@ -32,11 +38,14 @@
         self._state = state
         self._limits = limits
         self._job_store = job_store
-        # Writes what is due of a job that turned out to be cancelled.
+        # Starts the writes that are due for a job whose record turned out to be cancelled.
         self._flush = flush
 
     async def refresh(self, job: Job) -> None:
-        """Read the stored record again, which may have been written by others or late by us."""
+        """Re-read the job's own record.
+
+        Another controller, or a late write of this one, may have changed it.
+        """
         try:
             item = await self._state.get(keys.job(job.id), RequestPriority.PLACEMENT)
         except StateUnavailableError:
@@ -44,7 +53,9 @@
         if self._job_store.jobs.get(job.id) is not job:
             return
         if item is None:
-            log.info("{job} is finished", job=job.id)
+            log.info(
+                "{job}: its record is gone, so it is finished; removing it from memory", job=job.id
+            )
             self._job_store.forget(job, ended=True)
             return
         record = records.read_job(item)
@@ -55,14 +66,14 @@
             job.version = item.version
             layout = records.layout_of(record, self._limits)
             if layout != job.layout and not job.is_changing_layout:
-                # A change of layout without an answer was carried out after all.
+                # A layout migration whose outcome was unknown has been applied.
                 job.change_layout(layout)
         if record.status == JobStatus.CANCELLED and job.status == JobStatus.LIVE:
             self._job_store.cancel(job)
             self._flush(job)
 
     async def refresh_with_chunks(self, job: Job) -> None:
-        """Read the job's record again, and the versions of its further chunks."""
+        """Re-read the job's own record and the versions of its further chunks."""
         await self.refresh(job)
         if job.spec.tasks <= job.tasks_per_chunk or job.id not in self._job_store.jobs:
             return
--- a/src/beamspar/jobs/record_transactions.py
+++ b/src/beamspar/jobs/record_transactions.py
@@ -103,7 +103,10 @@
     # -- writes
 
     async def write_record(self, job: Job) -> bool:
-        """Write the job's record and some changed chunks; return whether they are known as stored."""
+        """Write the job's record and some of its changed chunks.
+
+        Returns whether they are known to be stored.
+        """
         write = self._prepare(job)
         try:
             version = await self._state.transact(
