--- a/src/beamspar/jobs/job_loader.py
+++ b/src/beamspar/jobs/job_loader.py
@@ -120,7 +120,7 @@
         job_store = self._job_store
         job_store.loaded |= {name for name in ownership if self._is_still_owned(name, ownership)}
         log.info(
-            "loaded partitions {partitions}: {n} jobs in memory",
+            "load finished: {n} jobs in memory, owned partitions: {partitions}",
             n=len(job_store.jobs),
             partitions=sorted(job_store.partitions),
         )
--- a/src/beamspar/jobs/record_layouts.py
+++ b/src/beamspar/jobs/record_layouts.py
@@ -19,9 +19,9 @@
 
     def __init__(self, mirror: StateMirror, limits: StateServiceLimits) -> None:
         self._mirror = mirror
-        self._first_release_layout = records.first_layout(limits)
+        self._first_release_layout = records.first_release_layout(limits)
         # The layout that fits the smaller of the present and the announced limit.
-        self.smallest = records.small_layout(limits)
+        self.smallest = records.smallest_layout(limits)
         self._is_readable_by_all = False
 
     def for_new_job(self) -> ChunkLayout:
--- a/src/beamspar/state/__init__.py
+++ b/src/beamspar/state/__init__.py
@@ -1,1 +1,1 @@
-"""The state service: its client, its keys and the records that are stored there."""
+"""Access to the state service: its client, keys and stored records."""
--- a/src/beamspar/state/client.py
+++ b/src/beamspar/state/client.py
@@ -1,4 +1,4 @@
-"""Client of the state service: rate limited, prioritised, and explicit about what is unknown."""
+"""Client of the state service: rate limited, prioritised, and explicit on unknown outcomes."""
 
 from __future__ import annotations
 
@@ -26,51 +26,54 @@
 from beamspar.transport.clock import Clock, sleep
 from beamspar.transport.http import Answer, CallFailedError, Net
 
-# The reason that the service gives when it rejects a put whose lease has ended (PROTOCOL).
-NO_LEASE = "no such lease"
-# Users' questions go behind accepts, which have the same priority.
+# The error text with which the service rejects a put under an expired lease (PROTOCOL).
+LEASE_NOT_FOUND = "no such lease"
+# Users' polls are admitted after accepts, which have the same priority but a lower weight.
 POLL_WEIGHT = 1.0
-# Each controller's share of the service's rates, in equal parts of them: not all are busy at once.
-RATE_SHARE = 1.25
-# The part of its share that a controller uses: for requests always, for changes once the service
-# has refused some.
+# Factor on each controller's equal share of the service's rates, as not all are busy at once.
+SHARE_FACTOR = 1.25
+# The fraction of its share that a controller uses: for requests always, for changes as the lower
+# bound that refusals of the service can reduce their rate to.
 REQUEST_MARGIN = 0.8
-LOWEST_CHANGE_MARGIN = 0.8
-# The part of the service's rate that a controller's changes may grow to while others are idle.
-HIGHEST_CHANGE_SHARE = 0.9
-# No share is smaller than this many a second.
-SMALLEST_FAIR_RATE = 2.0
-# How often a transaction that was refused for the rate is sent again.
-RATE_LIMITED_RETRIES = 5
-# Rows on a page of a scan.
-PAGE_ROWS = 1000
-# Before anything happened.
+MIN_CHANGE_MARGIN = 0.8
+# The fraction of the service's rate that one controller's changes may reach while others are idle.
+MAX_CHANGE_SHARE = 0.9
+# The lower bound of a controller's fair rate, per second.
+MIN_FAIR_RATE_PER_S = 2.0
+# Retries of a transaction that the service refuses because of its rate limit.
+MAX_RATE_LIMIT_RETRIES = 5
+# Rows per page of a scan.
+ROWS_PER_PAGE = 1000
+# A time before any event.
 NEVER = -1e9
 
 
-def request_limiter(clock: Clock, limits: StateServiceLimits, controllers: int) -> RateLimiter:
-    """The limiter of this controller's requests: its fair share at most."""
-    fair = max(limits.rps / controllers * RATE_SHARE * REQUEST_MARGIN, SMALLEST_FAIR_RATE)
-    lowest = limits.smallest.rps / controllers * REQUEST_MARGIN
-    return RateLimiter(clock, fair, fair, min(lowest, fair))
+def request_limiter(clock: Clock, limits: StateServiceLimits, controller_count: int) -> RateLimiter:
+    """Return the rate limiter for this controller's requests, capped at its fair share."""
+    fair_rate = max(
+        limits.rps / controller_count * SHARE_FACTOR * REQUEST_MARGIN, MIN_FAIR_RATE_PER_S
+    )
+    lowest_rate = limits.smallest.rps / controller_count * REQUEST_MARGIN
+    return RateLimiter(clock, fair_rate, fair_rate, min(lowest_rate, fair_rate))
 
 
-def change_limiter(clock: Clock, limits: StateServiceLimits, controllers: int) -> RateLimiter:
-    """The limiter of this controller's changes, which may use what the others leave."""
-    fair = max(limits.write_rps / controllers * RATE_SHARE, SMALLEST_FAIR_RATE)
-    lowest = limits.smallest.write_rps / controllers * RATE_SHARE * LOWEST_CHANGE_MARGIN
-    highest = limits.write_rps * HIGHEST_CHANGE_SHARE
-    return RateLimiter(clock, fair, highest, min(lowest, fair))
+def change_limiter(clock: Clock, limits: StateServiceLimits, controller_count: int) -> RateLimiter:
+    """Return the rate limiter for this controller's changes, which may use others' unused share."""
+    fair_rate = max(limits.write_rps / controller_count * SHARE_FACTOR, MIN_FAIR_RATE_PER_S)
+    lowest_rate = limits.smallest.write_rps / controller_count * SHARE_FACTOR * MIN_CHANGE_MARGIN
+    highest_rate = limits.write_rps * MAX_CHANGE_SHARE
+    return RateLimiter(clock, fair_rate, highest_rate, min(lowest_rate, fair_rate))
 
 
 class StateClient:
-    """All calls to the state service pass one queue that keeps this controller's share.
+    """Sends all calls to the state service through one queue that limits their rate.
 
-    The service counts requests and changes of all controllers together, and one that floods it
-    takes lease renewals from the others; so each keeps to a share.
+    The service limits the requests and changes of all controllers together, and a controller that
+    floods it causes lease renewals of the others to be refused. So each keeps to its share.
 
-    Every call raises StateUnavailableError if it was not executed or read nothing; calls that
-    change something raise its subclass OutcomeUnknownError if they may have been executed.
+    Every call raises StateUnavailableError if it was not executed or was a read without a usable
+    reply. Calls that change something raise its subclass OutcomeUnknownError if they may have been
+    executed.
     """
 
     def __init__(self, clock: Clock, net: Net, settings: Settings, timeouts: Timeouts) -> None:
@@ -80,25 +83,25 @@
         self._timeout_s = timeouts.request
         limits = settings.platform.state
         self._smallest_limits = limits.smallest
-        controllers = max(settings.platform.nodes, 1)
-        self.request_limiter = request_limiter(clock, limits, controllers)
-        self.change_limiter = change_limiter(clock, limits, controllers)
+        controller_count = max(settings.platform.nodes, 1)
+        self.request_limiter = request_limiter(clock, limits, controller_count)
+        self.change_limiter = change_limiter(clock, limits, controller_count)
         self._queue = RequestQueue(clock, self.request_limiter, self.change_limiter)
-        # Since when the service has not served us; None while it does.
+        # Since when calls of the service have failed; None while they succeed.
         self.failing_since: float | None = None
-        # When the service served us last.
+        # When the service last replied without a server error; rate limit refusals count as well.
         self.served_at = NEVER
 
     def polls_backlog_s(self) -> float:
-        """How long a question of a user would wait here for its turn."""
-        ahead = self._queue.waiting_requests(RequestPriority.ACCEPT)
+        """Return the estimated queueing delay of a user's poll, in seconds."""
+        ahead = self._queue.queued_requests(RequestPriority.ACCEPT)
         return ahead / self.request_limiter.rate
 
     def backlog_s(self) -> float:
-        """How long the changes that wait here will take."""
-        return self._queue.waiting_changes() / self.change_limiter.rate
+        """Return the estimated time to send all queued changes, in seconds."""
+        return self._queue.queued_changes() / self.change_limiter.rate
 
-    # -- one call
+    # -- a single call
 
     def _record_outcome(self, served: bool) -> None:
         now = self._clock.seconds()
@@ -111,52 +114,58 @@
     async def _call(
         self, method: str, path: str, body: Any, timeout_s: float, is_change: bool
     ) -> tuple[int, dict[str, Any]]:
-        """Send a request that was admitted: the status and the content of its answer."""
-        # What a call without a usable answer raises: a change may have been executed.
-        unanswered = OutcomeUnknownError if is_change else StateUnavailableError
-        raw = pack(body) if body is not None else None
+        """Send an admitted request; return the status and the decoded body of the reply."""
+        # Raised for a call without a usable reply: a change may have been executed.
+        no_reply_error = OutcomeUnknownError if is_change else StateUnavailableError
+        encoded_body = pack(body) if body is not None else None
         try:
-            answer = await self._net.request(method, self._address, path, raw, timeout_s)
+            answer = await self._net.request(method, self._address, path, encoded_body, timeout_s)
         except CallFailedError as error:
             self._record_outcome(served=False)
-            raise unanswered(str(error)) from error
-        self._check_executed(method, path, answer, is_change)
+            raise no_reply_error(str(error)) from error
+        self._raise_if_not_executed(method, path, answer, is_change)
         if answer.status >= 500:
             self._record_outcome(served=False)
-            raise unanswered(f"{method} {path}: {answer.status}")
+            raise no_reply_error(f"{method} {path}: reply with status {answer.status}")
         try:
             data = unpack(answer.body) if answer.body else {}
         except msgspec.DecodeError as error:
-            raise unanswered(f"{path}: odd reply") from error
+            raise no_reply_error(
+                f"{method} {path}: reply is not valid MessagePack: {error}"
+            ) from error
         self._record_outcome(served=True)
         return answer.status, data if isinstance(data, dict) else {}
 
-    def _check_executed(self, method: str, path: str, answer: Answer, is_change: bool) -> None:
-        """Raise if the service says that it did not execute the request."""
+    def _raise_if_not_executed(
+        self, method: str, path: str, answer: Answer, is_change: bool
+    ) -> None:
+        """Raise an error if the reply states that the request was not executed."""
         if answer.status == 429:
             self._record_outcome(served=True)
             if not is_change:
                 self.request_limiter.on_refused()
-            raise RateLimitedError(f"{method} {path}: 429")
+            raise RateLimitedError(f"{method} {path}: rate limit exceeded (status 429)")
         if answer.status == 503:
             self._record_outcome(served=False)
-            raise StateUnavailableError(f"{method} {path}: {answer.status}")
+            raise StateUnavailableError(
+                f"{method} {path}: service unavailable (status {answer.status})"
+            )
 
-    def _convert(self, data: Any, kind: Any, status: int) -> Any:
+    def _convert(self, data: Any, target_type: Any, status: int) -> Any:
         if status != 200:
-            raise StateUnavailableError(f"odd status {status}")
+            raise StateUnavailableError(f"reply to a read has unexpected status {status}")
         try:
-            return msgspec.convert(data, kind)
+            return msgspec.convert(data, target_type)
         except msgspec.ValidationError as error:
-            raise StateUnavailableError(f"odd reply: {error}") from error
+            raise StateUnavailableError(f"malformed reply to a read: {error}") from error
 
     def _revision(self, data: dict[str, Any]) -> int:
         revision = data.get("ledger_rev")
         if not isinstance(revision, int):
-            raise StateUnavailableError("odd reply: no ledger_rev")
+            raise StateUnavailableError("malformed reply to a read: ledger_rev is not an integer")
         return revision
 
-    # -- reading
+    # -- reads
 
     async def get(
         self,
@@ -165,7 +174,10 @@
         weight: float = 0.0,
         on_sent: Callable[[], None] = lambda: None,
     ) -> KeyValue | None:
-        """One key; None if it does not exist. `on_sent` is called as the request is sent."""
+        """Read one key; return None if it does not exist.
+
+        `on_sent` is called immediately before the request is sent.
+        """
         await self._queue.admit(priority, 0, weight)
         on_sent()
         status, data = await self._call("GET", f"/store/{key}", None, self._timeout_s, False)
@@ -177,13 +189,16 @@
     async def scan(
         self, prefix: str, priority: RequestPriority = RequestPriority.ACCEPT
     ) -> tuple[list[KeyValue], int]:
-        """All keys below the prefix, and a revision the first page is at least as new as."""
+        """Read all keys below the prefix.
+
+        Returns them with a revision that the first page is at least as new as.
+        """
         items: list[KeyValue] = []
         first_revision = 0
         last_key = ""
         while True:
             await self._queue.admit(priority, 0)
-            path = f"/store?under={quote(prefix, safe='/')}&most={PAGE_ROWS}"
+            path = f"/store?under={quote(prefix, safe='/')}&most={ROWS_PER_PAGE}"
             if last_key:
                 path += f"&since={quote(last_key, safe='/')}"
             status, data = await self._call("GET", path, None, self._timeout_s * 2, False)
@@ -196,10 +211,10 @@
             last_key = rows[-1].key
 
     async def watch(self, prefix: str, since: int, hold_s: float) -> tuple[list[WatchEvent], int]:
-        """Changes below the prefix after a revision, and the revision that they lead to.
+        """Return the changes below the prefix after a revision, and the revision they lead to.
 
-        Waits up to `hold_s` for one; empty when that time runs out. Raises CompactedError if
-        the service no longer keeps all changes after the revision.
+        Waits up to `hold_s` for a change, and returns an empty list if none occurs. Raises
+        CompactedError if the service no longer keeps all changes after the given revision.
         """
         await self._queue.admit(RequestPriority.URGENT, 0)
         path = f"/watch?under={quote(prefix, safe='/')}&since={since}&hold_ms={int(hold_s * 1000)}"
@@ -219,11 +234,12 @@
         priority: RequestPriority = RequestPriority.PLACEMENT,
         weight: float = 0.0,
     ) -> int:
-        """Apply all changes if all conditions hold (compare-and-swap); the new revision.
+        """Apply all changes if all conditions hold (compare-and-set); return the new revision.
 
         `conditions` are the versions that keys must have, 0 for keys that must not exist. Raises
-        ConflictError if one does not hold, LeaseExpiredError if a change names a lease that has
-        ended, TooLargeError, and RateLimitedError after several retries.
+        ConflictError if a condition does not hold, LeaseExpiredError if a change is made under an
+        expired lease, TooLargeError if a value or the transaction exceeds a size limit, and
+        RateLimitedError if the service still refuses it after several retries.
         """
         body: dict[str, Any] = {
             "if": [{"key": key, "entry_rev": version} for key, version in conditions.items()]
@@ -235,28 +251,30 @@
             failed = data.get("failed")
             raise ConflictError([k for k in failed if isinstance(k, str)] if failed else [])
         if status == 400:
-            if data.get("error") == NO_LEASE:
-                raise LeaseExpiredError(NO_LEASE)
-            raise TooLargeError(f"a transaction of {len(changes)} changes: {data.get('error')}")
+            if data.get("error") == LEASE_NOT_FOUND:
+                raise LeaseExpiredError(LEASE_NOT_FOUND)
+            raise TooLargeError(f"transaction of {len(changes)} changes: {data.get('error')}")
         revision = data.get("ledger_rev")
         if status != 200 or not isinstance(revision, int):
-            raise OutcomeUnknownError(f"odd reply to a transaction: {status}")
+            raise OutcomeUnknownError(
+                f"malformed reply to a transaction: status {status}, ledger_rev {revision!r}"
+            )
         return revision
 
     async def _send_transaction(
         self, body: dict[str, Any], changes: int, priority: RequestPriority, weight: float
     ) -> tuple[int, dict[str, Any]]:
-        """Send a transaction, several times if the service refuses it for its rate."""
+        """Send a transaction; send it again if the service refuses it because of its rate."""
         retries = 0
         while True:
             await self._queue.admit(priority, changes, weight)
             try:
                 return await self._call("POST", "/multi", body, self._timeout_s, changes > 0)
             except RateLimitedError:
-                # It was not executed, so it goes back into the queue. What is urgent does
-                # not wait there: at once, it would be refused again until it gives up.
+                # The transaction was not executed, so it is queued again. An urgent one is admitted
+                # at once and would exhaust its retries immediately, so it is delayed here.
                 self.change_limiter.on_refused()
-                if retries == RATE_LIMITED_RETRIES:
+                if retries == MAX_RATE_LIMIT_RETRIES:
                     raise
                 retries += 1
                 if priority == RequestPriority.URGENT:
@@ -264,30 +282,34 @@
 
     # -- leases
 
-    async def grant_lease(self, life_s: float) -> int:
-        """Grant a lease of this length; its ID."""
+    async def grant_lease(self, duration_s: float) -> int:
+        """Create a lease of this duration; return its ID."""
         await self._queue.admit(RequestPriority.URGENT, 0)
-        body = {"life_ms": int(life_s * 1000)}
+        body = {"life_ms": int(duration_s * 1000)}
         status, data = await self._call("POST", "/grants", body, self._timeout_s, True)
         lease_id = data.get("permit")
         if status != 200 or not isinstance(lease_id, int):
-            raise StateUnavailableError(f"odd reply to a grant: {status}")
+            raise StateUnavailableError(
+                f"malformed reply to a lease grant: status {status}, permit {lease_id!r}"
+            )
         return lease_id
 
     async def renew_lease(self, lease_id: int) -> None:
-        """Renew a lease; raises LeaseExpiredError if it has ended."""
+        """Renew a lease; raise LeaseExpiredError if it has expired."""
         await self._queue.admit(RequestPriority.URGENT, 0)
         path = f"/grants/{lease_id}/extend"
         status, _ = await self._call("POST", path, {}, self._timeout_s, True)
         if status == 404:
-            raise LeaseExpiredError(f"grant {lease_id}")
+            raise LeaseExpiredError(f"lease {lease_id} has expired")
         if status != 200:
-            raise StateUnavailableError(f"odd reply to an extension: {status}")
+            raise StateUnavailableError(f"reply to a lease renewal has unexpected status {status}")
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease; the keys that are stored under it go with it."""
+        """Revoke a lease, which removes the keys that are stored under it."""
         await self._queue.admit(RequestPriority.URGENT, 0)
         path = f"/grants/{lease_id}"
         status, _ = await self._call("DELETE", path, None, self._timeout_s, True)
         if status not in (200, 204, 404):
-            raise StateUnavailableError(f"odd reply to the end of a lease: {status}")
+            raise StateUnavailableError(
+                f"reply to a lease revocation has unexpected status {status}"
+            )
--- a/src/beamspar/state/errors.py
+++ b/src/beamspar/state/errors.py
@@ -1,40 +1,40 @@
 """Errors of the state service's client.
 
-They distinguish what a caller has to do: wait and retry, read what was stored, or give up what
-it built on.
+They differ in what a caller has to do: retry later, read the stored state, or discard the state
+that its call was based on.
 """
 
 from __future__ import annotations
 
 
 class StateUnavailableError(Exception):
-    """The request was not executed, or was a read without an answer: retry it later."""
+    """The request was not executed, or was a read without a usable reply: retry it later."""
 
 
 class OutcomeUnknownError(StateUnavailableError):
-    """A change without an answer is indeterminate: it may have been executed, or may be later."""
+    """A change without a usable reply: it may have been executed, or may be executed later."""
 
 
 class RateLimitedError(StateUnavailableError):
-    """Not executed, for all controllers together exceeded the service's rate."""
+    """Not executed, as all controllers together exceeded the service's rate limit."""
 
 
 class TooLargeError(StateUnavailableError):
-    """Not executed, for a value or the transaction is larger than the service accepts."""
+    """Not executed, as a value or the transaction exceeds the size limit of the service."""
 
 
 class LeaseExpiredError(Exception):
-    """The lease has ended, and the keys that were stored under it are gone."""
+    """The lease has expired, and the keys that were stored under it are gone."""
 
 
 class CompactedError(Exception):
-    """The watch asked for changes that the service no longer keeps: read all keys anew."""
+    """The watch requested changes that the service no longer keeps: re-read all keys."""
 
 
 class ConflictError(Exception):
-    """A transaction was rejected, for keys have other versions than its conditions say.
+    """A transaction was rejected, as keys have other versions than its conditions require.
 
-    `failed` names these keys; it is empty where the service did not name any.
+    `failed` lists these keys; it is empty if the service did not name any.
     """
 
     def __init__(self, failed: list[str]) -> None:
--- a/src/beamspar/state/keys.py
+++ b/src/beamspar/state/keys.py
@@ -1,12 +1,12 @@
-"""Keys of the state service, all in one place.
+"""All keys in the state service.
 
-Stored keys keep the names that they were first given (`folio`, `block`, `budget`, `w`): a release
-must find what earlier releases stored.
+Stored keys keep their original names (`folio`, `block`, `budget`, `w`), as each release must find
+the records that earlier releases stored.
 """
 
 from __future__ import annotations
 
-# Control records, which every controller mirrors.
+# Control records, which every controller mirrors in memory.
 CONTROL_PREFIX = "c/"
 FENCE_PREFIX = CONTROL_PREFIX + "fence/"
 MEMBER_PREFIX = CONTROL_PREFIX + "member/"
@@ -17,61 +17,61 @@
 LEADER = CONTROL_PREFIX + "leader"
 MACHINE_TYPES = CONTROL_PREFIX + "types"
 LEAVING_MEMBERS = CONTROL_PREFIX + "leaving"
-# Jobs, which only their owners and those who answer users read.
+# Job records, which are read only by their owners and by controllers that answer users.
 JOB_PREFIX = "job/"
 FINISHED_JOB_PREFIX = "end/"
 TASKS_PREFIX = "task/"
 
 
 def fence(member: str) -> str:
-    """The record of a member's newest incarnation; its revision fences out older ones."""
+    """Return the key of a member's newest incarnation; its revision fences out older ones."""
     return FENCE_PREFIX + member
 
 
 def member(name: str) -> str:
-    """The record that exists while the member's registration lease lasts."""
+    """Return the key of a member's registration, which exists while the member holds its lease."""
     return MEMBER_PREFIX + name
 
 
 def partition(name: str) -> str:
-    """The record of who owns a partition of jobs."""
+    """Return the key of a job partition's record, which names its owner."""
     return PARTITION_PREFIX + name
 
 
 def shard(name: str) -> str:
-    """The record of who holds a shard of machines."""
+    """Return the key of a machine shard's record, which names its holder."""
     return SHARD_PREFIX + name
 
 
 def team_quota(team: str) -> str:
-    """The record of the allocations of a team's quota."""
+    """Return the key of the allocations of a team's quota."""
     return TEAM_QUOTA_PREFIX + team
 
 
 def cancellation(job: str) -> str:
-    """The mark of a job that is cancelled and not over yet."""
+    """Return the key that marks an unfinished job as cancelled."""
     return CANCELLATION_PREFIX + job
 
 
 def job(job_id: str) -> str:
-    """The record of a job that is not over."""
+    """Return the key of an unfinished job's record."""
     return JOB_PREFIX + job_id
 
 
 def finished_job(job_id: str) -> str:
-    """What stays of a job that is over."""
+    """Return the key of a finished job's final record."""
     return FINISHED_JOB_PREFIX + job_id
 
 
 def tasks(job_id: str) -> str:
-    """The prefix of a job's further chunks of tasks."""
+    """Return the key prefix of a job's further chunks of tasks."""
     return f"{TASKS_PREFIX}{job_id}/"
 
 
 def kind_and_name(control_key: str) -> tuple[str, str]:
-    """The two parts of a control key: the prefix of its kind, and what it names.
+    """Split a control key into the prefix of its kind and the name of its object.
 
-    Keys of single records (`LEADER`) are their own kind and name nothing.
+    Keys of single records (such as `LEADER`) are their own kind, with an empty name.
     """
     kind, slash, name = control_key.removeprefix(CONTROL_PREFIX).partition("/")
     return CONTROL_PREFIX + kind + slash, name
--- a/src/beamspar/state/messages.py
+++ b/src/beamspar/state/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the state service: stored rows, watch events and the changes of a transaction."""
+"""Messages of the state service: stored rows, watch events and changes of a transaction."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 import msgspec
 
-# One change of a transaction, as it is sent; made by `put` and `drop`.
+# One change of a transaction in the form in which it is sent; built by `put` and `drop`.
 Change = dict[str, Any]
 
 
 class KeyValue(msgspec.Struct):
-    """A stored key with its value and the revision of its last change."""
+    """A stored key with its value and the revision of its last change (its version)."""
 
     key: str
     value: Any = msgspec.field(name="data")
@@ -19,17 +19,17 @@
 
 
 class WatchEvent(msgspec.Struct):
-    """A change that a watch reports: one of `put` and `drop` names the key."""
+    """A change reported by a watch; either `put` or `drop` is set, to the key."""
 
     version: int = msgspec.field(name="entry_rev")
     put: str | None = None
     drop: str | None = None
-    # The new value of a key that was put.
+    # The new value, if the key was put.
     value: Any = msgspec.field(name="data", default=None)
 
 
 def put(key: str, value: Any, lease_id: int | None = None) -> Change:
-    """A change that stores a value; with a lease, the key is removed when that ends."""
+    """Return a change that stores a value; under a lease, the key is removed when that expires."""
     change = {"put": key, "data": value}
     if lease_id is not None:
         change["permit"] = lease_id
@@ -37,5 +37,5 @@
 
 
 def drop(key: str) -> Change:
-    """A change that removes a key."""
+    """Return a change that removes a key."""
     return {"drop": key}
--- a/src/beamspar/state/request_queue.py
+++ b/src/beamspar/state/request_queue.py
@@ -1,4 +1,4 @@
-"""The queue in which requests to the state service wait for their turn."""
+"""A priority queue of requests to the state service, limited by its rates."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from beamspar.state.rate_limiter import RateLimiter
 from beamspar.transport.clock import Clock
 
-# A timer that waits for tokens waits at least so long.
-SHORTEST_WAIT_S = 0.005
+# The lower bound of the delay until the queue is checked again for enough tokens.
+MIN_DELAY_S = 0.005
 
 
 class RequestPriority(IntEnum):
-    """Order of the queue: the lower goes first, and within one priority the lower weight."""
+    """Priorities of requests: lower values go first, and within one priority lower weights."""
 
-    # Leases, watches and what a failover waits for: sent at once, whatever the rate.
+    # Leases, watches and the requests on which a failover depends: sent at once at any rate.
     URGENT = 0
     ACCEPT = 1
     PLACEMENT = 2
@@ -27,19 +27,22 @@
 
 
 class QueuedRequest(NamedTuple):
-    """A request that waits. Its fields are in the order that the queue sorts by: `sequence`
-    is unique, so what follows it is never compared."""
+    """A queued request.
+
+    The queue sorts by its fields in order. `sequence` is unique, so later fields are never
+    compared.
+    """
 
     priority: RequestPriority
     weight: float
     sequence: int
-    # Changes of its transaction; 0 for all other requests.
+    # The number of changes in the transaction; 0 for other requests.
     changes: int
     admitted: Deferred[None]
 
 
 class RequestQueue:
-    """Owns the requests that wait; admits them in their order as the rates allow."""
+    """Holds queued requests, and admits them in order as the rates allow."""
 
     def __init__(
         self, clock: Clock, request_limiter: RateLimiter, change_limiter: RateLimiter
@@ -47,53 +50,54 @@
         self._clock = clock
         self._request_limiter = request_limiter
         self._change_limiter = change_limiter
-        self._waiting: list[QueuedRequest] = []
+        self._queued: list[QueuedRequest] = []
         self._last_sequence = 0
         self._timer: Any = None
 
     def admit(self, priority: RequestPriority, changes: int, weight: float = 0.0) -> Deferred[None]:
-        """A Deferred that fires when the request may be sent."""
+        """Queue a request; return a Deferred that fires when it may be sent."""
         admitted: Deferred[None] = Deferred()
         self._last_sequence += 1
         entry = QueuedRequest(priority, weight, self._last_sequence, changes, admitted)
-        heapq.heappush(self._waiting, entry)
-        self._send_admitted()
+        heapq.heappush(self._queued, entry)
+        self._admit_ready()
         return admitted
 
-    def waiting_requests(self, lowest: RequestPriority) -> int:
-        """How many requests wait that have this priority or a more urgent one."""
-        return sum(1 for entry in self._waiting if entry.priority <= lowest)
+    def queued_requests(self, lowest: RequestPriority) -> int:
+        """Return the number of queued requests with this priority or a more urgent one."""
+        return sum(1 for entry in self._queued if entry.priority <= lowest)
 
-    def waiting_changes(self) -> int:
-        """How many changes the waiting transactions have together."""
-        return sum(entry.changes for entry in self._waiting)
+    def queued_changes(self) -> int:
+        """Return the total number of changes in the queued transactions."""
+        return sum(entry.changes for entry in self._queued)
 
-    def _send_admitted(self) -> None:
-        while self._waiting:
-            first = self._waiting[0]
-            wait_s = self._wait_s(first)
-            if wait_s > 0:
+    def _admit_ready(self) -> None:
+        while self._queued:
+            first = self._queued[0]
+            delay_s = self._delay_s(first)
+            if delay_s > 0:
                 if self._timer is None:
-                    self._timer = self._clock.callLater(wait_s, self._on_timer)
+                    self._timer = self._clock.callLater(delay_s, self._on_timer)
                 return
-            heapq.heappop(self._waiting)
+            heapq.heappop(self._queued)
             self._request_limiter.spend(1)
             self._change_limiter.spend(first.changes)
             first.admitted.callback(None)
 
-    def _wait_s(self, entry: QueuedRequest) -> float:
-        """How long the rates keep the request waiting; 0 if it may be sent now."""
-        requests = self._request_limiter.refill()
-        changes = self._change_limiter.refill()
-        # A transaction with more changes than a second's would never be admitted.
+    def _delay_s(self, entry: QueuedRequest) -> float:
+        """Return how long the rates delay the request, in seconds; 0 if it may be sent now."""
+        request_tokens = self._request_limiter.refill()
+        change_tokens = self._change_limiter.refill()
+        # Tokens never exceed the rate of one second: a transaction with more changes than that
+        # would never be admitted.
         needed_changes = min(entry.changes, self._change_limiter.rate)
-        has_tokens = requests >= 1 and changes >= needed_changes
+        has_tokens = request_tokens >= 1 and change_tokens >= needed_changes
         if entry.priority <= RequestPriority.URGENT or has_tokens:
             return 0.0
-        for_request = (1 - requests) / self._request_limiter.rate
-        for_changes = (needed_changes - changes) / self._change_limiter.rate
-        return max(for_request, for_changes, SHORTEST_WAIT_S)
+        request_delay_s = (1 - request_tokens) / self._request_limiter.rate
+        change_delay_s = (needed_changes - change_tokens) / self._change_limiter.rate
+        return max(request_delay_s, change_delay_s, MIN_DELAY_S)
 
     def _on_timer(self) -> None:
         self._timer = None
-        self._send_admitted()
+        self._admit_ready()
--- a/tests/test_request_queue.py
+++ b/tests/test_request_queue.py
@@ -34,8 +34,8 @@
     made.admit("first accept", RequestPriority.ACCEPT, 1)
     made.admit("question asked later", RequestPriority.ACCEPT, 0, 1.0)
     assert made.admitted == []
-    assert made.queue.waiting_requests(RequestPriority.ACCEPT) == 4
-    assert made.queue.waiting_changes() == 2
+    assert made.queue.queued_requests(RequestPriority.ACCEPT) == 4
+    assert made.queue.queued_changes() == 2
     made.clock.advance_to(1.0)
     assert made.admitted == [
         "first accept",
