--- a/src/beamspar/decision_log/__init__.py
+++ b/src/beamspar/decision_log/__init__.py
@@ -1,1 +1,1 @@
-"""The leader's decisions beyond the stored records: their log, and followers' copies of it."""
+"""The replicated log of leader decisions that are not in the state service."""
--- a/src/beamspar/decision_log/decision_log.py
+++ b/src/beamspar/decision_log/decision_log.py
@@ -1,4 +1,4 @@
-"""The replicated log of the leader's decisions, at the leader."""
+"""The leader's side of the replicated log of its decisions."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 from beamspar.decision_log.messages import FollowReply, FollowRequest, LogEntry
 from beamspar.transport.clock import Clock
 
-# Entries that are kept for followers that lag; beyond, they get a snapshot.
+# Entries kept for followers that lag; a follower that lags further receives a snapshot.
 LOG_ENTRIES = 1024
-# Entries in one message: some 0.3 KiB each, a fraction of what a peer accepts.
+# At about 0.3 KiB per entry, a message stays well below the size limit of peers.
 ENTRIES_PER_MESSAGE = 512
 
 
 class SnapshotTransfer(msgspec.Struct, frozen=True):
-    """A snapshot on its way to one follower."""
+    """A snapshot that is being transferred to one follower."""
 
-    # The index that it stands for.
+    # The log index up to which the snapshot includes decisions.
     index: int
     entries: list[TimedDecision]
 
 
 class FollowerProgress(msgspec.Struct, frozen=True):
-    """What the leader knows of one follower."""
+    """The last observed progress of one follower."""
 
-    # What it has applied; 0 while it has nothing of this term.
+    # The last applied index; 0 if the follower has applied nothing of this term.
     index: int
     last_seen_at: float
 
 
 class DecisionLog:
-    """Numbers and keeps the leader's decisions, and answers followers.
+    """Numbers and stores the leader's decisions, and answers followers' requests.
 
-    It never waits for a follower. It keeps a bounded number of entries, and per member at most
-    one snapshot that is under way.
+    It never waits for a follower. Its memory is bounded: it stores a limited number of entries, and
+    at most one snapshot transfer per member.
     """
 
     def __init__(self, clock: Clock, state: LeadState) -> None:
@@ -44,25 +44,25 @@
         self.state = state
         self.term = 0
         self.index = 0
-        # The newest entries, the last of them under `index`.
+        # The newest entries; the last one has the number `index`.
         self.recent: deque[TimedDecision] = deque(maxlen=LOG_ENTRIES)
-        # By member: snapshots under way, and how far it has followed.
+        # By member: snapshot transfers in progress, and the progress of followers.
         self.transfers: dict[str, SnapshotTransfer] = {}
         self.followers: dict[str, FollowerProgress] = {}
 
     def begin(self, term: int) -> None:
-        """Lead under this term, from the state as it stands."""
+        """Start a log for this term; it begins with the present state."""
         self.term, self.index = term, 0
         self.recent.clear()
         self.transfers.clear()
         self.followers.clear()
 
     def end(self) -> None:
-        """Lead no more: followers get replies without a term."""
+        """Stop leading: followers receive replies without a term from now on."""
         self.begin(0)
 
     def decide(self, decision: Decision) -> None:
-        """Apply a decision and, while leading, number it for the followers."""
+        """Apply a decision and, while leading, append it to the log for the followers."""
         now = self.clock.seconds()
         self.state.apply(decision, now)
         if self.term:
@@ -70,7 +70,7 @@
             self.recent.append(TimedDecision(now, decision))
 
     def answer(self, request: FollowRequest, succession: list[str]) -> FollowReply:
-        """What the follower lacks, as far as one message holds it."""
+        """Return the entries that the follower lacks, as many as fit into one message."""
         if not self.term:
             return FollowReply()
         now = self.clock.seconds()
--- a/src/beamspar/decision_log/decisions.py
+++ b/src/beamspar/decision_log/decisions.py
@@ -1,7 +1,8 @@
-"""The leader's decisions as numbered log entries, and the state that they add up to.
+"""The leader's decisions as log entries, and the state that results from applying them.
 
-Leader and followers apply the same entries by the same code. Times do not travel: clocks of
-controllers are not related, so an entry's age is sent with it and durations are relative.
+Leader and followers apply the same entries with the same code. No points in time are sent, as the
+clocks of controllers are not synchronized: an entry is sent with its age, and durations are
+relative.
 """
 
 from __future__ import annotations
@@ -11,12 +12,12 @@
 
 import msgspec
 
-# Where capacity is rented: a machine type, a zone, and whether the machines are spot machines.
+# Where instances are requested: machine type, zone, and whether they are spot machines.
 Place = tuple[str, str, bool]
 
 
 class InstancesRequested(msgspec.Struct, frozen=True, tag="rental_asked"):
-    """A request for instances is about to be sent under this name."""
+    """A request for instances with this name is about to be sent to the cloud."""
 
     name: str
     place: Place
@@ -24,17 +25,17 @@
 
 
 class InstancesGranted(msgspec.Struct, frozen=True, tag="rental_granted"):
-    """The cloud rented these machines, possibly fewer than were asked for."""
+    """The cloud granted these machines, possibly fewer than requested."""
 
     name: str
     place: Place
     machines: list[str]
-    # How long the place is not asked again, when fewer came than were asked for.
+    # How long no more are requested at the place, if fewer were granted than requested.
     pause_s: float = 0.0
 
 
 class InstancesRefused(msgspec.Struct, frozen=True, tag="rental_refused"):
-    """The cloud had none; the place is not asked again for the pause."""
+    """The cloud granted none; nothing is requested at the place for the duration of the pause."""
 
     name: str
     place: Place
@@ -42,26 +43,29 @@
 
 
 class InstanceRequestAbandoned(msgspec.Struct, frozen=True, tag="rental_abandoned"):
-    """The request got no answer and will not be repeated."""
+    """The request received no reply and will not be repeated."""
 
     name: str
 
 
 class MachinesStarted(msgspec.Struct, frozen=True, tag="machines_up"):
-    """These machines send heartbeats: they are not booting any more."""
+    """These machines have sent heartbeats, so their boot is complete."""
 
     machines: list[str]
 
 
 class MachinesDeleted(msgspec.Struct, frozen=True, tag="machines_returned"):
-    """The cloud has confirmed that these are gone; what is free there may be rented again."""
+    """The cloud has confirmed the deletion of these machines.
+
+    A pause at a freed place ends, as capacity can be requested there again.
+    """
 
     machines: list[str]
     freed: list[Place] = []
 
 
 class CacheChanged(msgspec.Struct, frozen=True, tag="cache_changed"):
-    """The images that a machine caches; with none the machine is gone."""
+    """The images that a machine caches have changed; no images mean that the machine is gone."""
 
     machine: str
     images: dict[str, float]
@@ -79,7 +83,7 @@
 
 
 class Booting(msgspec.Struct, frozen=True):
-    """A machine that is rented and sends no heartbeats yet."""
+    """A granted machine that has not sent a heartbeat yet."""
 
     kind: str
     zone: str
@@ -88,14 +92,14 @@
 
 
 class Refusal(NamedTuple):
-    """Until when a place is not asked again, and the length of that pause."""
+    """The time until which nothing is requested at a place, and the duration of that pause."""
 
     until: float
     pause_s: float
 
 
 class CachedImages(NamedTuple):
-    """A machine's cached images, and the count of changes at which they changed last."""
+    """A machine's cached images, and the value of `cache_changes` at their last change."""
 
     images: dict[str, float]
     changed_at: int
@@ -109,23 +113,23 @@
 
 
 class LeadState:
-    """What a leader has decided beyond the records of the state service.
+    """The state from leader decisions that are not in the records of the state service.
 
-    It makes a successor faster and cheaper, never safe: safety rests on records alone.
+    It only saves a successor time and cost. Safety depends on the stored records alone.
     """
 
     def __init__(self) -> None:
         self.pending: dict[str, InstancesRequested] = {}
         self.booting: dict[str, Booting] = {}
-        # Places that are not asked again for a while.
+        # Places at which nothing is requested for the duration of a pause.
         self.refused: dict[Place, Refusal] = {}
         self.returned: set[str] = set()
-        # What each machine caches.
+        # Cached images by machine.
         self.caches: dict[str, CachedImages] = {}
         self.cache_changes = 0
 
     def clear(self) -> None:
-        """Forget everything, in place: others hold references to the parts."""
+        """Clear all collections in place, as other objects hold references to them."""
         self.pending.clear()
         self.booting.clear()
         self.refused.clear()
@@ -133,7 +137,7 @@
         self.caches.clear()
 
     def apply(self, decision: Decision, made_at: float) -> None:
-        """Apply a decision that was made at this time of the local clock."""
+        """Apply a decision; `made_at` is its time by the local clock."""
         match decision:
             case InstancesRequested():
                 self.pending[decision.name] = decision
@@ -141,13 +145,13 @@
                 self._apply_granted(decision, made_at)
             case InstancesRefused():
                 self.pending.pop(decision.name, None)
-                self._refuse(decision.place, made_at, decision.pause_s)
+                self._pause_requests(decision.place, made_at, decision.pause_s)
             case InstanceRequestAbandoned():
                 self.pending.pop(decision.name, None)
             case MachinesStarted():
-                self._end_boots(decision.machines)
+                self._remove_booting(decision.machines)
             case MachinesDeleted():
-                self._apply_returned(decision)
+                self._apply_deleted(decision)
             case CacheChanged():
                 self._apply_cache(decision)
 
@@ -157,18 +161,18 @@
         for machine in decision.machines:
             self.booting[machine] = Booting(*decision.place, since=made_at)
         if decision.pause_s:
-            self._refuse(decision.place, made_at, decision.pause_s)
+            self._pause_requests(decision.place, made_at, decision.pause_s)
 
-    def _refuse(self, place: Place, made_at: float, pause_s: float) -> None:
+    def _pause_requests(self, place: Place, made_at: float, pause_s: float) -> None:
         self.refused[place] = Refusal(made_at + pause_s, pause_s)
 
-    def _apply_returned(self, decision: MachinesDeleted) -> None:
+    def _apply_deleted(self, decision: MachinesDeleted) -> None:
         self.returned.update(decision.machines)
-        self._end_boots(decision.machines)
+        self._remove_booting(decision.machines)
         for place in decision.freed:
             self.refused.pop(place, None)
 
-    def _end_boots(self, machines: list[str]) -> None:
+    def _remove_booting(self, machines: list[str]) -> None:
         for machine in machines:
             self.booting.pop(machine, None)
 
@@ -180,16 +184,16 @@
         self.caches[decision.machine] = CachedImages(decision.images, self.cache_changes)
 
     def entries(self) -> Iterator[TimedDecision]:
-        """Decisions that lead from an empty state to this one."""
-        # First what would undo the rest: a deletion ends a boot, and granted instances lift a
-        # refusal.
+        """Yield decisions that recreate this state from an empty one."""
+        # The order matters: a deletion ends a boot, and granted instances end a pause after a
+        # refusal. So each comes before the entries that it would undo.
         if self.returned:
             yield TimedDecision(0.0, MachinesDeleted(sorted(self.returned)))
         for request in self.pending.values():
             yield TimedDecision(0.0, request)
-        for machine, boot in self.booting.items():
-            place = (boot.kind, boot.zone, boot.spot)
-            yield TimedDecision(boot.since, InstancesGranted("", place, [machine]))
+        for machine, booting in self.booting.items():
+            place = (booting.kind, booting.zone, booting.spot)
+            yield TimedDecision(booting.since, InstancesGranted("", place, [machine]))
         for place, (until, pause_s) in self.refused.items():
             yield TimedDecision(until - pause_s, InstancesRefused("", place, pause_s))
         for machine, (images, _) in self.caches.items():
--- a/src/beamspar/decision_log/messages.py
+++ b/src/beamspar/decision_log/messages.py
@@ -1,4 +1,4 @@
-"""What the leader and the followers of its decision log say to each other."""
+"""Messages between the leader and the followers of its decision log."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class LogEntry(msgspec.Struct, array_like=True, frozen=True):
-    """A decision in the log, and how long ago it was made when this was sent."""
+    """A decision in the log, with its age at the time of sending."""
 
     index: int
     age_s: float
@@ -16,19 +16,19 @@
 
 
 class FollowRequest(msgspec.Struct, frozen=True):
-    """A follower has applied the log of this term up to this index, and asks for what follows."""
+    """A follower's request for the log after the index that it has applied in this term."""
 
     member: str
     term: int = 0
     applied_index: int = msgspec.field(default=0, name="index")
-    # Entries that it has of a snapshot whose transfer is under way.
+    # The number of entries received of a snapshot whose transfer is in progress.
     snapshot_offset: int = msgspec.field(default=0, name="offset")
 
 
 class FollowReply(msgspec.Struct, frozen=True):
-    """Entries after the follower's index, or the next part of a snapshot.
+    """The entries after the follower's index, or the next part of a snapshot.
 
-    A controller whose term is 0 does not lead.
+    The term is 0 if the sender does not lead.
     """
 
     term: int = 0
@@ -36,10 +36,10 @@
     last_index: int = msgspec.field(default=0, name="index")
     entries: list[LogEntry] = []
     is_snapshot: bool = msgspec.field(default=False, name="snapshot")
-    # The index that the snapshot stands for.
+    # The log index up to which the snapshot includes decisions.
     snapshot_index: int = 0
-    # Where this part of the snapshot begins, and whether it is the last one.
+    # The offset of this part in the snapshot, and whether it is the last part.
     snapshot_offset: int = msgspec.field(default=0, name="offset")
     is_last_part: bool = msgspec.field(default=True, name="last")
-    # Followers, the preferred successor first.
+    # The followers in the order in which they succeed the leader.
     succession: list[str] = []
--- a/src/beamspar/decision_log/replica.py
+++ b/src/beamspar/decision_log/replica.py
@@ -1,4 +1,4 @@
-"""The replicated log of the leader's decisions, at a follower."""
+"""A follower's side of the replicated log of the leader's decisions."""
 
 from __future__ import annotations
 
@@ -8,48 +8,54 @@
 
 
 class StaleTermError(Exception):
-    """Entries of a term that is over, or out of order: refused."""
+    """The reply was rejected: it is of an older term, or its entries are out of order."""
 
 
 class Replica:
-    """A follower's copy of the log: applies entries in order, once, and of no older term."""
+    """A follower's copy of the leader's state.
+
+    Each log entry is applied in order and once, and entries of older terms are rejected.
+    """
 
     def __init__(self, clock: Clock, state: LeadState) -> None:
         self.clock = clock
         self.state = state
-        # What it has applied.
+        # The term and index of the last applied entry.
         self.term = 0
         self.index = 0
-        # The last index that the leader is known to have, and the newest term that is known.
+        # The last known index of the leader's log, and the newest observed term.
         self.leader_index = 0
         self.newest_term = 0
-        # What has arrived of a snapshot that is under way.
+        # The received part of a snapshot whose transfer is in progress.
         self.snapshot_parts: list[TimedDecision] = []
 
     @property
     def lag(self) -> int:
-        """Entries that the leader is known to have and this copy lacks."""
+        """The number of entries of the leader's log that are known but not applied here."""
         return max(self.leader_index - self.index, 0)
 
     def request(self, member: str) -> FollowRequest:
-        """What to ask the leader for."""
+        """Return the next request to the leader."""
         return FollowRequest(member, self.term, self.index, len(self.snapshot_parts))
 
     def restart(self) -> None:
-        """Begin anew with a snapshot; terms that are over stay refused."""
+        """Start over with a snapshot; older terms are still rejected."""
         self.term = self.index = self.leader_index = 0
         self.snapshot_parts.clear()
 
     def apply(self, reply: FollowReply) -> bool:
-        """Apply a reply; returns whether more is to be fetched at once. Raises StaleTermError."""
+        """Apply a reply; return whether the next request should be sent at once.
+
+        Raises StaleTermError if the reply is rejected.
+        """
         if reply.term < self.newest_term:
-            raise StaleTermError(f"term {reply.term} is over: {self.newest_term} has begun")
+            raise StaleTermError(f"term {reply.term} is over: term {self.newest_term} has begun")
         self.newest_term = reply.term
         now = self.clock.seconds()
         if reply.is_snapshot:
             return self._add_snapshot_part(reply, now)
         if reply.term != self.term:
-            raise StaleTermError(f"entries of term {reply.term} without its snapshot")
+            raise StaleTermError(f"entries of term {reply.term} received before its snapshot")
         self._apply_entries(reply, now)
         self.leader_index = reply.last_index
         return self.lag > 0
@@ -60,13 +66,13 @@
                 continue
             if entry.index != self.index + 1:
                 self.restart()
-                raise StaleTermError(f"entry {entry.index} leaves a gap")
+                raise StaleTermError(f"entry {entry.index} leaves a gap in the log")
             self.state.apply(entry.decision, now - entry.age_s)
             self.index = entry.index
 
     def _add_snapshot_part(self, reply: FollowReply, now: float) -> bool:
         if reply.snapshot_offset != len(self.snapshot_parts):
-            # Of a transfer that was begun anew, or a repeated answer.
+            # This part is of a restarted transfer, or of a duplicated reply.
             self.snapshot_parts.clear()
             if reply.snapshot_offset:
                 return True
@@ -75,11 +81,11 @@
         ]
         if not reply.is_last_part:
             return True
-        self._restore(reply)
+        self._apply_snapshot(reply)
         return self.lag > 0
 
-    def _restore(self, reply: FollowReply) -> None:
-        """Replace the state by the snapshot, which has arrived in full."""
+    def _apply_snapshot(self, reply: FollowReply) -> None:
+        """Replace the state by the completely received snapshot."""
         self.state.clear()
         for timed in self.snapshot_parts:
             self.state.apply(timed.decision, timed.made_at)
