--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -1,7 +1,8 @@
-"""What production writes and sends is read here, and what is written here is read there.
+"""Compatibility with the release in production, for stored records and for peer messages.
 
-`fixtures/production.json` holds records and messages as production's release writes them, made
-by playing it on the stand-ins.
+This release must read what production's release writes and sends, and vice versa.
+`fixtures/production.json` contains records and messages of production's release, recorded by
+running it on the stand-ins.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 FIXTURE = json.loads((Path(__file__).parent / "fixtures" / "production.json").read_text())
 RECORD_TYPES = {"job/": "JobRecord", "task/": "Chunk", "end/": "EndRecord"}
-# Each message's type, and its answer's.
+# The types of each message and of its reply; None if there is none to read.
 MESSAGE_TYPES: dict[str, tuple[Any, Any]] = {
     "sync": (list[messages.DesiredStateUpdate], messages.AttemptStatusBatch),
     "statuses": (messages.AttemptStatusBatch, None),
@@ -33,12 +34,12 @@
 }
 
 
-def holds(new: Any, old: Any) -> bool:
-    """Is all of the old form in the new one, which may only add to it?"""
+def contains(new: Any, old: Any) -> bool:
+    """Return whether the new form contains all of the old one, to which it may only add."""
     if isinstance(old, dict):
-        return all(key in new and holds(new[key], value) for key, value in old.items())
+        return all(key in new and contains(new[key], value) for key, value in old.items())
     if isinstance(old, list):
-        return len(new) >= len(old) and all(map(holds, new, old))
+        return len(new) >= len(old) and all(map(contains, new, old))
     return bool(new == old)
 
 
@@ -48,10 +49,10 @@
     for prefix, name in RECORD_TYPES.items():
         if key.startswith(prefix):
             record = msgspec.convert(value, getattr(records, name))
-            assert holds(msgspec.to_builtins(record), value)
+            assert contains(msgspec.to_builtins(record), value)
     if key.startswith("job/"):
         spec = msgspec.to_builtins(msgspec.convert(value["s"], JobSpec))
-        assert holds(spec, value["s"])
+        assert contains(spec, value["s"])
     if key.startswith("c/block/"):
         shard = msgspec.convert(value, MachineShard)
         assert (
@@ -65,7 +66,7 @@
         )
 
 
-def test_every_kind_of_record_is_there() -> None:
+def test_the_fixture_contains_every_kind_of_record() -> None:
     kinds = {key.split("/")[0] for key in FIXTURE["records"]}
     control = {key.split("/")[1] for key in FIXTURE["records"] if key.startswith("c/")}
     assert kinds == {"job", "task", "end", "c"}
@@ -73,36 +74,39 @@
 
 
 @pytest.mark.parametrize("name", sorted(FIXTURE["messages"]))
-def test_a_message_of_production_is_read(name: str) -> None:
-    sent, answer = MESSAGE_TYPES[name]
-    if sent is not None:
+def test_this_release_reads_a_message_of_production(name: str) -> None:
+    request_type, reply_type = MESSAGE_TYPES[name]
+    if request_type is not None:
         value = FIXTURE["messages"][name]["sent"]
-        assert holds(msgspec.to_builtins(msgspec.convert(value, sent)), value)
-    if answer is not None:
+        assert contains(msgspec.to_builtins(msgspec.convert(value, request_type)), value)
+    if reply_type is not None:
         value = FIXTURE["messages"][name]["answer"]
-        assert holds(msgspec.to_builtins(msgspec.convert(value, answer)), value)
+        assert contains(msgspec.to_builtins(msgspec.convert(value, reply_type)), value)
 
 
-def test_our_messages_are_read_by_production() -> None:
-    old = releases.production().module("control.messages")
-    desired = messages.DesiredAttempt(
+def test_production_reads_messages_of_this_release() -> None:
+    production = releases.production().module("control.messages")
+    desired_attempt = messages.DesiredAttempt(
         "host-1", 7, "j-1/0", 2, messages.DesiredAction.RUN, gang=True
     )
-    sync = messages.DesiredStateUpdate("rig-0", "rig-0.1", 3, 1, 9, [desired])
-    read = old.decode(messages.encode([sync]), list[old.Sync])
+    update = messages.DesiredStateUpdate("rig-0", "rig-0.1", 3, 1, 9, [desired_attempt])
+    read = production.decode(messages.encode([update]), list[production.Sync])
     assert read[0].wants[0].task == "j-1/0" and not hasattr(read[0].wants[0], "gang")
     room = Room("host-1", "small", "east", False, 4.0, 0.0, 16.0)
-    view = messages.MachineStatus(room, 7, True, False, False, False, False, False, 0.1, 2.0)
-    summary = messages.MemberHeartbeat("rig-0", 1, [view])
-    assert old.decode(messages.encode(summary), old.Summary).views[0].room.name == "host-1"
-    directions = messages.HeartbeatResponse(True, True, True)
-    assert old.decode(messages.encode(directions), old.Directions).taken
+    status = messages.MachineStatus(room, 7, True, False, False, False, False, False, 0.1, 2.0)
+    heartbeat = messages.MemberHeartbeat("rig-0", 1, [status])
+    assert (
+        production.decode(messages.encode(heartbeat), production.Summary).views[0].room.name
+        == "host-1"
+    )
+    response = messages.HeartbeatResponse(True, True, True)
+    assert production.decode(messages.encode(response), production.Directions).taken
 
 
-def test_production_reads_what_we_store_before_all_are_new() -> None:
-    old = releases.production().module("control.records")
+def test_production_reads_records_stored_before_all_controllers_are_upgraded() -> None:
+    production = releases.production().module("control.records")
     record = records.JobRecord({}, "rig-0.1", chunk=records.Chunk(bound=[(0, 1, "host-1")]))
-    read = msgspec.convert(msgspec.to_builtins(record), old.JobRecord)
-    # It would lose the layout when it writes the record anew.
+    read = msgspec.convert(msgspec.to_builtins(record), production.JobRecord)
+    # Production would drop the layout on rewriting the record, so the record has none yet.
     assert read.chunk.bound == [(0, 1, "host-1")] and not hasattr(read, "per")
     assert record.tasks_per_chunk is None
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -1,4 +1,4 @@
-"""The leader's log and its copies: order, gaps, snapshots, older terms, bounded memory."""
+"""The leader's log and its replicas: order, gaps, snapshots, older terms, bounded memory."""
 
 from __future__ import annotations
 
@@ -31,25 +31,25 @@
 PLACES: list[Place] = [("big", "east", False), ("small", "west", True)]
 
 
-def pair() -> tuple[SimClock, DecisionLog, Replica]:
+def make_log_and_replica() -> tuple[SimClock, DecisionLog, Replica]:
     clock = SimClock()
     log = DecisionLog(clock, LeadState())
     log.begin(7)
     return clock, log, Replica(clock, LeadState())
 
 
-def catch_up(log: DecisionLog, replica: Replica, most: int = 100) -> int:
-    """Fetch and apply, as bytes, until there is no more; returns the number of messages."""
-    for count in range(1, most):
+def catch_up(log: DecisionLog, replica: Replica, max_messages: int = 100) -> int:
+    """Fetch and apply encoded replies until none is left; return the number of messages."""
+    for count in range(1, max_messages):
         reply = log.answer(replica.request("rig-1"), [])
         body = encode(reply)
         assert len(body) < MAX_PEER_MESSAGE_BYTES
         if not replica.apply(decode(body, FollowReply)):
             return count
-    raise AssertionError("never caught up")
+    raise AssertionError(f"the replica did not catch up within {max_messages} messages")
 
 
-def some_decision(rng: random.Random, number: int) -> Decision:
+def random_decision(rng: random.Random, number: int) -> Decision:
     place = rng.choice(PLACES)
     name = f"rig-0.1.{rng.randrange(20)}"
     machines = [f"host-{rng.randrange(50)}"]
@@ -66,8 +66,8 @@
     )
 
 
-def plain(state: LeadState, now: float) -> object:
-    """The state in a form that can be compared; times to the microsecond."""
+def comparable(state: LeadState, now: float) -> object:
+    """Return the state in a comparable form, with times rounded to microseconds."""
     return (
         state.pending,
         {m: (b.kind, b.zone, b.spot, round(b.since, 6)) for m, b in state.booting.items()},
@@ -78,36 +78,36 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_copy_equals_the_original_however_it_was_caught_up(seed: int) -> None:
+def test_a_replica_equals_the_original_however_it_caught_up(seed: int) -> None:
     rng = random.Random(seed)
-    clock, log, replica = pair()
+    clock, log, replica = make_log_and_replica()
     for number in range(600):
-        log.decide(some_decision(rng, number))
+        log.decide(random_decision(rng, number))
         clock.advance_to(clock.now + rng.random())
         if rng.random() < 0.05:
             catch_up(log, replica)
-            assert plain(replica.state, clock.now) == plain(log.state, clock.now)
+            assert comparable(replica.state, clock.now) == comparable(log.state, clock.now)
             assert (replica.term, replica.index, replica.lag) == (7, log.index, 0)
         if rng.random() < 0.02:
-            # Its process was started anew, or another term began.
+            # The follower has restarted, or another term has begun.
             replica = Replica(clock, LeadState())
 
 
 def test_each_entry_is_applied_once_and_in_order() -> None:
-    _, log, replica = pair()
+    _, log, replica = make_log_and_replica()
     catch_up(log, replica)
     log.decide(InstancesRequested("r-1", PLACES[0], 1))
     reply = log.answer(replica.request("rig-1"), [])
     replica.apply(reply)
     log.decide(InstanceRequestAbandoned("r-1"))
     replica.apply(log.answer(replica.request("rig-1"), []))
-    # A late copy of the first answer must not bring the request back.
+    # A late duplicate of the first reply must not restore the request.
     replica.apply(reply)
     assert replica.index == 2 and replica.state.pending == {}
 
 
-def test_a_gap_is_noticed_and_closed_by_a_snapshot() -> None:
-    _, log, replica = pair()
+def test_a_gap_is_detected_and_closed_by_a_snapshot() -> None:
+    _, log, replica = make_log_and_replica()
     catch_up(log, replica)
     log.decide(InstancesRequested("r-1", PLACES[0], 1))
     with pytest.raises(StaleTermError, match="gap"):
@@ -117,34 +117,34 @@
     assert set(replica.state.pending) == {"r-1"} and replica.index == 1
 
 
-def test_entries_of_an_older_term_are_refused() -> None:
-    _, log, replica = pair()
+def test_entries_of_an_older_term_are_rejected() -> None:
+    _, log, replica = make_log_and_replica()
     log.decide(InstancesRequested("r-1", PLACES[0], 1))
     catch_up(log, replica)
-    old = DecisionLog(SimClock(), LeadState())
-    old.begin(6)
-    old.decide(InstancesRequested("r-old", PLACES[0], 1))
+    old_log = DecisionLog(SimClock(), LeadState())
+    old_log.begin(6)
+    old_log.decide(InstancesRequested("r-old", PLACES[0], 1))
     with pytest.raises(StaleTermError, match="over"):
-        replica.apply(old.answer(replica.request("rig-1"), []))
+        replica.apply(old_log.answer(replica.request("rig-1"), []))
     assert set(replica.state.pending) == {"r-1"}
     replica.restart()
     with pytest.raises(StaleTermError, match="over"):
-        replica.apply(old.answer(replica.request("rig-1"), []))
+        replica.apply(old_log.answer(replica.request("rig-1"), []))
 
 
 def test_a_new_term_begins_with_a_snapshot_though_the_index_is_the_same() -> None:
-    clock, log, replica = pair()
+    clock, log, replica = make_log_and_replica()
     log.decide(InstancesRequested("r-1", PLACES[0], 1))
     catch_up(log, replica)
-    successor = DecisionLog(clock, LeadState())
-    successor.begin(9)
-    successor.decide(InstancesRequested("r-2", PLACES[0], 1))
-    catch_up(successor, replica)
+    successor_log = DecisionLog(clock, LeadState())
+    successor_log.begin(9)
+    successor_log.decide(InstancesRequested("r-2", PLACES[0], 1))
+    catch_up(successor_log, replica)
     assert set(replica.state.pending) == {"r-2"} and replica.term == 9
 
 
-def test_a_follower_that_lags_costs_bounded_memory_and_gets_a_snapshot() -> None:
-    _, log, replica = pair()
+def test_a_lagging_follower_costs_bounded_memory_and_receives_a_snapshot() -> None:
+    _, log, replica = make_log_and_replica()
     catch_up(log, replica)
     for number in range(LOG_ENTRIES * 3):
         log.decide(CacheChanged(f"host-{number}", {"image": 1.0}))
@@ -156,7 +156,7 @@
 
 
 def test_decisions_during_a_snapshot_follow_it() -> None:
-    _, log, replica = pair()
+    _, log, replica = make_log_and_replica()
     for number in range(ENTRIES_PER_MESSAGE + 10):
         log.decide(CacheChanged(f"host-{number}", {"image": 1.0}))
     assert replica.apply(log.answer(replica.request("rig-1"), []))
@@ -167,13 +167,13 @@
     assert replica.index == log.index
 
 
-def test_a_snapshot_that_begins_anew_replaces_the_parts_of_the_one_before() -> None:
-    _, log, replica = pair()
+def test_a_restarted_snapshot_replaces_the_parts_of_the_previous_one() -> None:
+    _, log, replica = make_log_and_replica()
     for number in range(ENTRIES_PER_MESSAGE * 2):
         log.decide(CacheChanged(f"host-{number}", {"image": 1.0}))
     assert replica.apply(log.answer(replica.request("rig-1"), []))
     assert len(replica.snapshot_parts) == ENTRIES_PER_MESSAGE
-    # The leader has forgotten the transfer: a successor with other machines.
+    # A successor with other machines leads, which has no record of the transfer.
     log.begin(8)
     log.decide(CacheChanged("host-0", {}))
     catch_up(log, replica)
@@ -182,11 +182,11 @@
 
 
 def test_a_controller_that_does_not_lead_sends_no_entries() -> None:
-    _, log, replica = pair()
+    _, log, replica = make_log_and_replica()
     log.decide(InstancesRequested("r-1", PLACES[0], 1))
     log.end()
     reply = log.answer(replica.request("rig-1"), ["rig-1"])
     assert reply == FollowReply()
-    # Decisions of others are applied by the same state, without a number.
+    # Decisions of another leader are applied to the same state, without a number.
     log.decide(InstanceRequestAbandoned("r-1"))
     assert log.index == 0 and not log.recent and log.state.pending == {}
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,4 +1,4 @@
-"""The checker of leaders' histories finds what it is for."""
+"""The checker of leaders' histories detects each kind of fault."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 ONE, OTHER = MachinesStarted(["host-1"]), InstanceRequestAbandoned("r-1")
 
 
-def shard(revision: int, name: str, *machines: str, lead: bool = True) -> list[Any]:
+def shard(revision: int, name: str, *machines: str, with_leader: bool = True) -> list[Any]:
     data = {"holder": "rig-0", "machines": [{"name": machine} for machine in machines]}
     events = [(revision, {"put": f"c/block/{name}", "data": data, "entry_rev": revision})]
-    if lead:
+    if with_leader:
         events.append((revision, {"put": "c/leader", "data": {}, "entry_rev": revision}))
     return events
 
@@ -51,13 +51,15 @@
         ),
         ("replaces", [("restored", 1, 5, 7), ("restored", 1, 5, 6)]),
         ("replaces", [("restored", 1, 5, 0), ("restored", 1, 4, 9)]),
-        ("without the lead", [("stored", shard(3, "a", "host-1", lead=False))]),
+        ("without the lead", [("stored", shard(3, "a", "host-1", with_leader=False))]),
         ("in two blocks", [("stored", shard(3, "a", "host-1") + shard(4, "b", "host-1"))]),
     ],
 )
-def test_a_fault_is_found(says: str, steps: list[tuple[Any, ...]]) -> None:
+def test_a_fault_is_detected(says: str, steps: list[tuple[Any, ...]]) -> None:
     history = LeaderHistory()
     for name, *arguments in steps:
-        assert history.faults == [], "found before the step that is wrong"
+        assert history.faults == [], (
+            f"a fault was found before the faulty step {name}: {history.faults}"
+        )
         getattr(history, name)(*arguments)
     assert any(says in fault for fault in history.faults), history.faults
--- a/tests/test_job_acceptor.py
+++ b/tests/test_job_acceptor.py
@@ -1,4 +1,8 @@
-"""Indeterminate accepts, with the state service scripted: what they bind stays counted."""
+"""Indeterminate accepts, with a scripted state service.
+
+The tasks that such an accept binds must count against the team's quota until its outcome is known:
+otherwise a record that is applied late would exceed the quota.
+"""
 
 from __future__ import annotations
 
@@ -24,78 +28,83 @@
 SPEC = JobSpec("j-1", "front", "red", "standing", "normal", 2, 2.0, 0.0, 1.0, "img", 1.0)
 
 
-class Store:
-    """Loses the answer to an accept, which is carried out late; reads may fail."""
+class ScriptedStateService:
+    """A state service that loses the reply to an accept, and whose reads may fail.
+
+    The test applies the accept late, if at all.
+    """
 
     def __init__(self) -> None:
         self.items: dict[str, KeyValue] = {}
-        self.reads = 0
-        # Does each second read of the job fail, which would take it into memory?
-        self.failing = False
-        self.renewed = 0
+        self.job_reads = 0
+        # Whether every second read of the job fails, which is the read that would load it.
+        self.loads_fail = False
+        self.partition_writes = 0
 
     async def transact(self, conditions: Any, changes: Any, *rest: Any) -> int:
         if changes[0]["put"] == "job/j-1":
             self.accept = changes[0]["data"]
             raise OutcomeUnknownError("no answer")
-        self.renewed += 1
+        self.partition_writes += 1
         return 20
 
     async def get(self, key: str, *rest: Any) -> KeyValue | None:
-        self.reads += key == "job/j-1"
-        if self.failing and self.reads % 2 == 0:
+        self.job_reads += key == "job/j-1"
+        if self.loads_fail and self.job_reads % 2 == 0:
             raise StateUnavailableError("refused")
         return self.items.get(key)
 
 
-def make() -> tuple[JobController, Store, SimClock]:
-    clock, store = SimClock(), Store()
+def make_controller() -> tuple[JobController, ScriptedStateService, SimClock]:
+    clock, state = SimClock(), ScriptedStateService()
     timeouts = Timeouts(settings(), OperatorSettings())
-    registration = Registration(clock, store, settings(), timeouts)  # type: ignore[arg-type]
+    registration = Registration(clock, state, settings(), timeouts)  # type: ignore[arg-type]
     registration.started, registration.partition = True, "rig-0.1"
-    owner = JobController(clock, registration, store, settings(), timeouts)  # type: ignore[arg-type]
-    owner.quota_manager = quota_manager = QuotaManager(registration, store, settings())  # type: ignore[arg-type]
-    quota_manager.loaded = lambda: owner.loaded
+    controller = JobController(clock, registration, state, settings(), timeouts)  # type: ignore[arg-type]
+    controller.quota_manager = quota_manager = QuotaManager(registration, state, settings())  # type: ignore[arg-type]
+    quota_manager.loaded = lambda: controller.loaded
     registration.mirror.observe("c/folio/rig-0.1", {"owner": "rig-0"}, 3)
     registration.mirror.observe(KEY, {"rig-0.1": [10.0, 0.0]}, 5)
     registration.mirror._caught_up(5)
-    owner.loaded = {"rig-0.1"}
+    controller.loaded = {"rig-0.1"}
     room = Room("m-1", "small", "east", False, 8.0, 0.0, 64.0)
-    owner.placer.local_rooms = lambda: [room]
+    controller.placer.local_rooms = lambda: [room]
     # The lease counts as valid throughout.
     registration.lease_is_valid = lambda: True  # type: ignore[method-assign]
-    return owner, store, clock
+    return controller, state, clock
 
 
-def indeterminate_accept() -> tuple[JobController, Store, SimClock]:
-    owner, store, clock = make()
+def make_indeterminate_accept() -> tuple[JobController, ScriptedStateService, SimClock]:
+    controller, state, clock = make_controller()
     failed: list[Any] = []
-    ensureDeferred(owner.accept(SPEC)).addErrback(failed.append)
+    ensureDeferred(controller.accept(SPEC)).addErrback(failed.append)
     assert failed and failed[0].check(OutcomeUnknownError)
-    assert owner.quota_manager.used[("rig-0.1", "red")] == (4.0, 0.0)
-    return owner, store, clock
+    assert controller.quota_manager.used[("rig-0.1", "red")] == (4.0, 0.0)
+    return controller, state, clock
 
 
-def test_an_accept_that_is_stored_but_not_in_memory_still_counts() -> None:
-    owner, store, clock = indeterminate_accept()
-    record = msgspec.convert(store.accept, JobRecord)
+def test_a_stored_accept_that_can_not_be_loaded_still_counts_against_the_quota() -> None:
+    controller, state, clock = make_indeterminate_accept()
+    record = msgspec.convert(state.accept, JobRecord)
     assert len(record.chunk.bound) == 2
-    # Carried out late; and from then on taking it into memory fails.
-    store.items["job/j-1"] = KeyValue("job/j-1", store.accept, 7)
-    store.failing = True
+    # The accept is applied late, and from then on loading the job into memory fails.
+    state.items["job/j-1"] = KeyValue("job/j-1", state.accept, 7)
+    state.loads_fail = True
     clock.advance_to(60.0)
-    assert store.renewed, "late accepts are fenced by now"
-    assert "j-1" not in owner.jobs
-    assert owner.quota_manager.used[("rig-0.1", "red")] == (4.0, 0.0)
-    store.failing = False
+    assert state.partition_writes, (
+        "the partition record must be rewritten by now, to fence out late accepts"
+    )
+    assert "j-1" not in controller.jobs
+    assert controller.quota_manager.used[("rig-0.1", "red")] == (4.0, 0.0)
+    state.loads_fail = False
     clock.advance_to(70.0)
-    assert owner.jobs["j-1"].bound == 2
-    assert owner.quota_manager.used[("rig-0.1", "red")] == (4.0, 0.0)
+    assert controller.jobs["j-1"].bound == 2
+    assert controller.quota_manager.used[("rig-0.1", "red")] == (4.0, 0.0)
 
 
-def test_an_accept_that_can_not_be_stored_any_more_counts_no_longer() -> None:
-    owner, store, clock = indeterminate_accept()
+def test_a_fenced_out_accept_no_longer_counts_against_the_quota() -> None:
+    controller, state, clock = make_indeterminate_accept()
     clock.advance_to(60.0)
-    assert store.renewed
-    assert owner.indeterminate_accepts == {}
-    assert owner.quota_manager.used[("rig-0.1", "red")] == pytest.approx((0.0, 0.0))
+    assert state.partition_writes
+    assert controller.indeterminate_accepts == {}
+    assert controller.quota_manager.used[("rig-0.1", "red")] == pytest.approx((0.0, 0.0))
