--- a/src/beamspar/decision_log/decision_log.py
+++ b/src/beamspar/decision_log/decision_log.py
@@ -45,16 +45,16 @@
         self.term = 0
         self.index = 0
         # The newest entries; the last one has the number `index`.
-        self.recent: deque[TimedDecision] = deque(maxlen=LOG_ENTRIES)
+        self.recent_entries: deque[TimedDecision] = deque(maxlen=LOG_ENTRIES)
         # By member: snapshot transfers in progress, and the progress of followers.
-        self.transfers: dict[str, SnapshotTransfer] = {}
+        self.snapshot_transfers: dict[str, SnapshotTransfer] = {}
         self.followers: dict[str, FollowerProgress] = {}
 
     def begin(self, term: int) -> None:
         """Start a log for this term; it begins with the present state."""
         self.term, self.index = term, 0
-        self.recent.clear()
-        self.transfers.clear()
+        self.recent_entries.clear()
+        self.snapshot_transfers.clear()
         self.followers.clear()
 
     def end(self) -> None:
@@ -67,23 +67,25 @@
         self.state.apply(decision, now)
         if self.term:
             self.index += 1
-            self.recent.append(TimedDecision(now, decision))
+            self.recent_entries.append(TimedDecision(now, decision))
 
     def answer(self, request: FollowRequest, succession: list[str]) -> FollowReply:
         """Return the entries that the follower lacks, as many as fit into one message."""
         if not self.term:
             return FollowReply()
         now = self.clock.seconds()
-        first = self.index - len(self.recent)
+        first = self.index - len(self.recent_entries)
         applied = request.applied_index if request.term == self.term else -1
         self.followers[request.member] = FollowerProgress(max(applied, 0), now)
         if not first <= applied <= self.index:
             return self._snapshot_part(request, succession, now)
-        self.transfers.pop(request.member, None)
+        self.snapshot_transfers.pop(request.member, None)
         start = applied - first
-        end = min(start + ENTRIES_PER_MESSAGE, len(self.recent))
+        end = min(start + ENTRIES_PER_MESSAGE, len(self.recent_entries))
         entries = [
-            LogEntry(first + n + 1, now - self.recent[n].made_at, self.recent[n].decision)
+            LogEntry(
+                first + n + 1, now - self.recent_entries[n].made_at, self.recent_entries[n].decision
+            )
             for n in range(start, end)
         ]
         return FollowReply(self.term, self.index, entries, succession=succession)
@@ -91,12 +93,12 @@
     def _snapshot_part(
         self, request: FollowRequest, succession: list[str], now: float
     ) -> FollowReply:
-        transfer = self.transfers.get(request.member)
+        transfer = self.snapshot_transfers.get(request.member)
         offset = request.snapshot_offset
         if transfer is None or not 0 < offset <= len(transfer.entries):
             offset = 0
             transfer = SnapshotTransfer(self.index, list(self.state.entries()))
-            self.transfers[request.member] = transfer
+            self.snapshot_transfers[request.member] = transfer
         part = transfer.entries[offset : offset + ENTRIES_PER_MESSAGE]
         return FollowReply(
             term=self.term,
--- a/src/beamspar/jobs/job_acceptor.py
+++ b/src/beamspar/jobs/job_acceptor.py
@@ -27,7 +27,7 @@
 
 
 class JobAcceptor:
-    """Tracks the jobs that are being accepted.
+    """Accepts jobs, and tracks those whose accept is in progress.
 
     Errors of the state client pass through `accept` to its caller.
     """
--- a/src/beamspar/jobs/job_store.py
+++ b/src/beamspar/jobs/job_store.py
@@ -28,13 +28,13 @@
         """Publish the desired state of the machine to its machine controller."""
 
     def forget(self, job: Job, ended: bool = False) -> None:
-        """Remove a job from memory that is finished or owned by another controller."""
+        """Remove a job from memory: it has ended, or another controller owns it."""
 
     def cancel(self, job: Job) -> None:
         """Cancel the job, as its user has requested."""
 
     def quota_usage_changed(self, job: Job) -> None:
-        """Update the quota usage of the job's team after a change of the job's."""
+        """Recount the job's usage of its team's quota, which has changed."""
 
 
 class LoadableJobStore(JobStore, Protocol):
--- a/src/beamspar/jobs/job_writer.py
+++ b/src/beamspar/jobs/job_writer.py
@@ -77,9 +77,9 @@
                 self.flush(job)
 
     def flush(self, job: Job) -> None:
-        """Start writing the job's changed records.
+        """Start the writes that are due for the job.
 
-        If a write is already in progress, it continues with the new changes.
+        A write that is already in progress continues with the new changes.
         """
         if not job.writing and job.id in self._job_store.jobs and self._is_write_due(job):
             job.writing = True
--- a/src/beamspar/timeouts.py
+++ b/src/beamspar/timeouts.py
@@ -33,7 +33,7 @@
         self.report = workers.report_s
         self.worker_lease = workers.lease_s
         self._derive_leases(workers, operator_settings.lease_share)
-        self._derive_calls()
+        self._derive_request_timeouts()
         self._derive_intervals()
         self._derive_gang_waits(workers)
         self._derive_failure_detection()
@@ -56,7 +56,7 @@
         # makes failover faster. A former leader's writes fail once another has taken the lease.
         self.leader_lease = self.worker_lease * 0.4
 
-    def _derive_calls(self) -> None:
+    def _derive_request_timeouts(self) -> None:
         # The timeout of requests to the state service, the cloud and peers.
         self.request = self.report / 2
         # The timeout of direct commands to workers.
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -148,11 +148,11 @@
     catch_up(log, replica)
     for number in range(LOG_ENTRIES * 3):
         log.decide(CacheChanged(f"host-{number}", {"image": 1.0}))
-    assert len(log.recent) == LOG_ENTRIES
+    assert len(log.recent_entries) == LOG_ENTRIES
     messages = catch_up(log, replica)
     assert messages == -(-LOG_ENTRIES * 3 // ENTRIES_PER_MESSAGE)
     assert replica.state.caches.keys() == log.state.caches.keys()
-    assert log.transfers.keys() <= {"rig-1"}
+    assert log.snapshot_transfers.keys() <= {"rig-1"}
 
 
 def test_decisions_during_a_snapshot_follow_it() -> None:
@@ -189,4 +189,4 @@
     assert reply == FollowReply()
     # Decisions of another leader are applied to the same state, without a number.
     log.decide(InstanceRequestAbandoned("r-1"))
-    assert log.index == 0 and not log.recent and log.state.pending == {}
+    assert log.index == 0 and not log.recent_entries and log.state.pending == {}
