--- a/src/beamspar/state/rate_limiter.py
+++ b/src/beamspar/state/rate_limiter.py
@@ -14,7 +14,8 @@
     """A token bucket with a rate that grows while tokens are short and the service refuses nothing.
 
     All controllers seldom have much to write at the same time. One with a hundred records to move
-    may use the rate that the others leave unused; refusals by the service reduce it again.
+    may use the rate that the others leave unused. When they use it, refusals by the service reduce
+    the rate to this controller's fair share again.
 
     `rate` is the present rate per second. `available` is the number of tokens left; it may be
     negative, as urgent requests don't wait for tokens.
--- a/src/beamspar/state/request_queue.py
+++ b/src/beamspar/state/request_queue.py
@@ -63,9 +63,9 @@
         self._admit_ready()
         return admitted
 
-    def queued_requests(self, lowest: RequestPriority) -> int:
+    def queued_requests(self, lowest_priority: RequestPriority) -> int:
         """Return the number of queued requests with this priority or a more urgent one."""
-        return sum(1 for entry in self._queued if entry.priority <= lowest)
+        return sum(1 for entry in self._queued if entry.priority <= lowest_priority)
 
     def queued_changes(self) -> int:
         """Return the total number of changes in the queued transactions."""
