--- a/src/beamspar/jobs/job_controller.py
+++ b/src/beamspar/jobs/job_controller.py
@@ -1,7 +1,7 @@
-"""The job controller: decides the attempts of the jobs that this member accepted.
+"""The job controller: decides about the attempts of the jobs that this member owns.
 
-A task is bound to one machine by a stored record before a start leaves, and is
-bound anew only after the old attempt is proven over.
+A task is bound to one machine by a stored record before its start is requested, and is bound
+again only after the previous attempt is known to have ended.
 """
 
 from __future__ import annotations
@@ -35,9 +35,9 @@
 class JobController:
     """Owns the jobs of this controller's partitions.
 
-    Its parts share what it knows of them: `loader` and `acceptor` bring jobs into memory, `placer`
-    binds their tasks, `writer` stores that, `assignments` publishes it to the machines'
-    controllers, and `attempt_statuses` applies the statuses that those report.
+    Its components share the jobs in memory: `loader` and `acceptor` add jobs, `placer` binds their
+    tasks to machines, `writer` stores the bindings, `assignments` publishes them to the machine
+    controllers, and `attempt_statuses` applies the attempt statuses that these report.
     """
 
     def __init__(
@@ -54,12 +54,12 @@
         limits = settings.platform.state
         self.jobs: dict[str, Job] = {}
         self.partitions: set[str] = set()
-        # Until all jobs of a partition are in memory, what its tasks use is not known.
+        # Partitions whose jobs are all in memory; the resource usage of others is unknown.
         self.loaded: set[str] = set()
-        # Of all machines that were ever in a shard.
+        # Zones of all machines that were ever in a shard.
         self.zones: dict[str, str] = {}
         self.spot_machines: set[str] = set()
-        # Set before the first use; without it no team has a limit.
+        # Set before the controller is used; without it, teams have no quota.
         self.quota_manager: QuotaManager | None = None
         self.writer = JobWriter(clock, registration, state, limits, timeouts, self)
         self.assignments = Assignments(clock, registration, timeouts, self)
@@ -74,7 +74,7 @@
         self.empty_partitions = EmptyPartitions(clock, registration, state, timeouts, self)
         registration.mirror.listeners.append(self._observe_control_key)
 
-    # -- partitions and machines come and go
+    # -- changes of partitions and machines
 
     def _observe_control_key(self, key: str) -> None:
         kind, name = keys.kind_and_name(key)
@@ -91,13 +91,13 @@
             if name not in self.partitions:
                 self.partitions.add(name)
                 if name != self.registration.partition and self.registration.started:
-                    log.info("taking over partition {partition}", partition=name)
+                    log.info("taking over partition {partition}, loading its jobs", partition=name)
                     spawn(self.load(), "taking over")
         elif name in self.partitions:
-            self._lose_partition(name)
+            self._remove_partition(name)
 
-    def _lose_partition(self, name: str) -> None:
-        """The partition is another controller's now, with all its jobs."""
+    def _remove_partition(self, name: str) -> None:
+        """Remove the partition and its jobs, which another controller owns now."""
         self.partitions.discard(name)
         self.loaded.discard(name)
         for job in [job for job in self.jobs.values() if job.partition == name]:
@@ -114,17 +114,17 @@
             self.assignments.shard_changed(machine.name)
 
     def zone_of(self, machine: str) -> str:
-        """The machine's zone, if it was ever in a shard."""
+        """Return the machine's zone, or an empty string if it was never in a shard."""
         return self.zones.get(machine, "")
 
-    # -- jobs come and go
+    # -- adding and removing jobs
 
     async def load(self) -> None:
-        """Read the jobs of our partitions that we don't have in memory yet."""
+        """Load the jobs of the owned partitions that are not in memory yet."""
         await self.loader.load()
 
     def keep(self, job: Job) -> None:
-        """Take a restored job into memory."""
+        """Add a restored job to the jobs in memory."""
         self.jobs[job.id] = job
         for index, task in job.tasks.items():
             if task.machine is not None:
@@ -132,16 +132,16 @@
         self.quota_usage_changed(job)
         self.acceptor.settled(job.id)
         if self.mirror.is_cancelled(job.id):
-            # Stored after what we read of it.
+            # The cancellation was stored after the job's record was read.
             self.apply_cancellation(job.id)
 
     def on_jobs_loaded(self) -> None:
-        """Jobs of more partitions are in memory: publish the desired state of all machines."""
+        """Publish the desired state of all machines after more partitions have been loaded."""
         self.assignments.publish_all()
         self.schedule()
 
     async def adopt(self, job_id: str) -> None:
-        """Take a stored job of our partitions into memory that is not there."""
+        """Load a stored job of an owned partition that is missing in memory."""
         job = await self.loader.adopt(job_id)
         if job is not None:
             log.info("adopted {job}", job=job_id)
@@ -149,7 +149,7 @@
             self.schedule()
 
     def forget(self, job: Job, ended: bool = False) -> None:
-        """The job is over, or another controller's: it is not ours to decide any more."""
+        """Remove a job that has ended, or that another controller owns now."""
         self.jobs.pop(job.id, None)
         if ended:
             self.loader.job_finished(job.id)
@@ -161,74 +161,75 @@
             self.quota_manager.release(job)
 
     async def accept(self, spec: JobSpec) -> bool:
-        """Store a new job, with its first places if there is room; False: it is known.
+        """Store a new job, with its first tasks bound if there is capacity; return True.
 
-        Raises what the write of its record raises: ConflictError, StateUnavailableError or
-        LeaseExpiredError.
+        Raises what the write of its record raises: ConflictError, also if the job is stored
+        already, StateUnavailableError or LeaseExpiredError.
         """
         return await self.acceptor.accept(spec)
 
     @property
     def jobs_being_accepted(self) -> dict[str, Job]:
-        """Jobs that are being accepted here."""
+        """Jobs whose acceptance by this controller is in progress, by ID."""
         return self.acceptor.jobs_being_accepted
 
     @property
     def indeterminate_accepts(self) -> dict[str, list[Job]]:
-        """Accepts whose outcome is indeterminate."""
+        """Jobs whose acceptance has an indeterminate outcome, by ID."""
         return self.acceptor.indeterminate_accepts
 
     # -- cancellations
 
     def apply_cancellation(self, job_id: str) -> None:
-        """A stored cancellation, whoever stored it: final, so it takes effect without a read."""
+        """Apply a stored cancellation; it is final, so it takes effect without reading the record."""
         job = self.jobs.get(job_id)
         if job is not None and job.status == JobStatus.LIVE:
             self.cancel(job)
-            # Its write moved our record; the job's end is to be written on top of it.
-            spawn(self._reread_and_flush(job), "cancellation")
+            # The cancellation changed the version of the job's record; read it again, as the
+            # end of the job is written on top of that version.
+            spawn(self._refresh_and_flush(job), "cancellation")
 
-    async def _reread_and_flush(self, job: Job) -> None:
+    async def _refresh_and_flush(self, job: Job) -> None:
         await self.writer.refresh(job)
         self.writer.flush(job)
 
     def cancel(self, job: Job) -> None:
-        """The job's user has cancelled it: whatever of it runs is to stop."""
-        log.info("{job} is cancelled", job=job.id)
+        """Mark the job as cancelled by its user, and have its running tasks stopped."""
+        log.info("{job} is cancelled, stopping its tasks", job=job.id)
         job.status = JobStatus.CANCELLED
         self._unbind_unstored(job)
         job.retry_queue.clear()
         self.publish_desired_state_of(job)
 
     def _unbind_unstored(self, job: Job) -> None:
-        """Unbind tasks that no record binds: nothing of them was started."""
+        """Unbind tasks whose binding is not stored; none of them was started."""
         for index, task in job.tasks.items():
             if task.machine is not None and not task.stored:
                 self.unassign(task.machine, job, index)
                 job.unbind(index)
         self.quota_usage_changed(job)
 
-    # -- what changes concern
+    # -- propagating changes
 
     def quota_usage_changed(self, job: Job) -> None:
-        """What of the job counts against its team's quota has changed."""
+        """Update the job's counted quota usage; schedule placement if some quota became free."""
         if self.quota_manager is None or self.jobs.get(job.id) is not job:
-            # Over or another's by now: it was released as a whole.
+            # The job has ended or has another owner: its whole usage was released already.
             return
         if self.quota_manager.recount(job) < 0 and self.quota_manager.has_waiting_work(
             job.partition, job.spec.team
         ):
-            # There may be quota now for what waits.
+            # Pending tasks may be covered by the team's quota now.
             self.schedule()
 
     def may_start(self, job: Job) -> bool:
-        """Is what is bound of the job's team within its quota allocation?"""
+        """Return whether the bound tasks of the job's team are within its quota allocation."""
         return self.quota_manager is None or self.quota_manager.may_start(
             job.partition, job.spec.team
         )
 
     def unassign(self, machine: str, job: Job, index: int) -> None:
-        """The job's task is bound to the machine no more."""
+        """Remove the job's task from the tasks that are bound to the machine."""
         self.assignments.unassign(machine, job, index)
 
     def touch(self, machine: str) -> None:
@@ -236,26 +237,26 @@
         self.assignments.mark_changed(machine)
 
     def publish_desired_state_of(self, job: Job) -> None:
-        """Publish the desired state of all machines that the job is bound to."""
+        """Publish the desired state of all machines that the job's tasks are bound to."""
         for machine in {task.machine for task in job.tasks.values()} - {None}:
             self.touch(str(machine))
 
     def observe_statuses(self, statuses: list[AttemptStatus]) -> None:
-        """Handle the statuses of our attempts that machine controllers report."""
+        """Handle attempt statuses reported by machine controllers."""
         self.attempt_statuses.observe(statuses)
 
     # -- placing
 
     def schedule(self) -> None:
-        """Place what waits."""
+        """Schedule a placement round for the pending tasks."""
         self.placer.schedule()
 
     async def place(self, jobs: list[Job]) -> None:
-        """Bind what can be bound now of these jobs."""
+        """Bind those pending tasks of these jobs that can be placed now."""
         await self.placer.place(jobs)
 
     def tick(self) -> None:
-        """Do what is due with each heartbeat: writes, placing, repeated messages."""
+        """Do the periodic work of each heartbeat: writes, placement and republication."""
         self.writer.tick()
         self._apply_known_cancellations()
         if self.quota_manager is not None:
--- a/src/beamspar/placement.py
+++ b/src/beamspar/placement.py
@@ -1,8 +1,8 @@
-"""Which machine a task is placed on: pure functions, without clock, I/O or globals.
+"""Choose the machine that a task is placed on: pure functions, without clock, I/O or globals.
 
-The rule (docs/design.md): machines that cache the job's image and have room come first;
-otherwise any machine with room, at once; a task never waits for a warm machine. Ties go to
-spreading replicas over zones and machines.
+Machines with enough free capacity that cache the job's image are preferred. If there are none,
+the task goes at once to any machine with enough free capacity: it never waits for a machine that
+caches the image. Ties are broken by spreading replicas over zones and machines.
 """
 
 from __future__ import annotations
@@ -16,36 +16,37 @@
 from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.room import Room
 
-# Resources are sums of floating-point numbers: smaller differences than this are none.
+# Resource amounts are sums of floating-point numbers; smaller differences are rounding errors.
 EPS = 1e-6
-# The part of the time in which a class should start that a fetch may take by its nominal rate:
-# rates differ by a third.
-FETCH_SHARE = 0.6
-# How many CPUs that a preemption must free weigh as much as one accelerator.
-CPUS_PER_GPU = 16
+# Fetching an image at the machine type's nominal rate may take at most this share of the time
+# within which a job of the class should start; actual rates differ by a third.
+MAX_FETCH_SHARE = 0.6
+# One accelerator that a preemption must free weighs as much as this many CPUs.
+PREEMPTED_CPUS_PER_GPU = 16
 
 
 def copy(room: Room) -> Room:
-    """A copy of the room: reservations on it leave the original as it is.
+    """Return a copy of a machine's free capacity; reservations on it don't affect the original.
 
-    The images and what can be preempted are shared with the original.
+    The copy shares the cached images and the preemptible resources with the original.
     """
-    # What `copy.copy` calls in the end: rounds of placing copy every machine's room.
+    # `copy.copy` ends up in this method; it is called directly because each placement round
+    # copies the free capacity of every machine.
     duplicate: Room = room.__copy__()  # type: ignore[attr-defined]
     return duplicate
 
 
 def evict_least_recently_used(images: dict[str, float], kind: MachineType) -> None:
-    """Remove the least recently used images until the others fit into the machine's cache.
+    """Remove the least recently used images until the rest fit into the machine's cache.
 
-    The most recently used one always stays.
+    The most recently used image is always kept.
     """
     while sum(images.values()) > kind.cache_gb and len(images) > 1:
         del images[next(iter(images))]
 
 
 def fits_type(spec: JobSpec, kind: MachineType) -> bool:
-    """Could an empty machine of this type run a task of the job?"""
+    """Return whether an empty machine of this type could run a task of the job."""
     if spec.kinds is not None and kind.name not in spec.kinds:
         return False
     if spec.zone is not None and spec.zone not in kind.zones:
@@ -58,9 +59,10 @@
 
 
 def allowed(spec: JobSpec, room: Room, zones: Mapping[str, int]) -> bool:
-    """Do the job's constraints allow one more task here, whatever is free?
+    """Return whether the job's constraints allow one more task on the machine.
 
-    `zones` counts the job's tasks that are or may be placed, by zone.
+    Free resources are not considered. `zones` counts, by zone, the job's tasks that are or may
+    be placed there.
     """
     if not room.usable or (room.spot and not spec.spot):
         return False
@@ -74,7 +76,7 @@
 
 
 def has_room(spec: JobSpec, room: Room) -> bool:
-    """Are the resources of a task of the job free now?"""
+    """Return whether the machine has enough free resources for a task of the job."""
     return (
         spec.cpus <= room.cpus + EPS
         and spec.gpus <= room.gpus + EPS
@@ -83,11 +85,11 @@
 
 
 class Preference(msgspec.Struct, frozen=True):
-    """What decides among machines beside their own state and the job's other tasks."""
+    """Criteria for choosing a machine besides its own state and the job's other tasks."""
 
-    # CPUs and memory that work with accelerators needs for each free one of a machine.
+    # CPUs and memory (GB) that jobs with accelerators need for each accelerator.
     per_gpu: tuple[float, float] = (0.0, 0.0)
-    # Types on which fetching the image alone would take too long for the job's class.
+    # Machine types on which fetching the image alone would take too long for the job's class.
     slow: frozenset[str] = frozenset()
 
 
@@ -95,7 +97,10 @@
 
 
 def would_strand_gpus(spec: JobSpec, room: Room, preference: Preference) -> bool:
-    """Would this task without accelerators leave some of the machine's unusable for others?"""
+    """Return whether a task without accelerators would make free accelerators unusable.
+
+    An accelerator is usable only with enough free CPUs and memory on the same machine.
+    """
     if spec.gpus > EPS or room.gpus < EPS:
         return False
     return (
@@ -104,11 +109,11 @@
     )
 
 
-def zone_order(spec: JobSpec, zone: str) -> int:
-    """Orders zones that have the same number of the job's tasks, the least first.
+def zone_tie_break(spec: JobSpec, zone: str) -> int:
+    """Return a sort key for zones with equally many of the job's tasks; the smallest comes first.
 
-    Jobs to be spread begin in different zones: a network partition should not cut most of a
-    class off.
+    It differs between jobs that are spread over zones, so that their first tasks go to different
+    zones: otherwise a network partition could cut off most of a class.
     """
     return crc32(f"{spec.id} {zone}".encode()) if spec.spread else 0
 
@@ -116,10 +121,10 @@
 def _spreading_key(
     spec: JobSpec, room: Room, zone_key: tuple[int, int], machines: Mapping[str, int]
 ) -> tuple[int, int, int]:
-    """How well the room suits the job's tasks that are placed elsewhere; the least is best.
+    """Return a sort key for a machine given the job's placed tasks; the smallest is the best.
 
-    Replicas are spread over zones and machines. A gang runs at the speed of its slowest
-    machine and loses its progress with any of them: it goes to as few as can be.
+    Replicas are spread over zones and machines. A gang is packed onto as few machines as
+    possible, because it runs at the speed of the slowest and loses its progress with any of them.
     """
     if not spec.is_gang:
         return *zone_key, machines.get(room.name, 0)
@@ -137,18 +142,18 @@
     warm_only: bool = False,
     preference: Preference = NO_PREFERENCE,
 ) -> Room | None:
-    """The machine for one more task, or None if none has room.
+    """Return the best machine for one more task, or None if no machine has the capacity.
 
-    `zones` and `machines` count the job's tasks that are placed; machines of `avoid` are left
-    out, and those of `near` are preferred among those without the image. With `warm_only`, only
-    machines that cache the image count.
+    `zones` and `machines` count the job's placed tasks. Machines in `avoid` are excluded, and
+    those in `near` are preferred among machines without the image. With `warm_only`, only
+    machines that cache the image are considered.
 
-    The CPUs and memory that a machine's free accelerators need do not count as room for tasks
-    without accelerators, as long as there is other room.
+    Tasks without accelerators use the CPUs and memory that a machine's free accelerators need
+    only if no other machine has the capacity.
 
-    A leader looks at all machines for each task, so the criteria that decide first are compared
-    first, and the others only among machines that are not worse by them. For the same reason the
-    loop calls as little as can be.
+    The leader examines all machines for each task. Therefore the most significant criteria are
+    compared first, and the others only for machines that are not worse by these, and the loop
+    makes as few calls as possible.
     """
     best: Room | None = None
     best_first: tuple[int, ...] = ()
@@ -171,7 +176,7 @@
             continue
         zone_key = zone_keys.get(room.zone)
         if zone_key is None:
-            zone_key = zones.get(room.zone, 0), zone_order(spec, room.zone)
+            zone_key = zones.get(room.zone, 0), zone_tie_break(spec, room.zone)
             zone_keys[room.zone] = zone_key
         rest = (
             *_spreading_key(spec, room, zone_key, machines),
@@ -196,16 +201,16 @@
     warm_only: bool = False,
     preference: Preference = NO_PREFERENCE,
 ) -> list[Room]:
-    """Machines for `count` tasks that are placed together, or none at all.
+    """Return machines for `count` tasks that are placed together, or an empty list.
 
-    With one zone for all, the zone with the most machines that cache the image. The other
-    arguments are those of `choose`.
+    If all tasks must share a zone, choose the zone in which the most of them go to machines that
+    cache the image. The other arguments are those of `choose`.
     """
     best: list[Room] = []
     best_warm = -1
     for zone in sorted({room.zone for room in rooms}) if spec.one_zone else [""]:
         candidates = [room for room in rooms if not zone or room.zone == zone]
-        chosen = _choose_all(
+        chosen = _choose_one_by_one(
             spec, count, candidates, zones, machines, avoid, near, warm_only, preference
         )
         warm = sum(1 for room in chosen if spec.image in room.images)
@@ -214,7 +219,7 @@
     return best
 
 
-def _choose_all(
+def _choose_one_by_one(
     spec: JobSpec,
     count: int,
     candidates: list[Room],
@@ -225,9 +230,10 @@
     warm_only: bool,
     preference: Preference,
 ) -> list[Room]:
-    """Machines for so many tasks one after the other, each with the ones before reserved.
+    """Choose machines for `count` tasks one by one, reserving the resources of each.
 
-    Fewer if there is no room for all. The candidates stay as they are.
+    Return fewer machines if the capacity does not suffice for all tasks. The candidates are not
+    modified.
     """
     rooms = [copy(room) for room in candidates]
     originals = {room.name: room for room in candidates}
@@ -247,28 +253,33 @@
 def choose_group_preemption(
     spec: JobSpec, count: int, rooms: list[Room], avoid: Collection[str] = ()
 ) -> list[Room]:
-    """Machines for `count` tasks that are placed together by preempting lower work, or none.
+    """Return machines where preempting lower-priority work frees capacity for `count` tasks.
 
-    Of all machines, all lower work counts as stopped; those with room need no preemption.
+    The tasks are placed together; the list is empty if not all of them fit. On every machine, all
+    lower-priority work is assumed to be stopped. Machines that already have enough free capacity
+    need no preemption.
     """
     by_name = {room.name: room for room in rooms}
-    widened = [_after_preemption(spec, room) for room in rooms]
-    return [by_name[room.name] for room in choose_group(spec, count, widened, {}, {}, avoid)]
+    enlarged = [_after_preemption(spec, room) for room in rooms]
+    return [by_name[room.name] for room in choose_group(spec, count, enlarged, {}, {}, avoid)]
 
 
 def _after_preemption(spec: JobSpec, room: Room) -> Room:
-    """A copy of the room with all work of a lower priority than the job's stopped."""
-    widened = copy(room)
+    """Return the machine's free capacity if all work of lower priority than the job were stopped."""
+    enlarged = copy(room)
     if spec.rank < len(room.preemptible):
         cpus, gpus, memory_gb = room.preemptible[spec.rank]
-        widened.cpus += cpus
-        widened.gpus += gpus
-        widened.memory_gb += memory_gb
-    return widened
+        enlarged.cpus += cpus
+        enlarged.gpus += gpus
+        enlarged.memory_gb += memory_gb
+    return enlarged
 
 
-def _would_have_room(spec: JobSpec, room: Room) -> bool:
-    """Would preempting all lower work make room for a task? Without a copy: it is asked often."""
+def _fits_after_preemption(spec: JobSpec, room: Room) -> bool:
+    """Return whether a task would fit once all lower-priority work is preempted.
+
+    This is called often, so it does not copy the machine's free capacity.
+    """
     if spec.rank >= len(room.preemptible):
         return False
     cpus, gpus, memory_gb = room.preemptible[spec.rank]
@@ -282,19 +293,19 @@
 def choose_preemption(
     spec: JobSpec, rooms: Iterable[Room], zones: Mapping[str, int], avoid: Collection[str] = ()
 ) -> Room | None:
-    """A machine where preempting lower work would make room for one task, or None.
+    """Return a machine where preempting lower-priority work would make one task fit, or None.
 
-    Among several, one that caches the image and where the least has to be stopped.
+    Prefer a machine that caches the image, then the one where the least work has to be stopped.
     """
     best: Room | None = None
     best_key: tuple[object, ...] = ()
     for room in rooms:
         if room.name in avoid or not allowed(spec, room, zones):
             continue
-        if not _would_have_room(spec, room):
+        if not _fits_after_preemption(spec, room):
             continue
         missing_gpus = max(spec.gpus - room.gpus, 0.0)
-        missing = missing_gpus * CPUS_PER_GPU + max(spec.cpus - room.cpus, 0.0)
+        missing = missing_gpus * PREEMPTED_CPUS_PER_GPU + max(spec.cpus - room.cpus, 0.0)
         key = (spec.image not in room.images, missing, zones.get(room.zone, 0), room.name)
         if best is None or key < best_key:
             best, best_key = room, key
@@ -302,7 +313,7 @@
 
 
 def per_gpu(specs: Iterable[JobSpec]) -> tuple[float, float]:
-    """The most CPUs and memory (GB) that any of these jobs takes for each accelerator."""
+    """Return the most CPUs and memory (GB) that any of these jobs needs for each accelerator."""
     cpus = memory = 0.0
     for spec in specs:
         if spec.gpus > EPS:
@@ -312,16 +323,16 @@
 
 
 def slow_kinds(spec: JobSpec, within_s: float, kinds: Iterable[MachineType]) -> frozenset[str]:
-    """Types on which fetching the job's image takes too much of the time to start (seconds)."""
+    """Return the machine types that fetch the image too slowly for a start within `within_s`."""
     return frozenset(
         kind.name
         for kind in kinds
-        if within_s > 0 and spec.image_gb > FETCH_SHARE * within_s * kind.fetch_gb_per_s
+        if within_s > 0 and spec.image_gb > MAX_FETCH_SHARE * within_s * kind.fetch_gb_per_s
     )
 
 
 def fitting(spec: JobSpec, room: Room) -> int:
-    """How many tasks of the job the free resources suffice for, whatever its constraints."""
+    """Return how many tasks of the job fit into the free resources, ignoring its constraints."""
     counts = [
         int((free + EPS) / needed)
         for free, needed in (
@@ -335,5 +346,5 @@
 
 
 def slots(spec: JobSpec, rooms: Iterable[Room]) -> int:
-    """How many tasks of the job would fit on these machines now, if it has no others."""
+    """Return how many tasks of the job would fit on these machines if it had no others."""
     return sum(fitting(spec, room) for room in rooms if allowed(spec, room, {}))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Which machine a task goes to, against the plain order that decides it."""
+"""The choice of a machine for a task, compared with a straightforward sort by the whole key."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     fitting,
     has_room,
     would_strand_gpus,
-    zone_order,
+    zone_tie_break,
 )
 from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.room import Room
@@ -56,7 +56,7 @@
     )
 
 
-def plain_choice(
+def reference_choice(
     spec: JobSpec,
     rooms: list[Room],
     zones: dict[str, int],
@@ -66,13 +66,17 @@
     warm_only: bool,
     preference: Preference,
 ) -> Room | None:
-    """All rooms by their whole key: what `choose` must find with less work."""
+    """Return the machine that is the smallest by the whole key: the result expected of `choose`."""
 
     def spreading_key(room: Room) -> tuple[int, int, int]:
         if not spec.is_gang:
-            return zones.get(room.zone, 0), zone_order(spec, room.zone), machines.get(room.name, 0)
-        left = spec.tasks - sum(machines.values())
-        return int(room.name not in machines), -min(fitting(spec, room), left), 0
+            return (
+                zones.get(room.zone, 0),
+                zone_tie_break(spec, room.zone),
+                machines.get(room.name, 0),
+            )
+        unplaced = spec.tasks - sum(machines.values())
+        return int(room.name not in machines), -min(fitting(spec, room), unplaced), 0
 
     def key(room: Room) -> tuple[object, ...]:
         warm = spec.image in room.images
@@ -100,9 +104,9 @@
     return min(fit, key=key, default=None)
 
 
-def test_choose_finds_the_least_of_the_whole_key() -> None:
+def test_choose_returns_the_machine_with_the_smallest_key() -> None:
     rng = random.Random(5)
-    found = 0
+    chosen_count = 0
     for _ in range(2000):
         rooms = [random_room(rng, number) for number in range(rng.randrange(1, 40))]
         spec = random_spec(rng)
@@ -113,14 +117,16 @@
         slow = frozenset(kind for kind in "abc" if rng.random() < 0.3)
         preference = Preference((rng.choice([0.0, 1.0]), rng.choice([0.0, 4.0])), slow)
         warm_only = rng.random() < 0.3
-        wanted = plain_choice(spec, rooms, zones, machines, avoid, near, warm_only, preference)
+        expected = reference_choice(
+            spec, rooms, zones, machines, avoid, near, warm_only, preference
+        )
         chosen = choose(spec, rooms, zones, machines, avoid, near, warm_only, preference)
-        assert chosen is wanted
-        found += chosen is not None
-    assert found > 500
+        assert chosen is expected
+        chosen_count += chosen is not None
+    assert chosen_count > 500
 
 
-def test_a_reservation_on_a_copy_leaves_the_room_as_it_is() -> None:
+def test_a_reservation_on_a_copy_does_not_change_the_original() -> None:
     room = random_room(random.Random(1), 1)
     before = (room.cpus, room.tasks)
     copy(room).reserve(random_spec(random.Random(2)))
