--- a/src/beamspar/jobs/job_controller.py
+++ b/src/beamspar/jobs/job_controller.py
@@ -181,7 +181,7 @@
     # -- cancellations
 
     def apply_cancellation(self, job_id: str) -> None:
-        """Apply a stored cancellation; it is final, so it takes effect without reading the record."""
+        """Apply a stored cancellation; it is final, so the job's record need not be read first."""
         job = self.jobs.get(job_id)
         if job is not None and job.status == JobStatus.LIVE:
             self.cancel(job)
--- a/src/beamspar/jobs/placer.py
+++ b/src/beamspar/jobs/placer.py
@@ -1,7 +1,8 @@
-"""Places the waiting tasks of a job controller's jobs: warm machines with room first, then any.
+"""Places the pending tasks of a job controller's jobs, preferably where the image is cached.
 
-A task is bound in memory here and started only after its job's record is stored. Gangs, and
-services that must share a zone, are bound whole or not at all.
+"Warm" machines cache the job's image, "cold" ones don't. A task is bound in memory here and
+started only after its job's record is stored. All tasks of a gang are bound at once or not at
+all, and so are those of a service that must run in one zone.
 """
 
 from __future__ import annotations
@@ -33,16 +34,16 @@
 from beamspar.transport.clock import Clock, spawn
 from beamspar.workload.job import Job
 
-# The least time between the beginnings of two rounds, as a share of a heartbeat.
+# Minimum interval between the starts of two placement rounds, as a share of a heartbeat.
 ROUND_INTERVAL_HEARTBEATS = 0.1
-# Timers that fire later than this share of a heartbeat: the processor has no time to spare.
+# The processor counts as busy if timers fire later than this share of a heartbeat.
 BUSY_LAG_HEARTBEATS = 0.05
 
 RequestCapacity = Callable[[list[CapacityRequest]], Deferred[list[PlacementOffer] | None]]
 
 
 class JobStore(Protocol):
-    """Whose jobs are placed."""
+    """What the placer needs of the job controller."""
 
     jobs: dict[str, Job]
     writer: JobWriter
@@ -50,28 +51,28 @@
     quota_manager: QuotaManager | None
 
     def zone_of(self, machine: str) -> str:
-        """The machine's zone."""
+        """Return the machine's zone."""
 
 
 class LocalRooms(NamedTuple):
-    """Room on the machines that this member is the controller of, at one time."""
+    """Free capacity of the machines that this member controls, at one time."""
 
     rooms: list[Room]
-    # Names of those machines as the placing began: they win among cold ones.
+    # Names of these machines when the round began: they are preferred among cold machines.
     local: set[str]
 
 
 class UnplacedJob(NamedTuple):
-    """A job with tasks that no warm machine of ours has room for, and its request for more."""
+    """A job with tasks that fit on no local warm machine, and its request to the leader."""
 
     job: Job
     request: CapacityRequest
 
 
 class Placer:
-    """Owns the rounds of placing, one at a time.
+    """Runs placement rounds, one at a time.
 
-    Jobs with the highest priority come first, then those that have waited longest.
+    Jobs with the highest priority are placed first, and among these the longest pending ones.
     """
 
     def __init__(
@@ -82,28 +83,30 @@
         self.timeouts = timeouts
         self.job_store = job_store
         self.binder = TaskBinder(job_store)
-        # A round is under way or its timer is set; another one is wanted after it.
+        # A round is running or its timer is set; another one is to follow it.
         self.is_round_pending = False
         self.is_round_wanted = False
         self.round_began_at = -1e9
-        # How late timers have fired of late: the processor is busy by so much.
+        # Recent delay of timers, as a measure of how busy the processor is.
         self.late_s = 0.0
-        # Set by the node: room on machines that this member is the controller of; what decides
-        # among machines for a job; the leader's offers, None when its answer is lost.
+        # Set by the node: the free capacity of the machines that this member controls, the
+        # criteria for a job's machines, and the request for the leader's placement offers, whose
+        # result is None if the reply is lost.
         self.local_rooms: Callable[[], list[Room]] = lambda: []
         self.preference: Callable[[JobSpec], Preference] = lambda spec: Preference()
         self.request_capacity: RequestCapacity | None = None
 
-    # -- rounds
+    # -- scheduling of rounds
 
     def schedule(self) -> None:
-        """Place what waits; one round at a time."""
+        """Schedule a round, or another one after the round that is pending already."""
         if self.is_round_pending:
             self.is_round_wanted = True
             return
         self.is_round_pending = True
-        # Each end of a task calls for a round: with thousands of short tasks rounds took all of
-        # the processor. New jobs are placed as they are accepted and don't wait for a round.
+        # Every task that ends requests a round, so with thousands of short tasks, rounds without
+        # a minimum interval took all processor time. New jobs don't wait for a round: they are
+        # placed when they are accepted.
         interval = self.timeouts.heartbeat * ROUND_INTERVAL_HEARTBEATS
         wait = self.round_began_at + interval - self.clock.seconds()
         if wait > 0:
@@ -112,7 +115,7 @@
             self._begin_round()
 
     def observe_timer(self, due: float) -> None:
-        """Record how late a timer fires that was due then."""
+        """Record the delay of a timer that was due at the given time and fires now."""
         self.late_s = max(self.clock.seconds() - due, self.late_s / 2)
 
     def _begin_round(self, due: float | None = None) -> None:
@@ -124,18 +127,18 @@
 
     async def _run_round(self) -> None:
         try:
-            await self._place_waiting()
+            await self._place_pending_jobs()
         finally:
             self.is_round_pending = False
             if self.is_round_wanted:
                 self.is_round_wanted = False
                 self.schedule()
 
-    async def _place_waiting(self) -> None:
+    async def _place_pending_jobs(self) -> None:
         now = self.clock.seconds()
-        waiting = [job for job in self.job_store.jobs.values() if job.waiting(now, 1)]
-        self._flush_deferred(waiting)
-        jobs = [job for job in waiting if self._may_place(job)]
+        pending = [job for job in self.job_store.jobs.values() if job.waiting(now, 1)]
+        self._flush_deferred(pending)
+        jobs = [job for job in pending if self._may_place(job)]
         if not jobs or not self.registration.lease_is_valid():
             return
         jobs.sort(key=lambda job: (job.spec.rank, job.waiting_since))
@@ -145,20 +148,20 @@
         for job in jobs:
             self.job_store.writer.flush(job)
         if len(selected) < len(jobs) and sum(job.bound for job in selected) > bound_before:
-            # That found room, so there may be more for those behind.
+            # Some tasks were placed, so there may be capacity for the jobs left out, too.
             self.is_round_wanted = True
 
     def _flush_deferred(self, jobs: list[Job]) -> None:
-        """What is over of jobs that are not placed now is stored without a new place."""
+        """Write the ended attempts of jobs that are not placed now, without new bindings."""
         for job in jobs:
             if not self._may_place(job):
                 self.job_store.writer.flush(job)
 
     def _may_place(self, job: Job) -> bool:
-        """Is there processor time to place the job? What has the lowest priority waits for it.
+        """Whether there is processor time to place the job; only the lowest priority waits for it.
 
-        An array of 25,000 short tasks kept all controllers busy for minutes, and everybody's
-        requests waited behind its starts and ends.
+        Otherwise a job array of 25,000 short tasks kept all controllers busy for minutes, and all
+        requests were delayed by the starts and ends of its tasks.
         """
         if job.spec.rank < LOWEST_RANK:
             return True
@@ -167,8 +170,9 @@
     # -- one round
 
     async def place(self, jobs: list[Job]) -> None:
-        """Place on warm machines of ours, then where the leader offers, then on cold ones of
-        ours."""
+        """Place tasks on local warm machines, then on the leader's offers, then on local cold
+        machines.
+        """
         jobs = [job for job in jobs if self._may_place(job)]
         if not jobs or not self.registration.lease_is_valid():
             return
@@ -193,11 +197,11 @@
     def _place_on_warm_machines(
         self, jobs: list[Job], local_rooms: LocalRooms, now: float
     ) -> list[UnplacedJob]:
-        """Bind on our own warm machines; returns what is left and covered by its quota."""
+        """Bind tasks on local warm machines; return the jobs left over that their quota covers."""
         unplaced: list[UnplacedJob] = []
         for job in jobs:
-            # Our own shards lie in few zones: what is to be spread asks the leader first,
-            # who knows the warm machines of all.
+            # Local shards lie in few zones. Jobs that are spread over zones request offers from
+            # the leader first, as it observes the warm machines of all controllers.
             if not (job.spec.spread and self.request_capacity):
                 self._place_locally(job, local_rooms, now, warm_only=True)
             indexes = job.waiting(now, tasks_per_round(job))
@@ -212,7 +216,7 @@
         return avoided_machines(job, self.clock.seconds() - self.timeouts.worker_lease)
 
     def _reserve_unpublished(self, rooms: list[Room]) -> None:
-        """Reserve the room of what we bound and the machines' controllers do not know of yet."""
+        """Reserve the capacity of bound tasks that are not published to machine controllers yet."""
         unpublished = self.job_store.assignments.unpublished
         if not unpublished:
             return
@@ -223,7 +227,7 @@
                 by_name[machine].reserve(assigned.job.spec)
 
     def _bind_offers(self, jobs: list[Job], offers: list[PlacementOffer], now: float) -> None:
-        """Bind where the leader offers room."""
+        """Bind tasks to the machines that the leader offers."""
         by_id = {job.id: job for job in jobs}
         grouped = {job.id for job in jobs if is_placed_together(job)}
         for job_id, places in group_places(offers, grouped).items():
@@ -237,7 +241,7 @@
             if offered and indexes:
                 self.binder.bind_if_covered(offered, indexes[0], offer.machine, offer.preempt)
 
-    # -- on machines of this member
+    # -- placement on local machines
 
     def _place_locally(
         self, job: Job, local_rooms: LocalRooms, now: float, warm_only: bool
@@ -257,7 +261,7 @@
             if room is None or not self.binder.bind_if_covered(job, index, room.name, False):
                 return
             if job.tasks[index].avoid:
-                # What is left to be placed again may avoid less than all of it did.
+                # The tasks that remain to be retried may avoid fewer machines than all of them.
                 avoid = self._avoided(job)
             room.reserve(job.spec)
             zones[room.zone] = zones.get(room.zone, 0) + 1
--- a/src/beamspar/placement.py
+++ b/src/beamspar/placement.py
@@ -265,7 +265,7 @@
 
 
 def _after_preemption(spec: JobSpec, room: Room) -> Room:
-    """Return the machine's free capacity if all work of lower priority than the job were stopped."""
+    """Return the machine's free capacity if all lower-priority work than the job were stopped."""
     enlarged = copy(room)
     if spec.rank < len(room.preemptible):
         cpus, gpus, memory_gb = room.preemptible[spec.rank]
