--- a/src/beamspar/jobs/assignments.py
+++ b/src/beamspar/jobs/assignments.py
@@ -1,4 +1,4 @@
-"""The index of what is bound to each machine, and its publication to machine controllers."""
+"""The index of tasks bound to each machine, and its publication to machine controllers."""
 
 from __future__ import annotations
 
@@ -28,37 +28,38 @@
 from beamspar.workload.job import Job
 from beamspar.workload.task import Task
 
-# Attempts in one publication: after so many, the next one waits in proportion to them.
+# After a publication with at least this many attempts, the next one to the same controller is
+# delayed in proportion to their number.
 LARGE_PUBLICATION_ATTEMPTS = 200
-# A machine that has not confirmed a clear for so many worker leases is not asked again.
+# The request to clear an attempt is dropped if it is not confirmed within this many worker leases.
 CLEAR_EXPIRY_WORKER_LEASES = 3
 
 SendUpdates = Callable[[str, list[DesiredStateUpdate]], Deferred[list[AttemptStatus] | None]]
 
 
 class JobStore(Protocol):
-    """Whose tasks these are, and who handles the statuses that machine controllers answer."""
+    """What the assignments need of the job controller."""
 
     jobs: dict[str, Job]
     partitions: set[str]
     loaded: set[str]
 
     def observe_statuses(self, statuses: list[AttemptStatus]) -> None:
-        """Handle the statuses of our attempts that machine controllers report."""
+        """Handle attempt statuses reported by machine controllers."""
 
     def may_start(self, job: Job) -> bool:
-        """Is what is bound of the job's team within its quota allocation?"""
+        """Return whether the bound tasks of the job's team are within its quota allocation."""
 
 
 class AttemptKey(msgspec.Struct, frozen=True):
-    """Names one attempt of a task."""
+    """Identifies one attempt of a task."""
 
     task_name: str
     attempt: int
 
 
 class PendingClear(msgspec.Struct, frozen=True):
-    """An attempt that is over, and that its machine may forget."""
+    """An ended attempt that is still to be cleared on its machine."""
 
     partition: str
     since: float
@@ -67,8 +68,8 @@
 class Assignments:
     """Owns the index of tasks by machine and the messages to machine controllers.
 
-    Each member gets the desired state of the machines that it is the controller of: at once what
-    has changed, and all of it at intervals, which repairs what was lost.
+    Each member receives the desired state of the machines that it controls: changes at once, and
+    the full state periodically, which makes up for lost messages.
     """
 
     def __init__(
@@ -79,41 +80,41 @@
         self.mirror = registration.mirror
         self.timeouts = timeouts
         self.job_store = job_store
-        # What is bound to each machine, and what of it is over and waits to be cleared there.
+        # By machine: the tasks bound to it, and the ended attempts still to be cleared on it.
         self.by_machine: dict[str, dict[TaskKey, AssignedTask]] = {}
         self.pending_clears: dict[str, dict[AttemptKey, PendingClear]] = {}
-        # Bound, but not published yet: its capacity still shows as free at its machine.
+        # Bound tasks that are not published yet: their machines still report the capacity as free.
         self.unpublished: dict[TaskKey, AssignedTask] = {}
         self.sequence = 0
-        # How many desired attempts were sent so far.
+        # Total number of desired attempts sent so far.
         self.attempts_sent = 0
-        # Per member: the machines whose desired state changed, and when all was sent last.
+        # By member: machines whose desired state has changed, and when all of it was last sent.
         self.changed_machines: dict[str, set[str]] = {}
         self.fully_published_at: dict[str, float] = {}
         self.publishing_to: set[str] = set()
         self.is_publish_scheduled = False
-        # Set by the node. It answers the states of attempts; None when the updates or their
-        # answer were lost.
+        # Set by the node. Sends updates and returns the attempt statuses of the reply, or None if
+        # the updates or the reply were lost.
         self.send: SendUpdates | None = None
 
     # -- the index
 
     def assign(self, machine: str, job: Job, index: int, task: Task) -> None:
-        """The job's task is bound to the machine, as its record says."""
+        """Add a task whose binding to the machine was restored from its job's record."""
         self.by_machine.setdefault(machine, {})[TaskKey(job.id, index)] = AssignedTask(job, task)
         self.mark_changed(machine)
 
     def assign_new(self, machine: str, job: Job, index: int, task: Task) -> None:
-        """The job's task is bound to the machine now; no record and no member has it yet."""
+        """Add a task that is newly bound to the machine: neither stored nor published yet."""
         key, assigned = TaskKey(job.id, index), AssignedTask(job, task)
         self.by_machine.setdefault(machine, {})[key] = assigned
         self.mark_changed(machine)
         self.unpublished[key] = assigned
 
     def unassign(self, machine: str, job: Job, index: int) -> None:
-        """The job's task is bound to the machine no more."""
+        """Remove the job's task from the tasks that are bound to the machine."""
         key = TaskKey(job.id, index)
-        # The same job may be in memory twice while it arrives and is read back.
+        # The same job may be in memory twice: while it is accepted and when it is read back.
         if key in self.unpublished and self.unpublished[key].job is job:
             del self.unpublished[key]
         assigned = self.by_machine.get(machine, {})
@@ -123,24 +124,24 @@
                 del self.by_machine[machine]
             self.mark_changed(machine)
 
-    def on_machine(self, machine: str) -> list[tuple[TaskKey, AssignedTask]]:
-        """What is bound to the machine now."""
+    def tasks_on(self, machine: str) -> list[tuple[TaskKey, AssignedTask]]:
+        """Return the tasks that are bound to the machine."""
         return list(self.by_machine.get(machine, {}).items())
 
-    def without_controller(self) -> list[str]:
-        """Machines with tasks of ours that are in no shard."""
+    def machines_without_controller(self) -> list[str]:
+        """Return the machines with bound tasks that are in no shard."""
         return [name for name in self.by_machine if self.mirror.holder_of(name) is None]
 
-    # -- attempts that are over
+    # -- ended attempts
 
-    def clear(self, job: Job, machine: str, task_name: str, attempt: int) -> None:
-        """An attempt is over: the machine may forget it once that is stored."""
+    def request_clear(self, job: Job, machine: str, task_name: str, attempt: int) -> None:
+        """Have an ended attempt cleared on its machine once the end is stored."""
         clears = self.pending_clears.setdefault(machine, {})
         clears[AttemptKey(task_name, attempt)] = PendingClear(job.partition, self.clock.seconds())
         job.clearing.add(machine)
 
-    def cleared(self, status: AttemptStatus) -> bool:
-        """Was the attempt waiting to be cleared? Then that is done."""
+    def confirm_clear(self, status: AttemptStatus) -> bool:
+        """Remove the attempt from the pending clears; return whether it was one of them."""
         clears = self.pending_clears.get(status.machine)
         if not clears or clears.pop(AttemptKey(status.task, status.attempt), None) is None:
             return False
@@ -152,7 +153,7 @@
     # -- publishing
 
     def mark_changed(self, machine: str) -> None:
-        """Publish the machine's desired state, with this turn's other changes."""
+        """Publish the machine's desired state, with the other changes of this reactor iteration."""
         controller = self.mirror.holder_of(machine)
         if controller is not None:
             self.changed_machines.setdefault(controller[0], set()).add(machine)
@@ -161,17 +162,17 @@
                 self.clock.callLater(0, self.publish)
 
     def shard_changed(self, machine: str) -> None:
-        """The machine's shard has changed: its controller may not know what we have there."""
+        """Publish the machine's desired state, which its shard's new controller may lack."""
         if machine in self.by_machine or machine in self.pending_clears:
             self.mark_changed(machine)
 
     def publish_all(self) -> None:
-        """Publish all of the desired state to every member."""
+        """Publish the full desired state to every member."""
         self.fully_published_at.clear()
         self.publish()
 
     def publish(self) -> None:
-        """Publish what changed, and at intervals all, which repairs what was lost."""
+        """Publish changes, and periodically the full state, which makes up for lost messages."""
         self.is_publish_scheduled = False
         if not self.registration.lease_is_valid() or self.send is None or not self.job_store.loaded:
             return
@@ -194,7 +195,7 @@
                 if not is_acknowledged:
                     break
             # Machines with hundreds of short tasks change all the time, and each change sends
-            # all that is desired there: what comes meanwhile is sent together.
+            # their whole desired state. Changes during this pause are sent together.
             sent = self.attempts_sent - sent_before
             if sent >= LARGE_PUBLICATION_ATTEMPTS:
                 await sleep(
@@ -203,7 +204,7 @@
         finally:
             self.publishing_to.discard(member)
             if not is_acknowledged:
-                # Lost, or its answer was: sent again with the next heartbeat.
+                # The update or its reply was lost: send it again with the next heartbeat.
                 self.changed_machines.setdefault(member, set()).update(machines)
                 if full:
                     self.fully_published_at.pop(member, None)
@@ -213,10 +214,10 @@
     def _split(
         self, member: str, machines: set[str] | None, max_attempts: int = MAX_DESIRED_ATTEMPTS
     ) -> list[set[str] | None]:
-        """The machines to send, cut so that each part's attempts fit into one message.
+        """Split the machines so that the attempts of each part fit into one message.
 
-        None stands for all machines. All of one member's machines were one message, and one
-        beyond the limit was refused and repeated for ever.
+        None stands for all machines. When all machines of a member went into one message, a
+        message above the size limit was rejected and retried for ever.
         """
         names = {*self.by_machine, *self.pending_clears} if machines is None else machines
         sizes = {
@@ -226,15 +227,15 @@
         if sum(sizes.values()) <= max_attempts:
             return [machines]
         if machines is None:
-            # Also machines on which nothing is desired any more.
+            # Include machines for which no attempt is desired any more.
             shards = [shard for shard in self.mirror.shards.values() if shard.holder == member]
             names = names | {machine.name for shard in shards for machine in shard.machines}
         return split_by_size(names, sizes, max_attempts)
 
     async def _send_part(self, member: str, machines: set[str] | None) -> bool:
-        """Send the desired state of these machines, and handle the statuses in the answer.
+        """Send the desired state of these machines, and handle the statuses in the reply.
 
-        False when the update or its answer is lost.
+        Return False if the update or its reply is lost.
         """
         if self.send is None:
             return False
@@ -247,9 +248,9 @@
     # -- the messages
 
     def _updates(self, member: str, machines: set[str] | None) -> list[DesiredStateUpdate]:
-        """Per partition the desired state of these machines, or (None) of all of the member's."""
-        # An empty list of a partition whose jobs are still being read would tell the member
-        # that none of its tasks is desired, and it would stop them all.
+        """Return, by partition, the desired state of these or (None) all machines of the member."""
+        # Partitions that are still being loaded are left out: an empty list would mean that none
+        # of their tasks is desired, and the member would stop them all.
         desired: dict[str, list[DesiredAttempt]] = {
             partition: [] for partition in sorted(self.job_store.partitions & self.job_store.loaded)
         }
@@ -289,7 +290,7 @@
     def _add_assigned(
         self, machine: str, fencing_token: int, now: float, desired: dict[str, list[DesiredAttempt]]
     ) -> None:
-        """Add what is bound to the machine to the lists by partition."""
+        """Add the tasks that are bound to the machine to the lists by partition."""
         may_start = self.job_store.may_start
         for key, assigned in self.by_machine.get(machine, {}).items():
             job, task = assigned.job, assigned.task
@@ -304,7 +305,7 @@
     def _add_clears(
         self, machine: str, fencing_token: int, now: float, desired: dict[str, list[DesiredAttempt]]
     ) -> None:
-        """Add what the machine may forget, and drop what it has not confirmed for too long."""
+        """Add the attempts to clear on the machine, and drop those unconfirmed for too long."""
         clears = self.pending_clears.get(machine, {})
         for key, clear in list(clears.items()):
             if now - clear.since > self.timeouts.worker_lease * CLEAR_EXPIRY_WORKER_LEASES:
@@ -317,7 +318,7 @@
                 )
 
     def _is_end_stored(self, task_name: str) -> bool:
-        """Is the end of the task's attempt stored? Only then may its machine forget it."""
+        """Return whether the end of the attempt is stored; only then may its machine clear it."""
         job_id, _, index = task_name.partition("/")
         job = self.job_store.jobs.get(job_id)
         return job is None or (
--- a/src/beamspar/jobs/attempt_statuses.py
+++ b/src/beamspar/jobs/attempt_statuses.py
@@ -1,7 +1,7 @@
-"""Handles the statuses of our jobs' attempts that machine controllers report.
+"""Handles the attempt statuses that machine controllers report to a job controller.
 
-A task may be bound anew only after its attempt is proven over: a machine controller has reported
-it so, or the machine itself is gone from every shard.
+A task may be bound again only after its attempt is known to have ended: either a machine
+controller has reported that, or the machine is no longer in any shard.
 """
 
 from __future__ import annotations
@@ -25,30 +25,30 @@
 
 log = Logger(namespace="jobs")
 
-# Attempts in these states are over, for good.
+# An attempt in one of these states has ended for good.
 TERMINAL_STATES = frozenset({AttemptState.GONE, AttemptState.REFUSED, AttemptState.ENDED})
-# With one of these a machine controller answers a request to clear an attempt.
-CLEAR_ANSWERS = frozenset({AttemptState.GONE, AttemptState.KEPT, AttemptState.REFUSED})
+# States with which a machine controller replies to a request to clear an attempt.
+CLEAR_REPLY_STATES = frozenset({AttemptState.GONE, AttemptState.KEPT, AttemptState.REFUSED})
 
 
 class JobStore(Protocol):
-    """The jobs, and what follows from a change of their attempts."""
+    """What the status handler needs of the job controller."""
 
     jobs: dict[str, Job]
     writer: JobWriter
     quota_manager: QuotaManager | None
 
     def apply_cancellation(self, job_id: str) -> None:
-        """The job's user has cancelled it."""
+        """Cancel the job, whose user has cancelled it."""
 
     def quota_usage_changed(self, job: Job) -> None:
-        """What of the job counts against its team's quota has changed."""
+        """Update the job's counted quota usage."""
 
     def publish_desired_state_of(self, job: Job) -> None:
-        """Publish the desired state of all machines that the job is bound to."""
+        """Publish the desired state of all machines that the job's tasks are bound to."""
 
     def schedule(self) -> None:
-        """Place what waits."""
+        """Schedule a placement round for the pending tasks."""
 
 
 class AttemptStatusHandler:
@@ -69,11 +69,11 @@
         self.assignments = assignments
         self.gang_attempts = gang_attempts
         self.job_store = job_store
-        # Jobs that were backed off for failing on every machine.
+        # Number of jobs that were backed off because they failed on every machine.
         self.jobs_backed_off = 0
 
     def observe(self, statuses: list[AttemptStatus]) -> None:
-        """Apply statuses to the jobs; store and place anew what has ended."""
+        """Apply statuses to the jobs; store ended attempts and schedule their tasks again."""
         changed: dict[str, Job] = {}
         for status in statuses:
             job = self._observe_one(status)
@@ -81,21 +81,21 @@
                 changed[job.id] = job
         now = self.clock.seconds()
         for job in changed.values():
-            # What waits to be placed again is written once, with its new place, unless others
-            # wait for the quota that is free as soon as it is stored.
+            # If tasks can be placed again now, the job is written only once, with the new
+            # bindings, unless other jobs wait for the quota that storing the ends releases.
             if not job.waiting(now, 1) or self._is_quota_wanted(job):
                 self.job_store.writer.flush(job)
         if changed:
             self.job_store.schedule()
 
     def _is_quota_wanted(self, job: Job) -> bool:
-        """Does other work wait for the quota of the job's team?"""
+        """Return whether other jobs wait for the quota of the job's team."""
         quota_manager = self.job_store.quota_manager
         return quota_manager is not None and quota_manager.others_wait(job)
 
     def _observe_one(self, status: AttemptStatus) -> Job | None:
-        """Apply one status; returns the job whose attempt it ends."""
-        if status.state in CLEAR_ANSWERS and self.assignments.cleared(status):
+        """Apply one status; return the job if the status ends one of its attempts."""
+        if status.state in CLEAR_REPLY_STATES and self.assignments.confirm_clear(status):
             return None
         job_id, _, index_text = status.task.partition("/")
         job = self.job_store.jobs.get(job_id)
@@ -111,13 +111,13 @@
                 self.gang_attempts.observe_state(job, status.state)
         return None
 
-    # -- attempts that are over
+    # -- ended attempts
 
     def end_attempts_on_vanished_machines(self) -> None:
-        """A machine whose shard's record is gone was scaled in, with all that was on it."""
+        """End the attempts on machines that are in no shard: these were scaled in."""
         changed: dict[str, Job] = {}
-        for machine in self.assignments.without_controller():
-            for key, assigned in self.assignments.on_machine(machine):
+        for machine in self.assignments.machines_without_controller():
+            for key, assigned in self.assignments.tasks_on(machine):
                 job, task = assigned.job, assigned.task
                 if task.stored:
                     status = AttemptStatus(
@@ -140,13 +140,13 @@
         self._unbind(job, index, task)
         has_ended = status.state == AttemptState.ENDED
         if has_ended:
-            self.assignments.clear(job, status.machine, status.task, status.attempt)
+            self.assignments.request_clear(job, status.machine, status.task, status.attempt)
         if has_ended and status.exit_reason == ExitReason.DONE and not job.spec.is_service:
             self._complete_task(job, index)
             return
         if job.status == JobStatus.LIVE and self.mirror.is_cancelled(job.id):
-            # The machine controller knew of the cancellation before we did: not to be bound
-            # once more.
+            # The machine controller observed the cancellation first. Apply it now, so that the
+            # task is not bound again.
             self.job_store.apply_cancellation(job.id)
         elif job.status == JobStatus.LIVE:
             self._delay_retry(job, task, status)
@@ -158,7 +158,8 @@
             job.unbind(index)
         task.stored = False
         task.fencing_token = 0
-        # It counts against the team's quota until that is stored: a successor would start it.
+        # The task counts against the team's quota until its release is stored: until then, a
+        # successor would restore the binding and start the task.
         job.dirty.add(index // job.tasks_per_chunk)
         self.job_store.quota_usage_changed(job)
 
@@ -169,11 +170,11 @@
             self._complete_gang(job)
 
     def _complete_gang(self, job: Job) -> None:
-        """A gang's tasks complete together: when one is done, all are."""
+        """Complete all tasks of the gang: they complete together with the first one."""
         for index, task in job.tasks.items():
             if task.machine is not None:
                 name = f"{job.id}/{index}"
-                self.assignments.clear(job, task.machine, name, task.attempt)
+                self.assignments.request_clear(job, task.machine, name, task.attempt)
                 self._unbind(job, index, task)
             job.complete(index)
             job.dirty.add(index // job.tasks_per_chunk)
@@ -182,7 +183,7 @@
     # -- retries
 
     def _delay_retry(self, job: Job, task: Task, status: AttemptStatus) -> None:
-        """Decide when and where the task may be tried again."""
+        """Decide when and where the task may be retried."""
         now = self.clock.seconds()
         if job.spec.is_gang:
             self.gang_attempts.lose_task(job, task, status, now)
@@ -195,24 +196,26 @@
             task.not_before = now + self.timeouts.heartbeat / 2
 
     def _attribute_failure(self, job: Job, task: Task, machine: str, now: float) -> None:
-        """A task ended with an error: it tries another machine, unless all of its job fail."""
+        """Have a task that failed avoid the machine, and count the failure for its job."""
         avoid_machine(task, machine)
-        # Services have few tasks, as gangs do; the pause of each is enough for them.
+        # Services have few tasks, as gangs do, so the retry pauses of their tasks suffice.
         if job.spec.is_service:
             return
         if job.backoff.record_failure(machine, now, self.timeouts.retry):
             self.jobs_backed_off += 1
             log.warn(
-                "{job} fails on every machine: backing off, the {n}th job so far",
+                "{job} fails on every machine, limiting it to a few probe tasks: "
+                "job number {n} so far",
                 job=job.id,
                 n=self.jobs_backed_off,
             )
 
 
 def _is_current(task: Task, status: AttemptStatus) -> bool:
-    """Does the status concern the task's present attempt?
+    """Return whether the status concerns the task's current attempt.
 
-    One under an older fencing token does not bind a machine controller that we asked since.
+    A status with an older fencing token than that of the last request is stale: it does not
+    reflect what the machine controller with the newer token does.
     """
     return (
         task.attempt == status.attempt
--- a/src/beamspar/jobs/quota_stops.py
+++ b/src/beamspar/jobs/quota_stops.py
@@ -1,7 +1,7 @@
-"""Stops bound work for its team's quota: preemption, and what exceeds an allocation.
+"""Stops bound tasks because of their team's quota: preempted ones, and excess over an allocation.
 
-Which work that is, `quota.quota_preemption` decides. Here it is marked, and the
-desired state is published.
+`quota.quota_preemption` decides which tasks these are. This module marks them and has their
+desired state published.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 
 class AllocationKey(NamedTuple):
-    """Names the part of a team's quota that a partition has."""
+    """Identifies the part of a team's quota that is allocated to a partition."""
 
     partition: str
     team: str
 
 
 class JobStore(Protocol):
-    """The jobs, where they run, and how a stop is published."""
+    """What the quota stops need of the job controller."""
 
     jobs: dict[str, Job]
     loaded: set[str]
@@ -40,27 +40,27 @@
 
 
 class QuotaStops:
-    """Owns when teams' quotas are looked at, and how long allocations have been exceeded."""
+    """Checks teams' quotas periodically, and tracks how long allocations have been exceeded."""
 
     def __init__(self, timeouts: Timeouts, job_store: JobStore) -> None:
         self.timeouts = timeouts
         self.job_store = job_store
         self.last_run_at = -1e9
-        # Allocations that what is bound exceeds, and since when.
+        # Allocations that the bound tasks exceed, and since when.
         self.exceeded_since: dict[AllocationKey, float] = {}
 
     def run_if_due(self, quota_manager: QuotaManager, now: float) -> None:
-        """Look at all teams, once in each report interval."""
+        """Check the quotas of all teams, once per report interval."""
         if now - self.last_run_at >= self.timeouts.report:
             self.last_run_at = now
             self._preempt(quota_manager)
             self._stop_excess(quota_manager, now)
 
     def _preempt(self, quota_manager: QuotaManager) -> None:
-        """Higher work waits at its team's quota: lower work of the team makes room there.
+        """Preempt lower-priority work where higher-priority work waits for the team's quota.
 
-        Without this a large array that came first kept a team's critical services waiting
-        until it was done.
+        Without this, a large job array that was submitted first kept the team's critical services
+        waiting until it was done.
         """
         for team in sorted(quota_manager.teams):
             if not any(quota_manager.amount_to_preempt(team, len(PRIORITIES))):
@@ -71,10 +71,11 @@
                 self._stop(unit, f"is preempted: higher work of {team} waits for quota")
 
     def _stop_excess(self, quota_manager: QuotaManager, now: float) -> None:
-        """Stop what is bound beyond an allocation and does not run.
+        """Stop bound tasks that exceed an allocation and do not run.
 
-        Nothing of it is started before it is covered, and that may never be. What does run
-        goes on: by now every machine controller has had the time to report it.
+        They are not started until the quota covers them, which may never happen. Running tasks
+        continue: an allocation must be exceeded for long enough that every machine controller has
+        had time to report its running tasks.
         """
         allocations = [
             AllocationKey(partition, team)
@@ -106,8 +107,10 @@
 def _amount_lacking(
     quota_manager: QuotaManager, team: str, jobs: list[Job], rank: int
 ) -> tuple[float, float]:
-    """CPUs and GPUs that work of this rank should free, less what is over and about to be
-    stored so."""
+    """Return the CPUs and GPUs that work of this rank should free for higher-priority work.
+
+    Ended tasks that still count, as their release is not stored yet, are subtracted.
+    """
     cpus, gpus = quota_manager.amount_to_preempt(team, rank)
     for job in jobs:
         released = job.quota_usage.tasks - job.bound
