--- a/src/beamspar/jobs/desired_state.py
+++ b/src/beamspar/jobs/desired_state.py
@@ -1,6 +1,6 @@
-"""What is desired of each attempt that is bound to a machine, and messages of bounded size.
+"""The desired state of bound attempts, and its division into messages of bounded size.
 
-Pure: no clock and no I/O.
+Pure functions, without clock or I/O.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 
 class TaskKey(msgspec.Struct, frozen=True):
-    """Names one task among those of all jobs."""
+    """Identifies one task among those of all jobs."""
 
     job_id: str
     index: int
 
     @property
     def name(self) -> str:
-        """The task's name in messages."""
+        """Return the task's name in messages."""
         return f"{self.job_id}/{self.index}"
 
 
@@ -38,20 +38,21 @@
 def desired_action(
     job: Job, task: Task, now: float, may_start: Callable[[Job], bool]
 ) -> DesiredAction:
-    """What the task's machine controller should do with the attempt.
+    """Return what the task's machine controller should do with the attempt.
 
-    `may_start`: is the job's team within its quota? It is called last, for it is not cheap.
+    `may_start` returns whether the job's team is within its quota. It is called last because it
+    is expensive.
     """
     if not task.stored:
-        # Its capacity is reserved at once: while the record was on its way, others used to
-        # take it, and the start was refused.
+        # Reserve the capacity at once: otherwise, while the record was being written, other
+        # tasks took the capacity and the start was refused.
         return DesiredAction.HOLD
     if job.status != JobStatus.LIVE or task.preempted_for_quota:
         return DesiredAction.STOP
-    if job.spec.is_gang and job.phase(now) is GangPhase.STOPPING:
+    if job.spec.is_gang and job.gang_phase(now) is GangPhase.STOPPING:
         return DesiredAction.STOP
     if not may_start(job):
-        # What runs goes on, what does not is not started.
+        # A running attempt continues; one that does not run is not started.
         return DesiredAction.HOLD
     return DesiredAction.RUN
 
@@ -59,11 +60,11 @@
 def desired_attempt(
     machine: str, fencing_token: int, task_name: str, assigned: AssignedTask, action: DesiredAction
 ) -> DesiredAttempt:
-    """The attempt as the message to its machine controller has it."""
+    """Return the attempt as it is sent to its machine controller."""
     job, task = assigned.job, assigned.task
     spec = job.spec
-    # By position: with names, making one takes six times as long, and large messages have
-    # thousands.
+    # Positional arguments: construction by keyword takes six times as long, and large messages
+    # have thousands of attempts.
     return DesiredAttempt(
         machine,
         fencing_token,
@@ -76,7 +77,7 @@
         spec.image,
         spec.image_gb,
         spec.rank,
-        spec.checkpoint_s > 0 and not (spec.is_gang and job.gang.broken),
+        spec.checkpoint_s > 0 and not (spec.is_gang and job.gang.cannot_save),
         spec.save_s,
         task.preempt,
         spec.is_gang,
@@ -87,9 +88,9 @@
 def split_by_size(
     machines: Iterable[str], sizes: Mapping[str, int], max_size: int
 ) -> list[set[str] | None]:
-    """Cut the machines, in order of their names, into parts of at most so large a sum.
+    """Split the machines, in order of their names, into parts of `max_size` or less in sum.
 
-    A machine that is larger by itself makes a part of its own.
+    A machine that exceeds `max_size` by itself becomes a part of its own.
     """
     parts: list[set[str] | None] = []
     part: set[str] = set()
--- a/src/beamspar/jobs/gang_attempts.py
+++ b/src/beamspar/jobs/gang_attempts.py
@@ -1,7 +1,7 @@
-"""What the statuses of a gang's tasks mean for the gang's present attempt.
+"""Applies the statuses of a gang's tasks to the gang's current attempt.
 
-All tasks of a gang start together, so the loss of one concerns all: it is replaced while the
-attempt has not started, and otherwise all tasks are stopped. `gang` decides which; this module
+All tasks of a gang start together, so the loss of one affects all: it is replaced if the attempt
+has not started yet; otherwise all tasks are stopped. `workload.gang` decides which; this module
 records the losses and has the desired state published.
 """
 
@@ -28,15 +28,15 @@
 
 
 class JobStore(Protocol):
-    """The jobs, and how a change of a gang's desired state is published."""
+    """What the gang attempts need of the job controller."""
 
     jobs: dict[str, Job]
 
     def publish_desired_state_of(self, job: Job) -> None:
-        """Publish the desired state of all machines that the job is bound to."""
+        """Publish the desired state of all machines that the job's tasks are bound to."""
 
     def schedule(self) -> None:
-        """Place what waits."""
+        """Schedule a placement round for the pending tasks."""
 
 
 class GangAttempts:
@@ -47,23 +47,25 @@
         self.job_store = job_store
 
     def observe_state(self, job: Job, state: str) -> None:
-        """One of a gang's tasks has a new state: that may change the desired state of all."""
-        was_stopping, was_known = job.gang.stopping, job.gang.known
+        """Apply a new state of one of a gang's tasks, which may change the desired state of all."""
+        was_stopping, was_state_known = job.gang.stopping, job.gang.is_state_known
         job.gang.observe_state(state)
         if job.gang.stopping != was_stopping:
-            log.info("{job}: one task of the gang stops, stopping all", job=job.id)
+            log.info("{job}: a task of the gang is stopping, stopping the whole gang", job=job.id)
             self.job_store.publish_desired_state_of(job)
-        elif not was_known:
-            # Restored with a task missing: now it is known whether to replace it.
+        elif not was_state_known:
+            # The gang may have been restored with a task missing. Its state is known now, so the
+            # missing task can be replaced if the gang has not started.
             self.job_store.schedule()
 
     def lose_task(self, job: Job, task: Task, status: AttemptStatus, now: float) -> None:
-        """A gang's task has ended without being done: it is replaced, or all are stopped."""
+        """Apply the end of a gang's task that is not done: replace it or stop all tasks."""
         gang = job.gang
         if status.exit_reason in GANG_FAILURE_REASONS and not gang.stopping:
             gang.failures += 1
-        # One that waited in vain was not completed in time; one whose peers are gone, or that
-        # has saved a checkpoint, had started. Otherwise the rest wait on for a replacement.
+        # The attempt cannot be completed if the task timed out waiting for the other tasks, or if
+        # the gang had started: its peers are gone or it has saved a checkpoint. Otherwise the
+        # other tasks continue to wait for a replacement.
         is_over = status.exit_reason in GANG_OVER_REASONS or status.saved
         gang.observe_lost_task(status.machine, now, may_replace=not is_over)
         if status.exit_reason == ExitReason.ERROR:
@@ -71,16 +73,16 @@
         if status.state == AttemptState.REFUSED:
             task.not_before = now + self.timeouts.heartbeat / 2
         else:
-            task.not_before = now + gang.pause(job.id, self.timeouts.retry)
+            task.not_before = now + gang.retry_delay_s(job.id, self.timeouts.retry)
         self.job_store.publish_desired_state_of(job)
 
     def stop_incomplete(self, now: float) -> None:
-        """Stop gangs that found no replacement in time: others may need their machines."""
+        """Stop gangs without a replacement in time, as other jobs may need their machines."""
         for job in self.job_store.jobs.values():
             gang = job.gang
             if gang.missing_since is None or gang.stopping or job.status != JobStatus.LIVE:
                 continue
-            if job.bound and job.phase(now) is GangPhase.STOPPING:
+            if job.bound and job.gang_phase(now) is GangPhase.STOPPING:
                 log.info("{job}: gang incomplete for too long, stopping its tasks", job=job.id)
                 gang.stopping = True
                 gang.failures += 1
--- a/src/beamspar/jobs/placement_round.py
+++ b/src/beamspar/jobs/placement_round.py
@@ -1,6 +1,6 @@
-"""What one round of placing takes on, and what it asks the leader for.
+"""Selection of the work of one placement round, and its capacity requests to the leader.
 
-Pure: no clock and no I/O.
+Pure functions, without clock or I/O.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 from beamspar.protocol.peer_messages import CapacityRequest, PlacementOffer
 from beamspar.workload.job import Job
 
-# Waiting jobs that are placed in one round, and tasks of one job.
+# Maximum number of pending jobs in one placement round, and of tasks of one job in it.
 JOBS_PER_ROUND = 64
 TASKS_PER_JOB = 200
-# The same for the lowest priority: the leader looks at all machines for each task, and everybody
-# else's requests wait for the whole round.
+# The same limit for jobs of the lowest priority: the leader examines all machines for each task,
+# and the requests of all other controllers wait until it has handled the whole round.
 LOWEST_PRIORITY_TASKS_PER_JOB = 25
-# Jobs of the same shape, of those in one round.
+# Maximum number of jobs of the same shape in one round.
 JOBS_PER_SHAPE = JOBS_PER_ROUND // 4
 
 
 class JobShape(msgspec.Struct, frozen=True):
-    """What decides where a job finds capacity; jobs of one shape find it or not alike."""
+    """Properties that decide where there is capacity for a job: the same for equal shapes."""
 
     cpus: float
     gpus: float
@@ -36,29 +36,29 @@
 
 
 class OfferedPlace(msgspec.Struct, frozen=True):
-    """A machine with room for one task, perhaps once lower work there has stopped."""
+    """A machine with capacity for one task, with `preempt` once lower-priority work has stopped."""
 
     machine: str
     preempt: bool = False
 
 
 def tasks_per_round(job: Job) -> int:
-    """How many tasks of the job one round may place; those that start together need all."""
+    """Return how many tasks of the job one round may place: all if they must start together."""
     if job.spec.grouped:
         return job.spec.tasks
     return LOWEST_PRIORITY_TASKS_PER_JOB if job.spec.rank == LOWEST_RANK else TASKS_PER_JOB
 
 
 def is_placed_together(job: Job) -> bool:
-    """Are the job's tasks to be bound all at once or not at all?
+    """Return whether the job's tasks must be bound all at once or not at all.
 
-    A service of one zone that has lost some of its tasks gets others for just these.
+    A service that must run in one zone and has lost some of its tasks gets only these replaced.
     """
     return job.spec.grouped and not job.bound
 
 
 def select_jobs(jobs: list[Job]) -> list[Job]:
-    """Some of each shape, in order: many that find no room must not hold up the others."""
+    """Select some jobs of each shape, in order: many without capacity must not block the others."""
     selected: list[Job] = []
     jobs_of_shape: dict[JobShape, int] = {}
     for job in jobs:
@@ -85,14 +85,14 @@
 
 
 def avoided_machines(job: Job, failed_after: float) -> set[str]:
-    """Machines where nothing of the job is placed now.
+    """Return the machines that no task of the job may be placed on now.
 
-    Those that a task failed on count if its pause ended after `failed_after`, so for a while
-    only: where each machine had failed some task of a job, all of the job waited beside
-    machines with room for ever.
+    A machine on which a task failed is avoided only for a while: as long as the task's retry
+    pause ended after `failed_after`. Without that limit, once each machine had failed some task of
+    a job, the whole job stayed pending for ever in spite of free capacity.
     """
-    # A new attempt of a gang may go where the one before was.
-    avoided: set[str] = set(job.gang.left if job.bound else ())
+    # A new attempt of a gang may use the machines of the previous one.
+    avoided: set[str] = set(job.gang.excluded_machines if job.bound else ())
     if job.backoff.is_job_at_fault:
         return avoided
     for index in job.retry_queue:
@@ -105,7 +105,7 @@
 def capacity_request(
     job: Job, tasks: int, avoid: set[str], zone_of: Callable[[str], str], now: float
 ) -> CapacityRequest:
-    """The request to the leader for room for so many tasks of the job."""
+    """Return the request to the leader for capacity for this number of the job's tasks."""
     zones, machines = job.places(zone_of)
     return CapacityRequest(
         spec=msgspec.to_builtins(job.spec),
@@ -118,7 +118,7 @@
 
 
 def group_places(offers: list[PlacementOffer], grouped: set[str]) -> dict[str, list[OfferedPlace]]:
-    """The places that are offered to each of these jobs, in order of the offers."""
+    """Return the places offered to each of the grouped jobs, in the order of the offers."""
     places: dict[str, list[OfferedPlace]] = {}
     for offer in offers:
         if offer.job in grouped:
--- a/src/beamspar/jobs/task_binder.py
+++ b/src/beamspar/jobs/task_binder.py
@@ -1,4 +1,4 @@
-"""Binds waiting tasks to machines, in memory, as far as their team's quota covers them."""
+"""Binds pending tasks to machines, in memory, as far as their team's quota covers them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class JobStore(Protocol):
-    """Where it is known what is bound, and what each team may use."""
+    """What the task binder needs of the job controller."""
 
     assignments: Assignments
     quota_manager: QuotaManager | None
@@ -28,7 +28,10 @@
         self.job_store = job_store
 
     def is_covered(self, job: Job, indexes: list[int], whole: bool = False) -> bool:
-        """Is there quota for the first of these tasks, or for all? Else it is asked for."""
+        """Return whether the quota covers the first of these tasks, or all with `whole`.
+
+        If it does not, more quota is requested.
+        """
         quota_manager = self.job_store.quota_manager
         return quota_manager is None or quota_manager.is_covered(job, indexes, whole)
 
@@ -40,7 +43,7 @@
             self._bind(job, index, place.machine, place.preempt)
 
     def bind_if_covered(self, job: Job, index: int, machine: str, preempt: bool) -> bool:
-        """Bind a waiting task if the team's quota covers it."""
+        """Bind a pending task if the team's quota covers it; return whether it is bound."""
         if not self._reserve_quota(job, [index]):
             return False
         self._bind(job, index, machine, preempt)
@@ -51,15 +54,15 @@
         return quota_manager is None or quota_manager.reserve(job, indexes)
 
     def _bind(self, job: Job, index: int, machine: str, preempt: bool) -> None:
-        """Bind a waiting task; the start waits until this is stored."""
+        """Bind a pending task; it is started only after the binding is stored."""
         gang_attempt = job.next_attempt if job.spec.is_gang else None
         if job.spec.is_gang and not job.bound:
-            job.gang.begin()
-        task = job.take(index)
+            job.gang.begin_attempt()
+        task = job.dequeue(index)
         task.attempt = gang_attempt or task.attempt + 1
         job.bind(index, machine)
         if self.job_store.quota_manager is not None:
-            # Also for a job that is being accepted, and not among ours yet.
+            # Jobs that are still being accepted count as well; they are not in the job store yet.
             self.job_store.quota_manager.recount(job)
         task.stored = False
         task.fencing_token = 0
@@ -67,7 +70,7 @@
         task.preempted_for_quota = False
         job.dirty.add(index // job.tasks_per_chunk)
         if job.spec.is_gang and job.bound + job.done_count == job.spec.tasks:
-            job.gang.completed()
+            job.gang.mark_whole()
         self.job_store.assignments.assign_new(machine, job, index, task)
         log.info(
             "{job}/{index} attempt {attempt} is bound to {machine}",
--- a/src/beamspar/workload/__init__.py
+++ b/src/beamspar/workload/__init__.py
@@ -1,1 +1,1 @@
-"""A job in memory and its rules: tasks, gangs, pauses after failures, use of the quota. No I/O."""
+"""Jobs in memory and their rules: tasks, gangs, failure backoff and quota usage. No I/O."""
--- a/src/beamspar/workload/failure_backoff.py
+++ b/src/beamspar/workload/failure_backoff.py
@@ -1,42 +1,46 @@
-"""Holds back a job whose tasks fail wherever they run.
+"""Backoff for a job whose tasks fail wherever they run.
 
-A job that was submitted with a mistake fails on every machine until its user cancels it. A pause
-for each of its tasks does not bound what it costs: an array of thousands goes on using machines,
-image fetches, writes and its team's quota. So failures are counted for the job as a whole. While
-nothing of it has ever succeeded, it has failed on several machines and more often than tasks of it
-are running, only a few of its tasks run at a time, as probes, with a pause that doubles with each
-round of failures. One success ends that: a job that only met faulty machines goes on at once.
+A job that was submitted with a mistake fails on every machine until its user cancels it. A retry
+pause for each task does not bound its cost: a job array with thousands of tasks would continue to
+use machines, image fetches, writes and its team's quota. Therefore failures are also counted for
+the job as a whole. A job is backed off if none of its tasks has ever succeeded, it has failed on
+several machines, and it has more failures than running tasks. Then only a few of its tasks run at
+a time, as probes, with a pause that doubles with each round of failures. One success ends the
+backoff, so a job that only ran on faulty machines continues at once.
 """
 
 from __future__ import annotations
 
-# On so many different machines a job fails before its failures are attributed to the job itself,
-# and not to the machines.
+# Failures on this many different machines are attributed to the job instead of the machines.
 MACHINES_BEFORE_JOB_FAULT = 3
-# Tasks that run at a time of a job to which its failures are attributed.
+# Maximum number of concurrent tasks of a job to which its failures are attributed.
 CONCURRENT_PROBES = 2
-# The longest pause between probes, in retry intervals.
-MAX_PROBE_PAUSE = 64.0
+# Maximum pause between probes, in retry intervals.
+MAX_PROBE_PAUSE_INTERVALS = 64.0
 
 
 class FailureBackoff:
-    """What one job's failures say; kept in memory by its controller."""
+    """Counts one job's failures; kept only in the memory of its controller."""
 
     def __init__(self) -> None:
         self._has_succeeded = False
         self._failures = 0
-        # Machines that it failed on, no more of them than it takes to attribute that to the job.
+        # Machines that the job failed on, at most as many as it takes to
+        # attribute the failures to the job.
         self._failed_machines: set[str] = set()
-        self._rounds = 0
+        self._failure_rounds = 0
         self._not_before = 0.0
 
     @property
     def is_job_at_fault(self) -> bool:
-        """Is the job itself at fault, as far as can be told?"""
+        """Whether the failures are attributed to the job itself, as far as can be determined."""
         return not self._has_succeeded and len(self._failed_machines) >= MACHINES_BEFORE_JOB_FAULT
 
     def record_failure(self, machine: str, now: float, retry_s: float) -> bool:
-        """A task failed there; True if from this failure on they are attributed to the job."""
+        """Record a failure on the machine.
+
+        Return whether failures are attributed to the job from this one on.
+        """
         if self._has_succeeded:
             return False
         self._failures += 1
@@ -46,20 +50,22 @@
         if not self.is_job_at_fault:
             return False
         if now >= self._not_before:
-            # Failures of tasks that were bound together count as one.
-            self._not_before = now + retry_s * min(2.0**self._rounds, MAX_PROBE_PAUSE)
-            self._rounds += 1
+            # Failures of tasks that were bound together count as one round.
+            self._not_before = now + retry_s * min(
+                2.0**self._failure_rounds, MAX_PROBE_PAUSE_INTERVALS
+            )
+            self._failure_rounds += 1
         return not was_at_fault
 
     def record_success(self) -> None:
-        """A task of the job has completed."""
+        """Record that a task of the job has completed."""
         self._has_succeeded = True
         self._failed_machines.clear()
 
-    def may_start(self, most: int, bound: int, running: int, now: float) -> int:
-        """How many more of its tasks may be bound now, of so many that wait."""
+    def bindable_count(self, limit: int, bound: int, running: int, now: float) -> int:
+        """Return how many more tasks of the job may be bound now, at most `limit`."""
         if not self.is_job_at_fault or running >= self._failures:
-            return most
+            return limit
         if now < self._not_before:
             return 0
-        return max(min(most, CONCURRENT_PROBES - bound), 0)
+        return max(min(limit, CONCURRENT_PROBES - bound), 0)
--- a/src/beamspar/workload/quota_usage.py
+++ b/src/beamspar/workload/quota_usage.py
@@ -1,10 +1,10 @@
-"""How many tasks of a job count against its team's quota.
+"""The number of a job's tasks that count against its team's quota.
 
-A successor restores a job from its stored record and starts what that binds. So a task counts
-until a stored record says that it is not bound any more, even if its attempt is proven over, and
-also while a write that may bind it is indeterminate. Counts are kept per chunk, for a chunk is
-written as a whole: within one, a task that is over makes room for another at once, as the same
-write unbinds one and binds the other.
+After a failover, the new controller restores a job from its stored record and starts the tasks
+that are bound in it. Therefore a task counts until its release is stored, even if its attempt is
+known to have ended, and also while a write that may bind it has an indeterminate outcome. Counts
+are kept by chunk, because a chunk is written as a whole: within a chunk, a task that has ended
+makes its quota available to another one at once, as the same write unbinds one and binds the other.
 """
 
 from __future__ import annotations
@@ -14,77 +14,79 @@
 
 
 class QuotaUsage:
-    """Counts the bound tasks of one job, in memory and in what may be stored."""
+    """Counts the bound tasks of one job, both in memory and in the records that may be stored."""
 
     def __init__(self) -> None:
-        # Tasks bound in memory, and the most that a stored chunk may bind, by chunk.
+        # By chunk: tasks bound in memory, and the most that its stored record may bind.
         self._bound: Counter[int] = Counter()
         self._stored: dict[int, int] = {}
-        # Chunks whose stored record binds more: so many more may be bound there at no cost.
-        self.spare: dict[int, int] = {}
-        # The sum over all chunks of the larger of both counts.
+        # By chunk whose stored record may bind more tasks than are bound in memory: how many more
+        # can be bound there without raising the usage.
+        self.unused_stored: dict[int, int] = {}
+        # Sum over all chunks of the larger of the two counts.
         self._tasks = 0
-        # While the records are rewritten in another layout: what counted before that.
+        # Usage before a change of layout, while the records are being rewritten; otherwise 0.
         self._tasks_before_layout = 0
 
     @property
     def tasks(self) -> int:
-        """Tasks that count now."""
+        """Number of tasks that count now."""
         return max(self._tasks, self._tasks_before_layout)
 
     @property
-    def rewriting(self) -> bool:
-        """Is it not known yet what each chunk of the present layout binds?"""
+    def is_rewriting(self) -> bool:
+        """Whether the chunks of the current layout have not all been written yet."""
         return self._tasks_before_layout > 0
 
-    def extra(self, chunks: Collection[int]) -> int:
-        """How many more tasks count once a task is bound in each of these chunks."""
-        if not self.spare:
+    def additional_tasks(self, chunks: Collection[int]) -> int:
+        """Return how many more tasks count once a task is bound in each of these chunks."""
+        if not self.unused_stored:
             return len(chunks)
         return sum(
-            max(count - self.spare.get(chunk, 0), 0) for chunk, count in Counter(chunks).items()
+            max(count - self.unused_stored.get(chunk, 0), 0)
+            for chunk, count in Counter(chunks).items()
         )
 
     def bind(self, chunk: int) -> None:
-        """A task of the chunk is bound in memory."""
+        """Count a task of the chunk that is bound in memory."""
         self._update(chunk, self._bound[chunk] + 1, self._stored.get(chunk, 0))
 
     def unbind(self, chunk: int) -> None:
-        """A task of the chunk is bound in memory no more."""
+        """Count a task of the chunk that is no longer bound in memory."""
         self._update(chunk, self._bound[chunk] - 1, self._stored.get(chunk, 0))
 
     def writing(self, chunk: int) -> int:
-        """The chunk's record is about to be written; returns the tasks that it binds."""
+        """Record that a write of the chunk begins; return the number of tasks that it binds."""
         bound = self._bound[chunk]
         self._update(chunk, bound, max(self._stored.get(chunk, 0), bound))
         return bound
 
     def written(self, chunk: int, tasks: int) -> None:
-        """The chunk's record is known to bind so many tasks: older writes are superseded."""
+        """Record that the stored chunk binds this number of tasks; older writes are superseded."""
         self._update(chunk, self._bound[chunk], tasks)
 
-    def change_layout(self, bound_in: Iterable[int]) -> None:
-        """The job is divided into other chunks, with a bound task in each of the given ones.
+    def change_layout(self, chunks_of_bound_tasks: Iterable[int]) -> None:
+        """Count by the chunks of another layout, given the chunk of each bound task.
 
-        What counted before counts on until `settle`, for either layout may be stored.
+        Until `settle`, the usage is at least what it was before, as either layout may be stored.
         """
         self._tasks_before_layout = self.tasks
-        self._bound = Counter(bound_in)
+        self._bound = Counter(chunks_of_bound_tasks)
         self._stored = {}
-        self.spare = {}
+        self.unused_stored = {}
         self._tasks = self._bound.total()
 
     def settle(self) -> None:
-        """Every chunk of the present layout has been written."""
+        """Record that every chunk of the current layout has been written."""
         self._tasks_before_layout = 0
 
     def _update(self, chunk: int, bound: int, stored: int) -> None:
-        """Set both counts of the chunk, and what follows from them."""
+        """Set both counts of the chunk, and the values derived from them."""
         before = max(self._bound[chunk], self._stored.get(chunk, 0))
         self._bound[chunk] = bound
         self._stored[chunk] = stored
         self._tasks += max(bound, stored) - before
         if stored > bound:
-            self.spare[chunk] = stored - bound
+            self.unused_stored[chunk] = stored - bound
         else:
-            self.spare.pop(chunk, None)
+            self.unused_stored.pop(chunk, None)
--- a/src/beamspar/workload/task.py
+++ b/src/beamspar/workload/task.py
@@ -1,4 +1,4 @@
-"""One task of a job in memory, and the states in which workers report it."""
+"""One task of a job in memory, and its states as workers report them."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class TaskState(StrEnum):
-    """States of a task on a worker that the job's controller tells apart."""
+    """States of a task on a worker that the job controller distinguishes."""
 
-    # A task of a gang has its image and waits for the others.
+    # A task of a gang has fetched its image and waits for the other tasks.
     GATHERING = "gathering"
     RUNNING = "running"
-    # It is to stop, and writes its checkpoint.
+    # The task is being stopped and writes its checkpoint.
     SAVING = "saving"
 
 
 class Task:
-    """One task that is bound or has been; tasks that never were have no such object."""
+    """One task that is or was bound; tasks that were never bound have no such object."""
 
     __slots__ = (
         "attempt",
@@ -33,19 +33,20 @@
 
     def __init__(self, attempt: int = 0) -> None:
         self.attempt = attempt
-        # Where it is bound, and the state last reported from there; empty while none is known.
+        # The machine that the task is bound to, and its last reported state; empty if unknown.
         self.machine: str | None = None
         self.state = ""
-        # Is its binding stored? Before that it must not be started.
+        # Whether the binding is stored; the task must not be started before.
         self.stored = False
-        # Under which fencing token its machine's controller was last told of it.
+        # Fencing token under which the task was last sent to its machine controller.
         self.fencing_token = 0
-        # May work of lower priority be stopped there for it?
+        # Whether work of lower priority on the machine may be preempted for the task.
         self.preempt = False
         self.failures = 0
-        # It is to stop, so that higher work of its team may run within the team's quota.
+        # Whether the task is to be stopped for its team's quota: it is preempted so that work of
+        # higher priority can run, or it exceeds the quota allocation.
         self.preempted_for_quota = False
-        # Machines that it failed on.
+        # Machines to avoid because the task failed there.
         self.avoid: set[str] = set()
-        # When it may be placed again.
+        # Earliest time at which the task may be placed again.
         self.not_before = 0.0
--- a/tests/test_attempt_statuses.py
+++ b/tests/test_attempt_statuses.py
@@ -1,4 +1,4 @@
-"""What statuses of attempts do to the jobs in memory, with a state service that never answers."""
+"""Effects of attempt statuses on jobs in memory, with a state service that never replies."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 GANG = msgspec.structs.replace(SPEC, shape="ensemble")
 
 
-class SilentStore:
-    """Takes writes and never answers."""
+class UnresponsiveStore:
+    """Accepts requests and never replies."""
 
     def transact(self, *rest: Any) -> Deferred[int]:
         return Deferred()
@@ -38,8 +38,8 @@
 
 
 def make(spec: JobSpec = SPEC) -> tuple[JobController, Job, SimClock]:
-    """A controller with one job, all of whose tasks are bound to a machine each and stored."""
-    clock, store = SimClock(), SilentStore()
+    """Return a controller with one job whose tasks are each bound to a machine and stored."""
+    clock, store = SimClock(), UnresponsiveStore()
     timeouts = Timeouts(settings(), OperatorSettings())
     registration = Registration(clock, store, settings(), timeouts)  # type: ignore[arg-type]
     controller = JobController(clock, registration, store, settings(), timeouts)  # type: ignore[arg-type]
@@ -48,9 +48,9 @@
     registration.mirror.observe(keys.shard("s-1"), shard_record("rig-1", machines), 5)
     job = Job(spec, "rig-0.1", ChunkLayout(46), 0.0)
     job.gang_wait_s = 40.0
-    job.gang.begin()
+    job.gang.begin_attempt()
     for index in range(spec.tasks):
-        task = job.take(index)
+        task = job.dequeue(index)
         job.bind(index, f"host-{index}")
         task.attempt, task.stored, task.fencing_token = 1, True, TOKEN
     controller.keep(job)
@@ -58,11 +58,11 @@
 
 
 def status(index: int, state: str, reason: str | None = None, **changes: Any) -> AttemptStatus:
-    found = AttemptStatus(f"host-{index}", TOKEN, f"j-1/{index}", 1, state, reason)
-    return msgspec.structs.replace(found, **changes)
+    attempt_status = AttemptStatus(f"host-{index}", TOKEN, f"j-1/{index}", 1, state, reason)
+    return msgspec.structs.replace(attempt_status, **changes)
 
 
-def test_an_attempt_that_is_over_is_unbound_and_waits_again() -> None:
+def test_a_task_whose_attempt_has_ended_is_unbound_and_retried() -> None:
     controller, job, _ = make()
     controller.observe_statuses([status(0, AttemptState.GONE)])
     assert job.tasks[0].machine is None
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize(
     "stale", [{"fencing_token": TOKEN - 1}, {"attempt": 2}, {"machine": "host-2"}]
 )
-def test_a_status_of_another_attempt_machine_or_token_changes_nothing(stale: Any) -> None:
+def test_a_status_of_another_attempt_machine_or_token_is_ignored(stale: Any) -> None:
     controller, job, _ = make()
     controller.observe_statuses([status(0, AttemptState.GONE, **stale)])
     assert job.tasks[0].machine == "host-0"
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("answer", [AttemptState.GONE, AttemptState.REFUSED, AttemptState.KEPT])
-def test_a_task_that_is_done_is_cleared_at_its_machine_and_not_tried_again(answer: str) -> None:
+def test_a_task_that_is_done_is_cleared_on_its_machine_and_not_retried(answer: str) -> None:
     controller, job, _ = make()
     controller.observe_statuses([status(0, AttemptState.ENDED, "done")])
     assert job.done_count == 1 and not job.retry_queue
@@ -91,7 +91,7 @@
     assert job.done_count == 1 and job.bound == 1
 
 
-def test_a_service_never_is_done() -> None:
+def test_a_service_is_never_done() -> None:
     controller, job, _ = make(msgspec.structs.replace(SPEC, shape="standing"))
     controller.observe_statuses([status(0, AttemptState.ENDED, "done")])
     assert job.done_count == 0 and list(job.retry_queue) == [0]
@@ -105,14 +105,14 @@
     assert job.tasks[0].not_before == controller.attempt_statuses.timeouts.retry
 
 
-def test_a_refused_start_waits_for_half_a_heartbeat_and_is_no_failure() -> None:
+def test_a_refused_start_is_retried_after_half_a_heartbeat_and_is_no_failure() -> None:
     controller, job, _ = make()
     controller.observe_statuses([status(0, AttemptState.REFUSED)])
     assert job.tasks[0].failures == 0
     assert job.tasks[0].not_before == controller.attempt_statuses.timeouts.heartbeat / 2
 
 
-def test_a_cancellation_that_only_the_mirror_knows_is_applied_with_the_end() -> None:
+def test_a_cancellation_held_only_by_the_mirror_is_applied_when_an_attempt_ends() -> None:
     controller, job, _ = make()
     controller.mirror.announced_cancellations["j-1"] = 20
     controller.observe_statuses([status(0, AttemptState.GONE)])
@@ -120,7 +120,7 @@
     assert not job.waiting(100.0, 1)
 
 
-def test_all_of_a_gang_are_done_with_one() -> None:
+def test_all_tasks_of_a_gang_are_done_with_the_first() -> None:
     controller, job, _ = make(GANG)
     controller.observe_statuses([status(0, AttemptState.ENDED, "done")])
     assert job.done_count == 2 and job.bound == 0
@@ -128,7 +128,7 @@
     assert sorted(controller.assignments.pending_clears) == ["host-0", "host-1"]
 
 
-def test_a_gang_that_found_no_replacement_in_time_is_stopped_once() -> None:
+def test_a_gang_without_a_replacement_in_time_is_stopped_once() -> None:
     controller, job, clock = make(GANG)
     controller.observe_statuses([status(0, AttemptState.GONE)])
     controller.gang_attempts.stop_incomplete(clock.seconds() + 9.0)
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize("changes", [{"exit_reason": "peers"}, {"saved": True}])
-def test_a_gang_that_had_started_is_stopped_with_the_loss_of_one(changes: Any) -> None:
+def test_a_gang_that_had_started_is_stopped_when_it_loses_a_task(changes: Any) -> None:
     controller, job, _ = make(GANG)
     controller.observe_statuses([status(0, AttemptState.ENDED, **changes)])
     assert job.gang.stopping and job.gang.failures == 0
@@ -155,20 +155,20 @@
     assert [task.avoid for task in job.tasks.values()] == [{"host-0"}, {"host-1"}]
 
 
-def test_what_was_on_a_machine_that_is_in_no_shard_any_more_waits_again() -> None:
+def test_a_task_on_a_machine_that_left_its_shard_is_retried() -> None:
     controller, job, _ = make()
     job.tasks[1].stored = False
     controller.mirror.observe(keys.shard("s-1"), None, 9)
     controller.attempt_statuses.end_attempts_on_vanished_machines()
     assert job.tasks[0].machine is None
-    # Its record is not stored yet: that comes first.
+    # The other task's binding is not stored yet, so its attempt is not ended yet.
     assert job.tasks[1].machine == "host-1"
 
 
-def test_what_is_bound_anew_counts_against_its_room_until_it_is_published() -> None:
+def test_a_newly_bound_task_is_unpublished_until_its_desired_state_is_sent() -> None:
     controller, job, _ = make()
     controller.observe_statuses([status(0, AttemptState.GONE)])
-    task = job.take(0)
+    task = job.dequeue(0)
     job.bind(0, "host-2")
     controller.assignments.assign_new("host-2", job, 0, task)
     assert list(controller.assignments.unpublished) == [TaskKey("j-1", 0)]
--- a/tests/test_desired_state.py
+++ b/tests/test_desired_state.py
@@ -1,4 +1,4 @@
-"""What is desired of an attempt, case by case, and how messages are cut."""
+"""The desired action for an attempt, and the division of updates into messages."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 def bound(spec: JobSpec = SPEC, stored: bool = True) -> tuple[Job, Task]:
     job = Job(spec, "rig-0.1", ChunkLayout(46), 0.0)
     if spec.is_gang:
-        job.gang.begin()
+        job.gang.begin_attempt()
     for index in range(spec.tasks):
-        job.take(index)
+        job.dequeue(index)
         job.bind(index, f"host-{index}")
         job.tasks[index].attempt, job.tasks[index].stored = 1, stored
     return job, job.tasks[0]
@@ -39,15 +39,15 @@
     return desired_action(job, task, now, lambda _: may_start)
 
 
-def test_what_is_stored_and_within_its_quota_runs() -> None:
+def test_a_stored_task_within_its_quota_runs() -> None:
     assert action(*bound()) is DesiredAction.RUN
 
 
-def test_what_exceeds_its_quota_is_held() -> None:
+def test_a_task_that_exceeds_its_quota_is_held() -> None:
     assert action(*bound(), may_start=False) is DesiredAction.HOLD
 
 
-def test_what_is_not_stored_is_held_also_if_its_job_is_cancelled() -> None:
+def test_a_task_that_is_not_stored_is_held_even_if_its_job_is_cancelled() -> None:
     job, task = bound(stored=False)
     assert action(job, task) is DesiredAction.HOLD
     job.status = JobStatus.CANCELLED
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("may_start", [True, False])
-def test_what_is_cancelled_or_preempted_is_stopped_whatever_its_quota(may_start: bool) -> None:
+def test_a_cancelled_or_preempted_task_is_stopped_whatever_its_quota(may_start: bool) -> None:
     job, task = bound()
     task.preempted_for_quota = True
     assert action(job, task, may_start) is DesiredAction.STOP
@@ -64,18 +64,18 @@
     assert action(job, job.tasks[1], may_start) is DesiredAction.STOP
 
 
-def test_all_of_a_gang_that_stops_are_stopped() -> None:
+def test_all_tasks_of_a_stopping_gang_are_stopped() -> None:
     job, task = bound(msgspec.structs.replace(SPEC, shape="ensemble"))
     assert action(job, task) is DesiredAction.RUN
     job.gang.stopping = True
     assert {action(job, each) for each in job.tasks.values()} == {DesiredAction.STOP}
 
 
-def test_the_quota_is_not_asked_about_what_is_held_or_stopped_anyway() -> None:
-    asked: list[Job] = []
+def test_the_quota_is_not_checked_for_tasks_that_are_held_or_stopped_anyway() -> None:
+    checked_jobs: list[Job] = []
 
     def may_start(job: Job) -> bool:
-        asked.append(job)
+        checked_jobs.append(job)
         return True
 
     job, task = bound(stored=False)
@@ -83,10 +83,10 @@
     job, task = bound()
     job.status = JobStatus.CANCELLED
     desired_action(job, task, 0.0, may_start)
-    assert asked == []
+    assert checked_jobs == []
 
 
-def test_each_field_of_a_desired_attempt_has_its_place() -> None:
+def test_each_field_of_a_desired_attempt_has_its_value() -> None:
     job, task = bound()
     task.attempt, task.preempt = 3, True
     found = desired_attempt("host-0", 9, "j-1/0", AssignedTask(job, task), DesiredAction.RUN)
@@ -110,20 +110,20 @@
     }
 
 
-def test_a_gang_that_has_lost_a_task_saves_nothing() -> None:
+def test_a_gang_that_has_lost_a_task_saves_no_checkpoint() -> None:
     job, task = bound(msgspec.structs.replace(SPEC, shape="ensemble"))
     assigned = AssignedTask(job, task)
     assert desired_attempt("host-0", 9, "j-1/0", assigned, DesiredAction.RUN).saves
-    job.gang.broken = True
+    job.gang.cannot_save = True
     assert not desired_attempt("host-0", 9, "j-1/0", assigned, DesiredAction.STOP).saves
 
 
-def test_a_task_is_named_by_its_job_and_index() -> None:
+def test_a_task_key_names_the_job_and_the_index() -> None:
     assert TaskKey("j-1", 2).name == "j-1/2"
     assert {TaskKey("j-1", 2): "kept"}[TaskKey("j-1", 2)] == "kept"
 
 
-def test_parts_are_cut_in_order_and_none_is_too_large_but_for_one_machine() -> None:
+def test_machines_are_split_in_order_and_only_one_machine_may_exceed_the_size() -> None:
     sizes = {"a": 3, "b": 2, "c": 9, "d": 1}
     assert split_by_size(["d", "c", "b", "a", "e"], sizes, 5) == [{"a", "b"}, {"c"}, {"d", "e"}]
     assert split_by_size(["a"], sizes, 1) == [{"a"}]
--- a/tests/test_failure_backoff.py
+++ b/tests/test_failure_backoff.py
@@ -1,4 +1,4 @@
-"""A job that fails everywhere is held back, and machines are told from jobs by their failures."""
+"""Backoff of jobs that fail everywhere, and attribution of failures to jobs or to machines."""
 
 from __future__ import annotations
 
@@ -9,14 +9,18 @@
 from beamspar.settings import OperatorSettings, Settings
 from beamspar.state.control_records import Machine
 from beamspar.timeouts import Timeouts
-from beamspar.workload.failure_backoff import CONCURRENT_PROBES, MAX_PROBE_PAUSE, FailureBackoff
+from beamspar.workload.failure_backoff import (
+    CONCURRENT_PROBES,
+    MAX_PROBE_PAUSE_INTERVALS,
+    FailureBackoff,
+)
 from tests.standins.world import World
 
 RETRY_S = 0.5
 
 
 def failing(machines: int, now: float = 0.0) -> FailureBackoff:
-    """A job that failed on so many machines."""
+    """Return the backoff of a job that failed on this number of machines."""
     backoff = FailureBackoff()
     for number in range(machines):
         backoff.record_failure(f"host-{number}", now, RETRY_S)
@@ -24,49 +28,49 @@
 
 
 def machine(name: str) -> ManagedMachine:
-    """A managed machine that has not failed anything yet."""
+    """Return a managed machine without failures."""
     return ManagedMachine(Machine(name, f"{name}:9000", "small", "east"), 7, 0.0, 0.0)
 
 
 def evidence() -> FaultEvidence:
-    """A machine controller's evidence, with the stand-ins' durations."""
+    """Return a machine controller's fault evidence, with the timeouts of the simulation."""
     settings: Settings = World().settings["rig-0"]
     return FaultEvidence(Timeouts(settings, OperatorSettings()))
 
 
-def test_two_machines_do_not_blame_a_job() -> None:
-    assert failing(2).may_start(200, 0, 0, 0.1) == 200
+def test_failures_on_two_machines_are_not_attributed_to_the_job() -> None:
+    assert failing(2).bindable_count(200, 0, 0, 0.1) == 200
 
 
-def test_probes_after_a_pause_that_grows() -> None:
+def test_probes_run_after_a_pause_that_grows() -> None:
     backoff = failing(3)
     assert backoff.is_job_at_fault
-    assert backoff.may_start(200, 0, 0, RETRY_S * 0.9) == 0
-    assert backoff.may_start(200, 0, 0, RETRY_S) == CONCURRENT_PROBES
-    assert backoff.may_start(200, CONCURRENT_PROBES, 0, RETRY_S) == 0
+    assert backoff.bindable_count(200, 0, 0, RETRY_S * 0.9) == 0
+    assert backoff.bindable_count(200, 0, 0, RETRY_S) == CONCURRENT_PROBES
+    assert backoff.bindable_count(200, CONCURRENT_PROBES, 0, RETRY_S) == 0
     backoff.record_failure("host-9", RETRY_S, RETRY_S)
-    assert backoff.may_start(200, 0, 0, RETRY_S * 2.9) == 0
-    assert backoff.may_start(200, 0, 0, RETRY_S * 3) == CONCURRENT_PROBES
+    assert backoff.bindable_count(200, 0, 0, RETRY_S * 2.9) == 0
+    assert backoff.bindable_count(200, 0, 0, RETRY_S * 3) == CONCURRENT_PROBES
     now = 1000.0
     for _ in range(20):
         backoff.record_failure("host-9", now, RETRY_S)
-        now += RETRY_S * MAX_PROBE_PAUSE
-    assert backoff.may_start(200, 0, 0, now) == CONCURRENT_PROBES
+        now += RETRY_S * MAX_PROBE_PAUSE_INTERVALS
+    assert backoff.bindable_count(200, 0, 0, now) == CONCURRENT_PROBES
 
 
-def test_a_job_that_mostly_runs_is_not_held_back() -> None:
-    assert failing(3).may_start(200, 50, 50, 0.1) == 200
+def test_a_job_with_more_running_tasks_than_failures_is_not_backed_off() -> None:
+    assert failing(3).bindable_count(200, 50, 50, 0.1) == 200
 
 
-def test_one_success_ends_it() -> None:
+def test_one_success_ends_the_backoff() -> None:
     backoff = failing(5)
     backoff.record_success()
-    assert backoff.may_start(200, 0, 0, 0.1) == 200
+    assert backoff.bindable_count(200, 0, 0, 0.1) == 200
     assert not backoff.record_failure("host-1", 1.0, RETRY_S)
-    assert backoff.may_start(200, 0, 0, 1.1) == 200
+    assert backoff.bindable_count(200, 0, 0, 1.1) == 200
 
 
-def test_two_jobs_speak_against_a_machine_unless_their_job_controllers_blame_them() -> None:
+def test_failures_of_two_jobs_are_attributed_to_the_machine_unless_the_jobs_are_at_fault() -> None:
     faults, one = evidence(), machine("host-1")
     assert faults.attribute_failure(one, "j-1", False, 1.0) == ["j-1"]
     assert faults.attribute_failure(one, "j-2", False, 2.0) == ["j-1", "j-2"]
@@ -76,10 +80,12 @@
     faults.mark_job_at_fault("j-2", [one])
     assert one.quarantined_until == 0.0
     assert faults.attribute_failure(one, "j-2", True, 3.0) == []
-    assert faults.attribute_failure(one, "j-1", False, 3.0) == [], "it was blamed before"
+    assert faults.attribute_failure(one, "j-1", False, 3.0) == [], (
+        "the failure was attributed to the job before"
+    )
 
 
-def test_a_faulty_machine_is_found_beside_a_job_to_blame() -> None:
+def test_a_faulty_machine_is_detected_beside_a_job_at_fault() -> None:
     faults, one = evidence(), machine("host-1")
     faults.mark_job_at_fault("j-broken", [one])
     assert faults.attribute_failure(one, "j-broken", True, 1.0) == []
@@ -88,7 +94,7 @@
     assert one.is_degraded
 
 
-def test_memory_is_bounded() -> None:
+def test_the_memory_for_fault_evidence_is_bounded() -> None:
     faults, one = evidence(), machine("host-1")
     for number in range(MOST_JOBS * 2):
         faults.attribute_failure(one, f"j-{number}", False, float(number))
--- a/tests/test_gang.py
+++ b/tests/test_gang.py
@@ -1,11 +1,11 @@
-"""What a gang's attempt needs, phase by phase."""
+"""Phases of a gang's attempt: placement, replacement of lost tasks, stop and retry."""
 
 from __future__ import annotations
 
 from beamspar.protocol.jobs import JobSpec
 from beamspar.quota import quota_preemption
 from beamspar.state.job_records import ChunkLayout
-from beamspar.workload.gang import MAX_RETRY_DELAY, Gang, GangPhase
+from beamspar.workload.gang import MAX_RETRY_DELAY_INTERVALS, Gang, GangPhase
 from beamspar.workload.job import Job
 
 WAIT = 40.0
@@ -16,7 +16,7 @@
 
 def bound() -> Gang:
     gang = Gang()
-    gang.begin()
+    gang.begin_attempt()
     return gang
 
 
@@ -24,7 +24,7 @@
     return gang.phase(4, bound_count, now, WAIT)
 
 
-def test_with_none_bound_it_waits_to_be_placed_whole() -> None:
+def test_a_gang_with_no_task_bound_waits_to_be_placed_as_a_whole() -> None:
     assert phase(Gang(), 0) is GangPhase.WAITING
     assert phase(bound(), 4) is GangPhase.WHOLE
 
@@ -34,21 +34,21 @@
     gang.observe_state("gathering")
     gang.observe_lost_task("host-1", 5.0, may_replace=True)
     assert phase(gang, 3, 5.0) is GangPhase.INCOMPLETE
-    assert gang.left == {"host-1"}
+    assert gang.excluded_machines == {"host-1"}
 
 
-def test_a_replacement_is_not_looked_for_for_ever() -> None:
+def test_a_gang_without_a_replacement_in_time_is_stopped() -> None:
     gang = bound()
     gang.observe_lost_task("host-1", 5.0, may_replace=True)
     assert phase(gang, 3, 14.0) is GangPhase.INCOMPLETE
     assert phase(gang, 3, 16.0) is GangPhase.STOPPING
-    # Completed in time, the next loss has its own.
-    gang.completed()
+    # Once the gang was complete again, the next loss has the full time for a replacement.
+    gang.mark_whole()
     gang.observe_lost_task("host-2", 30.0, may_replace=True)
     assert phase(gang, 3, 31.0) is GangPhase.INCOMPLETE
 
 
-def test_a_task_lost_after_the_start_stops_all() -> None:
+def test_a_task_lost_after_the_start_stops_all_tasks() -> None:
     gang = bound()
     gang.observe_state("running")
     gang.observe_lost_task("host-1", 5.0, may_replace=True)
@@ -56,24 +56,24 @@
     assert phase(gang, 0, 5.0) is GangPhase.WAITING
 
 
-def test_peers_that_are_gone_stop_all_though_no_start_was_seen() -> None:
+def test_lost_peers_stop_all_tasks_even_if_no_start_was_observed() -> None:
     gang = bound()
     gang.observe_state("gathering")
     gang.observe_lost_task("host-1", 5.0, may_replace=False)
     assert phase(gang, 3, 5.0) is GangPhase.STOPPING
 
 
-def test_one_that_saves_stops_all() -> None:
+def test_a_task_that_saves_a_checkpoint_stops_all_tasks() -> None:
     gang = bound()
     gang.observe_state("running")
     assert phase(gang, 4) is GangPhase.WHOLE
     gang.observe_state("saving")
     assert phase(gang, 4) is GangPhase.STOPPING
-    gang.begin()
+    gang.begin_attempt()
     assert phase(gang, 4) is GangPhase.WHOLE
 
 
-def test_restored_with_a_loss_it_waits_until_its_state_is_reported() -> None:
+def test_a_gang_restored_with_a_lost_task_waits_for_a_reported_state() -> None:
     gang = Gang()
     assert phase(gang, 3) is GangPhase.UNKNOWN
     gang.observe_state("gathering")
@@ -82,24 +82,24 @@
     assert phase(gang, 3) is GangPhase.STOPPING
 
 
-def test_pauses_grow_and_differ_between_jobs() -> None:
+def test_retry_delays_grow_and_differ_between_jobs() -> None:
     gang = bound()
-    assert gang.pause("j-1", 0.5) == 0.5
-    pauses = []
+    assert gang.retry_delay_s("j-1", 0.5) == 0.5
+    delays = []
     for _ in range(8):
         gang.failures += 1
-        pauses.append(gang.pause("j-1", 0.5))
-    assert pauses == sorted(pauses) and pauses[0] > 0.5
-    assert pauses[-1] <= 0.5 * MAX_RETRY_DELAY * 1.5
-    assert gang.pause("j-1", 0.5) != gang.pause("j-2", 0.5)
+        delays.append(gang.retry_delay_s("j-1", 0.5))
+    assert delays == sorted(delays) and delays[0] > 0.5
+    assert delays[-1] <= 0.5 * MAX_RETRY_DELAY_INTERVALS * 1.5
+    assert gang.retry_delay_s("j-1", 0.5) != gang.retry_delay_s("j-2", 0.5)
     gang.observe_state("running")
-    assert gang.pause("j-1", 0.5) == 0.5
+    assert gang.retry_delay_s("j-1", 0.5) == 0.5
 
 
 def job(spec: JobSpec, since: float) -> Job:
     made = Job(spec, "rig-0.1", ChunkLayout(46), since)
     for index in range(spec.tasks):
-        task = made.take(index)
+        task = made.dequeue(index)
         task.machine, task.stored, task.attempt = f"host-{index}", True, 1
     return made
 
@@ -111,7 +111,7 @@
     assert [(unit.job.id, len(unit.tasks), unit.cpus) for unit in units] == [("j-1", 4, 8.0)]
 
 
-def test_a_replacement_has_the_number_of_the_others() -> None:
+def test_a_replacement_has_the_attempt_number_of_the_other_tasks() -> None:
     gang = job(SPEC, since=0.0)
     gang.tasks[2].machine = None
     assert gang.next_attempt == 1
@@ -120,11 +120,11 @@
     assert gang.next_attempt == 2
 
 
-def test_a_gang_that_must_pause_is_not_placed_in_part() -> None:
+def test_a_gang_is_not_placed_while_one_of_its_tasks_must_pause() -> None:
     gang = Job(SPEC, "rig-0.1", ChunkLayout(46), 0.0)
     assert gang.waiting(0.0, 1) == [0, 1, 2, 3]
     for index in range(4):
-        gang.take(index)
+        gang.dequeue(index)
         gang.retry_queue.append(index)
     gang.tasks[3].not_before = 5.0
     assert gang.waiting(4.0, 200) == []
--- a/tests/test_job_controller.py
+++ b/tests/test_job_controller.py
@@ -1,4 +1,4 @@
-"""Reads of jobs that are overtaken by what happens meanwhile, with the state service scripted."""
+"""Loads of jobs that race with other changes, with a scripted state service."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
 
 
 class SlowStore:
-    """Holds back the tasks of a large job until told."""
+    """Delays the replies with the chunks of a large job until the test releases them."""
 
     def __init__(self) -> None:
         record = JobRecord(msgspec.to_builtins(SPEC), "rig-1.1")
         self.item = KeyValue("job/j-1", msgspec.to_builtins(record), 7)
-        self.waiting: list[Deferred[Any]] = []
-        # Are lists of jobs held back, too?
-        self.slow_scans = False
+        self.pending_replies: list[Deferred[Any]] = []
+        # Whether lists of jobs are delayed, too.
+        self.delays_job_lists = False
 
     async def scan(self, prefix: str, *rest: Any) -> tuple[list[KeyValue], int]:
         if prefix == "job/":
             found = [self.item]
-            if self.slow_scans:
+            if self.delays_job_lists:
                 done: Deferred[Any] = Deferred()
-                self.waiting.append(done)
+                self.pending_replies.append(done)
                 await done
             return found, 9
         held: Deferred[Any] = Deferred()
-        self.waiting.append(held)
+        self.pending_replies.append(held)
         await held
         return [], 9
 
@@ -58,11 +58,11 @@
     return controller, store
 
 
-def test_a_job_that_ended_while_it_was_read_is_not_loaded_again() -> None:
+def test_a_job_that_ended_while_it_was_being_read_is_not_loaded_again() -> None:
     controller, store = make()
     ensureDeferred(controller.load())
     ensureDeferred(controller.adopt("j-1"))
-    first, second = store.waiting
+    first, second = store.pending_replies
     second.callback(None)
     controller.forget(controller.jobs["j-1"], ended=True)
     first.callback(None)
@@ -74,40 +74,40 @@
     controller, store = make()
     ensureDeferred(controller.load())
     controller.registration.mirror.observe_cancellations({"j-1": 20})
-    store.waiting[0].callback(None)
+    store.pending_replies[0].callback(None)
     assert controller.jobs["j-1"].status == "withdrawn"
     assert not controller.jobs["j-1"].waiting(0.0, 1)
 
 
 def test_a_job_read_before_its_partition_was_taken_over_is_read_again() -> None:
-    """Its former controller may have written it since: bound elsewhere, or done."""
+    """The previous owner may have written it after the first read, as bound elsewhere or done."""
     controller, store = make()
-    store.slow_scans = True
+    store.delays_job_lists = True
     ensureDeferred(controller.load())
     controller.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
     newer = KeyValue("job/j-1", {**store.item.value, "t": {"b": [(0, 1, "host-1")]}}, 8)
-    # Lost and regained while the first reading is under way.
+    # The partition is lost and regained while the first read is in progress.
     controller.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 10)
     store.item = newer
     ensureDeferred(controller.load())
     for _ in range(4):
-        for held in store.waiting[:]:
-            store.waiting.remove(held)
+        for held in store.pending_replies[:]:
+            store.pending_replies.remove(held)
             held.callback(None)
-        if len(store.waiting) == 1:
-            assert controller.loaded == set(), "only the second reading counts"
+        if len(store.pending_replies) == 1:
+            assert controller.loaded == set(), "only the second read counts"
     assert controller.loaded == {"rig-1.1"}
     assert controller.jobs["j-1"].version == 8
     assert controller.jobs["j-1"].bound == 1
 
 
-def test_a_partition_that_was_lost_while_it_was_read_is_not_marked_as_loaded() -> None:
+def test_a_partition_lost_while_it_was_being_read_is_not_marked_as_loaded() -> None:
     controller, store = make()
-    store.slow_scans = True
+    store.delays_job_lists = True
     ensureDeferred(controller.load())
     controller.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
     controller.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 10)
-    while store.waiting:
-        store.waiting.pop().callback(None)
+    while store.pending_replies:
+        store.pending_replies.pop().callback(None)
     assert controller.loaded == set()
     assert controller.jobs == {}
--- a/tests/test_many_tasks.py
+++ b/tests/test_many_tasks.py
@@ -1,4 +1,4 @@
-"""Jobs of thousands of short tasks: their cost does not grow with the square of their number."""
+"""Jobs with thousands of short tasks: their cost must not grow quadratically with the tasks."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 def scanned_counts(job: Job) -> tuple[int, int, dict[str, int]]:
-    """Bound and running tasks and those of each machine, by a scan of all tasks."""
+    """Count the bound and running tasks, and those on each machine, by a scan of all tasks."""
     bound = [task for task in job.tasks.values() if task.machine is not None]
     machines = [str(task.machine) for task in bound]
     running = sum(1 for task in bound if task.state == "running")
     return len(bound), running, {name: machines.count(name) for name in set(machines)}
 
 
-def test_a_jobs_counts_equal_a_scan_of_its_tasks() -> None:
+def test_incremental_counts_equal_a_scan_of_the_tasks() -> None:
     rng = random.Random(5)
     spec = JobSpec("j-1", "sweep", "red", "sweep", "low", 60, 1.0, 0.0, 1.0, "img", 1.0)
     job = Job(spec, "rig-0.1", ChunkLayout(8), 0.0)
@@ -36,7 +36,7 @@
         action = rng.choice(["bind", "unbind", "run", "save", "done"])
         if action == "bind" and waiting:
             index = rng.choice(waiting)
-            job.take(index)
+            job.dequeue(index)
             job.bind(index, rng.choice(MACHINES))
         elif bound:
             index = rng.choice(bound)
@@ -59,7 +59,7 @@
 
 @pytest.fixture(scope="module")
 def job_arrays() -> tuple[World, dict[str, int]]:
-    """Two low-priority job arrays of 600 short tasks on 24 machines, and the rounds of placing."""
+    """Run two low-priority job arrays of 600 short tasks on 24 machines; count placement rounds."""
     counts = {"rounds": 0}
 
     def counted(kind: type, method: str, name: str) -> None:
@@ -99,8 +99,8 @@
     assert world.checker.broken == []
 
 
-def test_rounds_of_placing_are_bounded_by_time(job_arrays: tuple[World, dict[str, int]]) -> None:
-    # Each end of a task began a round: 1,200 and more of them.
+def test_the_rate_of_placement_rounds_is_bounded(job_arrays: tuple[World, dict[str, int]]) -> None:
+    # Without a minimum interval, each task that ended began a round: more than 1,200 rounds.
     _, counts = job_arrays
     heartbeat = 0.5
     assert counts["rounds"] <= 3 * 52.0 / (heartbeat * 0.1)
@@ -130,15 +130,15 @@
 
 
 def test_a_large_desired_state_update_is_followed_by_a_pause() -> None:
-    """Changes on machines with hundreds of tasks are sent together."""
-    told: list[tuple[tuple[int, str], float, int]] = []
-    tell = Assignments._send_part
+    """Each change on a machine with hundreds of tasks sends all of them, so changes are batched."""
+    sent: list[tuple[tuple[int, str], float, int]] = []
+    send_part = Assignments._send_part
 
-    async def counted(self: Assignments, holder: str, machines: set[str] | None) -> bool:
+    async def counted(self: Assignments, member: str, machines: set[str] | None) -> bool:
         before = self.attempts_sent
-        heard = await tell(self, holder, machines)
-        told.append(((id(self), holder), self.clock.seconds(), self.attempts_sent - before))
-        return heard
+        is_acknowledged = await send_part(self, member, machines)
+        sent.append(((id(self), member), self.clock.seconds(), self.attempts_sent - before))
+        return is_acknowledged
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(Assignments, "_send_part", counted)
@@ -152,15 +152,15 @@
             8.0, lambda: world.submit("j-0", parcels=1500, run_s=3.0, standby=True, **shape)
         )
         world.run(40.0)
-    large = [entry for entry in told if entry[2] >= LARGE_PUBLICATION_ATTEMPTS]
+    large = [entry for entry in sent if entry[2] >= LARGE_PUBLICATION_ATTEMPTS]
     assert len(large) > 10
     for pair, at, desired_attempts in large:
-        following = [later for other, later, _ in told if other == pair and later > at]
+        following = [later for other, later, _ in sent if other == pair and later > at]
         pause = 0.5 * desired_attempts / MAX_DESIRED_ATTEMPTS
         assert not following or following[0] >= at + pause * 0.99
 
 
-def test_low_priority_work_waits_while_the_processors_are_busy() -> None:
+def test_low_priority_jobs_wait_while_the_processors_are_busy() -> None:
     world = World(4, machines=[{"kind": "small", "zone": zone, "count": 4} for zone in ZONES])
     world.run(10.0)
     for name in world.names:
@@ -197,7 +197,7 @@
     assert world.running("j-1") == running
 
 
-def test_no_headroom_is_kept_for_work_of_the_lowest_priority() -> None:
+def test_no_headroom_is_kept_for_jobs_of_the_lowest_priority() -> None:
     world = World(2)
     world.clock.callLater(
         8.0, lambda: world.submit("j-low", parcels=3, shape="sweep", urgency="low", run_s=60.0)
--- a/tests/test_placement_round.py
+++ b/tests/test_placement_round.py
@@ -1,4 +1,4 @@
-"""What one round of placing takes on, and what it asks the leader for."""
+"""Selection of the work of one placement round, and its capacity requests to the leader."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     return Job(msgspec.structs.replace(SPEC, **changes), "rig-0.1", ChunkLayout(46), 0.0)
 
 
-def test_jobs_of_one_shape_leave_place_for_others() -> None:
+def test_jobs_of_one_shape_do_not_crowd_out_others() -> None:
     alike = [job(id=f"j-{number}") for number in range(100)]
     others = [
         job(id="j-large", cpus=8.0),
@@ -39,36 +39,36 @@
     assert select_jobs([*alike, *others]) == [*alike[:JOBS_PER_SHAPE], *others]
 
 
-def test_a_round_has_a_bounded_number_of_jobs() -> None:
+def test_the_number_of_jobs_in_a_round_is_bounded() -> None:
     jobs = [job(id=f"j-{number}", cpus=float(number)) for number in range(100)]
     assert select_jobs(jobs) == jobs[:JOBS_PER_ROUND]
 
 
-def test_what_starts_together_is_placed_whole_and_low_work_in_small_parts() -> None:
+def test_gangs_are_placed_as_a_whole_and_low_priority_jobs_in_small_parts() -> None:
     assert tasks_per_round(job()) == TASKS_PER_JOB
     assert tasks_per_round(job(priority="low")) == LOWEST_PRIORITY_TASKS_PER_JOB
     assert tasks_per_round(job(shape="ensemble", priority="low")) == 900
 
 
-def test_a_service_of_one_zone_is_placed_together_until_some_of_it_is_bound() -> None:
+def test_a_one_zone_service_is_placed_together_only_while_no_task_is_bound() -> None:
     service = job(shape="standing", one_zone=True, tasks=2)
     assert is_placed_together(service)
-    service.take(0)
+    service.dequeue(0)
     service.bind(0, "host-1")
     assert not is_placed_together(service)
     assert not is_placed_together(job())
 
 
 def failed(machine: str, not_before: float) -> Job:
-    found = job()
-    task = found.take(0)
+    failed_job = job()
+    task = failed_job.dequeue(0)
     task.avoid.add(machine)
     task.not_before = not_before
-    found.retry_queue.append(0)
-    return found
+    failed_job.retry_queue.append(0)
+    return failed_job
 
 
-def test_a_machine_where_a_task_failed_is_avoided_for_a_while() -> None:
+def test_a_machine_where_a_task_failed_is_avoided_only_for_a_while() -> None:
     assert avoided_machines(failed("host-1", 10.0), failed_after=9.0) == {"host-1"}
     assert avoided_machines(failed("host-1", 10.0), failed_after=10.0) == set()
 
@@ -80,30 +80,30 @@
     assert avoided_machines(everywhere, failed_after=9.0) == set()
 
 
-def test_a_gang_avoids_machines_of_its_present_attempt_only() -> None:
+def test_a_gang_avoids_only_machines_that_lost_a_task_of_its_current_attempt() -> None:
     gang = job(shape="ensemble", tasks=2)
-    gang.gang.begin()
-    gang.take(0)
+    gang.gang.begin_attempt()
+    gang.dequeue(0)
     gang.bind(0, "host-2")
-    gang.gang.left.add("host-1")
+    gang.gang.excluded_machines.add("host-1")
     assert avoided_machines(gang, failed_after=0.0) == {"host-1"}
     gang.unbind(0)
     assert avoided_machines(gang, failed_after=0.0) == set()
 
 
-def test_a_request_says_where_the_job_is_and_how_long_it_waits() -> None:
-    waiting = job()
-    waiting.take(0)
-    waiting.bind(0, "host-1")
+def test_a_capacity_request_has_the_jobs_placement_and_waiting_time() -> None:
+    pending_job = job()
+    pending_job.dequeue(0)
+    pending_job.bind(0, "host-1")
     request = capacity_request(
-        waiting, 3, {"host-3", "host-2"}, {"host-1": "east"}.__getitem__, 7.0
+        pending_job, 3, {"host-3", "host-2"}, {"host-1": "east"}.__getitem__, 7.0
     )
-    assert request.spec == msgspec.to_builtins(waiting.spec)
+    assert request.spec == msgspec.to_builtins(pending_job.spec)
     assert (request.count, request.zones, request.machines) == (3, {"east": 1}, {"host-1": 1})
     assert (request.avoid, request.waited_s) == (["host-2", "host-3"], 7.0)
 
 
-def test_offers_are_gathered_for_jobs_that_are_placed_together() -> None:
+def test_offers_are_grouped_for_jobs_that_are_placed_together() -> None:
     offers = [
         PlacementOffer("j-1", "host-1", True),
         PlacementOffer("j-2", "host-2"),
--- a/tests/test_quota_usage.py
+++ b/tests/test_quota_usage.py
@@ -1,4 +1,4 @@
-"""What counts against a team's quota: the most that a stored record may bind, chunk by chunk."""
+"""Usage of a team's quota: by chunk, the most tasks that memory or a stored record may bind."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def bound(tasks: int, chunk: int = 0) -> QuotaUsage:
-    """Tasks that are bound in one chunk, and stored."""
+    """Return the usage of a chunk with this number of bound tasks, all stored."""
     usage = QuotaUsage()
     for _ in range(tasks):
         usage.bind(chunk)
@@ -21,27 +21,27 @@
     usage = bound(3)
     usage.unbind(0)
     assert usage.tasks == 3
-    binding = usage.writing(0)
-    assert usage.tasks == 3, "the write may not have been carried out"
-    usage.written(0, binding)
+    written_tasks = usage.writing(0)
+    assert usage.tasks == 3, "the write may not have taken effect yet"
+    usage.written(0, written_tasks)
     assert usage.tasks == 2
 
 
-def test_a_task_takes_the_place_of_another_in_the_same_record() -> None:
+def test_a_task_uses_the_quota_of_an_ended_one_in_the_same_chunk() -> None:
     usage = bound(3)
     usage.unbind(0)
-    assert usage.extra([0]) == 0
-    assert usage.extra([0, 0]) == 1
-    assert usage.extra([1]) == 1, "another chunk may be stored first"
+    assert usage.additional_tasks([0]) == 0
+    assert usage.additional_tasks([0, 0]) == 1
+    assert usage.additional_tasks([1]) == 1, "another chunk may be stored first"
     usage.bind(0)
     assert usage.tasks == 3
 
 
-def test_a_write_without_an_answer_counts_until_one_is_stored() -> None:
+def test_a_write_without_a_reply_counts_until_a_later_one_is_stored() -> None:
     usage = bound(1)
     usage.bind(0)
     usage.writing(0)
-    # Refused by its machine controller: bound no more, but the write may have been carried out.
+    # Unbound as its machine controller refused it, but the write may have taken effect.
     usage.unbind(0)
     assert usage.tasks == 2
     usage.written(0, usage.writing(0))
@@ -52,7 +52,7 @@
     spec = JobSpec("j-1", "front", "red", "sweep", "normal", 8, 1.0, 0.0, 1.0, "img", 1.0)
     job = Job(spec, "rig-0.1", ChunkLayout(46, is_first_release=True), 0.0)
     for index in range(8):
-        job.take(index)
+        job.dequeue(index)
         job.bind(index, "host-1")
     job.quota_usage.written(0, job.quota_usage.writing(0))
     for index in (0, 1):
@@ -63,7 +63,7 @@
     for chunk in range(4):
         job.quota_usage.written(chunk, job.quota_usage.writing(chunk))
         assert job.quota_usage.tasks == 8
-        assert job.waiting(0.0, 8) == [], "nothing is bound meanwhile"
+        assert job.waiting(0.0, 8) == [], "no task is bound meanwhile"
     job.quota_usage.settle()
     assert job.quota_usage.tasks == 6
     assert job.waiting(0.0, 8) == [0, 1]
--- a/tests/test_task_retry.py
+++ b/tests/test_task_retry.py
@@ -1,4 +1,4 @@
-"""When and where a task that has failed is tried again."""
+"""When and where a task is retried after a failed attempt."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     assert pauses == [1, 1, 8, 16, 30, 30, 30, 30]
 
 
-def test_a_task_avoids_four_machines_and_with_the_fifth_none() -> None:
+def test_a_task_avoids_up_to_four_machines_and_none_after_the_fifth() -> None:
     task = Task()
     for number in range(MAX_AVOIDED_MACHINES):
         avoid_machine(task, f"host-{number}")
@@ -30,7 +30,7 @@
     assert task.avoid == set()
 
 
-def test_reasons_are_matched_as_the_strings_that_messages_have() -> None:
+def test_exit_reasons_equal_their_strings_in_messages() -> None:
     assert {"error", "no_room", "unknown", "in_use"} == FAILURE_REASONS
     assert {"alone", *FAILURE_REASONS} == GANG_FAILURE_REASONS
     reported: list[str | None] = ["no_room", "done", "evicted", None]
