--- a/src/beamspar/jobs/placement_round.py
+++ b/src/beamspar/jobs/placement_round.py
@@ -36,7 +36,7 @@
 
 
 class OfferedPlace(msgspec.Struct, frozen=True):
-    """A machine with capacity for one task, with `preempt` once lower-priority work has stopped."""
+    """A machine with capacity for one task, if `preempt` only after stopping lower-priority work."""
 
     machine: str
     preempt: bool = False
--- a/src/beamspar/jobs/task_retry.py
+++ b/src/beamspar/jobs/task_retry.py
@@ -33,7 +33,7 @@
 FAILURE_REASONS = frozenset(
     {ExitReason.ERROR, ExitReason.NO_ROOM, ExitReason.UNKNOWN, ExitReason.IN_USE}
 )
-# The gang's attempt failed to start; the gang is retried after a pause that grows in the same way.
+# The gang's attempt failed to start; the gang is retried after such a growing pause.
 GANG_FAILURE_REASONS = FAILURE_REASONS | {ExitReason.GANG_INCOMPLETE}
 # The gang's attempt cannot be completed by replacing the lost task.
 GANG_OVER_REASONS = frozenset({ExitReason.GANG_INCOMPLETE, ExitReason.PEERS_LOST})
