--- a/src/beamspar/jobs/placement_round.py
+++ b/src/beamspar/jobs/placement_round.py
@@ -36,7 +36,7 @@
 
 
 class OfferedPlace(msgspec.Struct, frozen=True):
-    """A machine with capacity for one task, if `preempt` only after stopping lower-priority work."""
+    """A machine for one task; with `preempt`, lower-priority work must be stopped there first."""
 
     machine: str
     preempt: bool = False
--- a/tests/test_desired_state.py
+++ b/tests/test_desired_state.py
@@ -89,8 +89,8 @@
 def test_each_field_of_a_desired_attempt_has_its_value() -> None:
     job, task = bound()
     task.attempt, task.preempt = 3, True
-    found = desired_attempt("host-0", 9, "j-1/0", AssignedTask(job, task), DesiredAction.RUN)
-    assert msgspec.structs.asdict(found) == {
+    attempt = desired_attempt("host-0", 9, "j-1/0", AssignedTask(job, task), DesiredAction.RUN)
+    assert msgspec.structs.asdict(attempt) == {
         "machine": "host-0",
         "fencing_token": 9,
         "task": "j-1/0",
--- a/tests/test_gang.py
+++ b/tests/test_gang.py
@@ -97,11 +97,11 @@
 
 
 def job(spec: JobSpec, since: float) -> Job:
-    made = Job(spec, "rig-0.1", ChunkLayout(46), since)
+    bound_job = Job(spec, "rig-0.1", ChunkLayout(46), since)
     for index in range(spec.tasks):
-        task = made.dequeue(index)
+        task = bound_job.dequeue(index)
         task.machine, task.stored, task.attempt = f"host-{index}", True, 1
-    return made
+    return bound_job
 
 
 def test_a_gang_is_preempted_as_a_whole() -> None:
--- a/tests/test_job_controller.py
+++ b/tests/test_job_controller.py
@@ -33,15 +33,15 @@
 
     async def scan(self, prefix: str, *rest: Any) -> tuple[list[KeyValue], int]:
         if prefix == "job/":
-            found = [self.item]
+            items = [self.item]
             if self.delays_job_lists:
-                done: Deferred[Any] = Deferred()
-                self.pending_replies.append(done)
-                await done
-            return found, 9
-        held: Deferred[Any] = Deferred()
-        self.pending_replies.append(held)
-        await held
+                list_reply: Deferred[Any] = Deferred()
+                self.pending_replies.append(list_reply)
+                await list_reply
+            return items, 9
+        chunk_reply: Deferred[Any] = Deferred()
+        self.pending_replies.append(chunk_reply)
+        await chunk_reply
         return [], 9
 
     async def get(self, key: str, *rest: Any) -> KeyValue | None:
@@ -91,9 +91,9 @@
     store.item = newer
     ensureDeferred(controller.load())
     for _ in range(4):
-        for held in store.pending_replies[:]:
-            store.pending_replies.remove(held)
-            held.callback(None)
+        for reply in store.pending_replies[:]:
+            store.pending_replies.remove(reply)
+            reply.callback(None)
         if len(store.pending_replies) == 1:
             assert controller.loaded == set(), "only the second read counts"
     assert controller.loaded == {"rig-1.1"}
