--- a/src/beamspar/jobs/placer.py
+++ b/src/beamspar/jobs/placer.py
@@ -170,9 +170,7 @@
     # -- one round
 
     async def place(self, jobs: list[Job]) -> None:
-        """Place tasks on local warm machines, then on the leader's offers, then on local cold
-        machines.
-        """
+        """Place tasks on local warm machines, then on offered ones, then on local cold ones."""
         jobs = [job for job in jobs if self._may_place(job)]
         if not jobs or not self.registration.lease_is_valid():
             return
--- a/src/beamspar/placement.py
+++ b/src/beamspar/placement.py
@@ -265,7 +265,7 @@
 
 
 def _after_preemption(spec: JobSpec, room: Room) -> Room:
-    """Return the machine's free capacity if all lower-priority work than the job were stopped."""
+    """Return the machine's free capacity with all work of lower priority than the job stopped."""
     enlarged = copy(room)
     if spec.rank < len(room.preemptible):
         cpus, gpus, memory_gb = room.preemptible[spec.rank]
@@ -323,7 +323,7 @@
 
 
 def slow_kinds(spec: JobSpec, within_s: float, kinds: Iterable[MachineType]) -> frozenset[str]:
-    """Return the machine types that fetch the image too slowly for a start within `within_s`."""
+    """Return the machine types that fetch the image too slowly for a start after `within_s`."""
     return frozenset(
         kind.name
         for kind in kinds
