--- a/src/beamspar/jobs/job_controller.py
+++ b/src/beamspar/jobs/job_controller.py
@@ -144,7 +144,7 @@
         """Load a stored job of an owned partition that is missing in memory."""
         job = await self.loader.adopt(job_id)
         if job is not None:
-            log.info("adopted {job}", job=job_id)
+            log.info("loaded {job}, which was stored but missing in memory", job=job_id)
             self.writer.flush(job)
             self.schedule()
 
--- a/src/beamspar/placement.py
+++ b/src/beamspar/placement.py
@@ -323,7 +323,7 @@
 
 
 def slow_kinds(spec: JobSpec, within_s: float, kinds: Iterable[MachineType]) -> frozenset[str]:
-    """Return the machine types that fetch the image too slowly for a start after `within_s`."""
+    """Return the machine types on which the image fetch alone takes too much of `within_s`."""
     return frozenset(
         kind.name
         for kind in kinds
