--- a/src/beamspar/node/__init__.py
+++ b/src/beamspar/node/__init__.py
@@ -1,1 +1,1 @@
-"""One controller: wires the actors together, serves users, workers and peers."""
+"""One controller process: connects its actors and serves users, workers and peers."""
--- a/src/beamspar/node/heartbeats.py
+++ b/src/beamspar/node/heartbeats.py
@@ -1,4 +1,4 @@
-"""This member's heartbeats to the leader."""
+"""Heartbeats from this member to the leader."""
 
 from __future__ import annotations
 
@@ -20,9 +20,10 @@
 
 
 class Heartbeats:
-    """Owns how much of this member's state the leader has acknowledged.
+    """Sends heartbeats and tracks how much of this member's state the leader has acknowledged_count.
 
-    One heartbeat is under way at a time, so that each builds on one that was taken in.
+    Only one heartbeat is in flight at a time, so that each is relative to one that the leader has
+    accepted.
     """
 
     def __init__(
@@ -41,17 +42,24 @@
         self.contacts = contacts
         self.timeouts = timeouts
         self.is_sending = False
-        # The leader that the last heartbeat went to.
+        # The leader to which the last heartbeat was sent.
         self.sent_to = ""
-        # The count of changes that it has taken in; 0: the next heartbeat tells all.
-        self.acknowledged = 0
+        # The change count that this leader has accepted; with 0 the next heartbeat carries the
+        # full state.
+        self.acknowledged_count = 0
 
-    def tell_all_next(self) -> None:
-        """The next heartbeat tells all: the counts of an earlier incarnation mean nothing."""
-        self.acknowledged = 0
+    def send_full_state_next(self) -> None:
+        """Send the full state with the next heartbeat.
+
+        Change counts of an earlier incarnation don't apply to the new one.
+        """
+        self.acknowledged_count = 0
 
     def observe(self, key: str) -> None:
-        """A new leader decides nothing before it has heard us: tell it all at once."""
+        """Send a heartbeat at once when the leader has changed.
+
+        A new leader makes no decisions before it has received the state of all live members.
+        """
         registration = self.current.registration
         if (
             key == keys.LEADER
@@ -65,7 +73,7 @@
             self.send()
 
     def send(self) -> None:
-        """Send a heartbeat to the leader, unless one is under way or it can't be reached."""
+        """Send a heartbeat to the leader, unless one is in flight or the leader is unreachable."""
         actors = self.current.actors
         if actors is None:
             return
@@ -74,18 +82,18 @@
         if leader is None or not registration.lease_is_valid() or self.is_sending:
             return
         if leader != registration.me and not self.peers.is_reachable(leader):
-            # A full picture with each heartbeat to a leader that is down would be wasted.
-            self.acknowledged = 0
+            # Building the full state for each heartbeat to a leader that is down would be wasted.
+            self.acknowledged_count = 0
             return
-        since = self.acknowledged if self.sent_to == leader else 0
+        since = self.acknowledged_count if self.sent_to == leader else 0
         heartbeat = summarize(actors, self.guidance, self.contacts, since)
         self.contacts.unassigned.clear()
-        self.sent_to, self.acknowledged = leader, 0
+        self.sent_to, self.acknowledged_count = leader, 0
         if leader == registration.me:
             response = actors.leader.heartbeat(heartbeat)
-            self._follow(response)
+            self._apply_response(response)
             if response.accepted:
-                self.acknowledged = heartbeat.count
+                self.acknowledged_count = heartbeat.count
         else:
             self.is_sending = True
             spawn(self._send_to(leader, heartbeat), "heartbeat")
@@ -96,15 +104,18 @@
                 leader, PeerPath.HEARTBEAT, heartbeat, self.timeouts.request
             )
             response: HeartbeatResponse = decode(body, HeartbeatResponse)
-            self._follow(response)
+            self._apply_response(response)
             if response.accepted and self.sent_to == leader:
-                self.acknowledged = heartbeat.count
+                self.acknowledged_count = heartbeat.count
         except (CallFailedError, ValueError) as error:
-            log.debug("heartbeat: {error}", error=error)
+            log.debug(
+                "heartbeat to the leader failed, the next one carries the full state: {error}",
+                error=error,
+            )
         finally:
             self.is_sending = False
 
-    def _follow(self, response: HeartbeatResponse) -> None:
+    def _apply_response(self, response: HeartbeatResponse) -> None:
         actors = self.current.actors
         self.guidance.observe(response, actors.registration.mirror.shard_of if actors else {})
         if actors is not None:
--- a/src/beamspar/node/incarnation.py
+++ b/src/beamspar/node/incarnation.py
@@ -1,4 +1,4 @@
-"""The actors of one incarnation of this controller, and which incarnation is the current one."""
+"""The actors of one incarnation of this controller, and the reference to the current one."""
 
 from __future__ import annotations
 
@@ -18,58 +18,59 @@
 
 
 class Actors(msgspec.Struct, eq=False):
-    """All that acts under one registration. They are replaced together when it is lost."""
+    """The actors that share one registration and are replaced together when it is lost."""
 
     registration: Registration
     machine_controller: MachineController
     job_controller: JobController
     leader: Leader
     quota_manager: QuotaManager
-    # Optional parts: None where the operator's settings turn them off.
+    # Optional actors: None if the operator's settings turn them off.
     standby: Standby | None = None
     sharing: Sharing | None = None
 
     def is_registered(self) -> bool:
-        """Has the registration been made, and not been lost?"""
+        """Whether the registration is complete and has not been lost."""
         return self.registration.started and not self.registration.lost
 
 
 class CurrentIncarnation:
-    """Owns which actors are the current ones.
+    """Holds the reference to the current actors.
 
-    Whatever outlives an incarnation holds this object and looks the actors up at each use; what it
-    looked up may be replaced while it waits for an answer.
+    Objects that outlive an incarnation hold this one and look the actors up at each use. Actors
+    that they looked up before an `await` may have been replaced after it.
     """
 
     def __init__(self) -> None:
-        # None before the first registration, and after this controller left the service.
+        # None before the first registration, and after this controller has left the service.
         self.actors: Actors | None = None
-        # The jobs of our partitions are in memory.
+        # Whether the jobs of this controller's partitions are in memory.
         self.is_loaded = False
-        # An operator let this controller leave the service: it does not register again.
+        # Whether this controller has left the service at an operator's request; it then does
+        # not register again.
         self.has_left = False
 
     def registered(self) -> Actors | None:
-        """The actors, if they are registered and have not lost their registration."""
+        """Return the actors, or None if they are not registered yet or not any more."""
         actors = self.actors
         return actors if actors is not None and actors.is_registered() else None
 
     def may_act(self) -> bool:
-        """Is this controller registered, loaded, and within its lease?"""
+        """Whether this controller is registered, has loaded its jobs and holds a valid lease."""
         registration = self.registration
         return self.is_loaded and registration is not None and registration.lease_is_valid()
 
     @property
     def registration(self) -> Registration | None:
-        """The current registration, which may not be complete or be lost already."""
+        """The current registration, which may be incomplete or already lost."""
         return self.actors.registration if self.actors is not None else None
 
     @property
     def machine_controller(self) -> MachineController | None:
-        """The controller of the machines in our shards."""
+        """The actor that controls the machines in this controller's shards."""
         return self.actors.machine_controller if self.actors is not None else None
 
     @property
     def job_controller(self) -> JobController | None:
-        """The controller of the jobs in our partitions."""
+        """The actor that controls the jobs in this controller's partitions."""
         return self.actors.job_controller if self.actors is not None else None
--- a/src/beamspar/node/leader_guidance.py
+++ b/src/beamspar/node/leader_guidance.py
@@ -1,4 +1,4 @@
-"""What the leader's last response to a heartbeat asks of this controller."""
+"""The instructions in the leader's last heartbeat response that this controller follows."""
 
 from __future__ import annotations
 
@@ -10,23 +10,24 @@
 
 
 class LeaderGuidance:
-    """Owns what the leader said last of reserved machines, accelerator work and image caches.
+    """Holds the leader's latest data on reserved machines, accelerator jobs and image caches.
 
     It outlives an incarnation of this controller.
     """
 
     def __init__(self) -> None:
-        # CPUs and memory that work with accelerators takes for each of them.
+        # CPUs and memory (GB) that jobs with accelerators use per accelerator.
         self.per_accelerator = (0.0, 0.0)
-        # Machines that are offered by the leader alone.
+        # Machines that only the leader may offer.
         self.reserved: frozenset[str] = frozenset()
-        # Per machine, the cached images and when each was used. Actors share this dictionary.
+        # Per machine, its cached images with their sizes in GB, the least recently used first.
+        # Actors share this dictionary.
         self.caches: dict[str, dict[str, float]] = {}
-        # Up to where the leader's changes of caches are known.
+        # The version of the leader's cache map up to which changes have been received.
         self.caches_known = 0
 
     def observe(self, response: HeartbeatResponse, assigned: Container[str]) -> None:
-        """Take the response in; caches are kept of machines that are in a shard."""
+        """Apply a response; cache entries are kept only for the `assigned` machines."""
         self.per_accelerator = response.per_gpu
         self.reserved = frozenset(response.reserved)
         self.caches_known = response.caches_known
@@ -36,5 +37,5 @@
                 del self.caches[name]
 
     def unreserved_rooms(self, machine_controller: MachineController) -> list[Room]:
-        """Our machines' room that the job controller here may use without asking the leader."""
+        """Return the free capacity that the local job controller may use without asking the leader."""
         return [room for room in machine_controller.rooms() if room.name not in self.reserved]
--- a/src/beamspar/node/member_summary.py
+++ b/src/beamspar/node/member_summary.py
@@ -1,4 +1,4 @@
-"""What a heartbeat tells the leader of this controller's jobs and machines."""
+"""The summary of this controller's jobs and machines that a heartbeat carries to the leader."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def summarize(
     actors: Actors, guidance: LeaderGuidance, contacts: WorkerContacts, since: int = 0
 ) -> MemberHeartbeat:
-    """What changed here after that count of changes; all of it from 0."""
+    """Return a heartbeat with the changes after the change count `since`; with 0 the full state."""
     registration, machine_controller = actors.registration, actors.machine_controller
     machines, count = machine_controller.views(since)
     may_move_machines = actors.sharing is not None
@@ -38,7 +38,7 @@
 
 
 def job_classes(job_controller: JobController) -> dict[str, JobClass]:
-    """Our live jobs by class."""
+    """Summarize the live jobs of this controller by class."""
     classes: dict[str, JobClass] = {}
     for job in live_jobs(job_controller):
         job_class = classes.get(job.spec.job_class)
@@ -52,10 +52,10 @@
 
 
 def demand(job_controller: JobController) -> int:
-    """Tasks of our jobs that are bound or waiting."""
+    """Return how many tasks of the live jobs are bound or pending."""
     return sum(job.spec.tasks - job.done_count for job in live_jobs(job_controller))
 
 
 def live_jobs(job_controller: JobController) -> list[Job]:
-    """Our jobs that are neither done nor cancelled."""
+    """Return the jobs of this controller that are neither done nor cancelled."""
     return [job for job in job_controller.jobs.values() if job.status == JobStatus.LIVE]
--- a/src/beamspar/node/node.py
+++ b/src/beamspar/node/node.py
@@ -1,4 +1,4 @@
-"""One controller process: builds its actors, starts them, and replaces them after a lost lease."""
+"""One controller process: builds and starts its actors, and replaces them after a lost lease."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 class Node:
-    """A controller. Its actors are made anew when its registration is lost."""
+    """A controller process, whose actors are rebuilt whenever its registration is lost."""
 
     def __init__(
         self,
@@ -76,23 +76,23 @@
         self.types = MachineTypes(clock, self.cloud, self.state, self.current, self.timeouts)
         addresses = {peer.member: peer.peer_addr for peer in settings.peers}
         self.peers = PeerClient(clock, net, addresses, self.timeouts)
-        self._make_messengers()
-        self._make_services()
+        self._build_messaging()
+        self._build_request_handlers()
 
-    def _make_messengers(self) -> None:
-        """What carries the actors' messages to peers, or to the actors here."""
+    def _build_messaging(self) -> None:
+        """Build the objects that deliver the actors' messages, to peers or within this process."""
         clock, current, peers, timeouts = self.clock, self.current, self.peers, self.timeouts
-        me = self.settings.member
+        own_name = self.settings.member
         self.guidance = LeaderGuidance()
         self.contacts = WorkerContacts(clock, timeouts)
         self.heartbeats = Heartbeats(clock, current, peers, self.guidance, self.contacts, timeouts)
         self.cancellations = CancellationNotices(current, peers, peers.addresses)
-        self.status_delivery = StatusDelivery(clock, me, current, peers)
-        self.desired_state_delivery = DesiredStateDelivery(me, current, peers, timeouts)
-        self.capacity_client = CapacityClient(me, current, peers, timeouts)
+        self.status_delivery = StatusDelivery(clock, own_name, current, peers)
+        self.desired_state_delivery = DesiredStateDelivery(own_name, current, peers, timeouts)
+        self.capacity_client = CapacityClient(own_name, current, peers, timeouts)
 
-    def _make_services(self) -> None:
-        """What answers users, workers, peers and operators."""
+    def _build_request_handlers(self) -> None:
+        """Build the objects that serve users, workers, peers and operators."""
         self.health = Health(
             self.clock, self.state, self.current, self.types, self.peers, self.timeouts
         )
@@ -121,54 +121,57 @@
 
     @property
     def registration(self) -> Registration | None:
-        """The current registration, which may not be complete or be lost already."""
+        """The current registration, which may be incomplete or already lost."""
         return self.current.registration
 
     @property
     def machine_controller(self) -> MachineController | None:
-        """The controller of the machines in our shards."""
+        """The actor that controls the machines in this controller's shards."""
         return self.current.machine_controller
 
     @property
     def job_controller(self) -> JobController | None:
-        """The controller of the jobs in our partitions."""
+        """The actor that controls the jobs in this controller's partitions."""
         return self.current.job_controller
 
     @property
     def leader(self) -> Leader | None:
-        """This controller's leader, which decides while it holds the leader's lease."""
+        """The leader actor, which makes decisions only while it holds the leader lease."""
         return self.current.actors.leader if self.current.actors is not None else None
 
     @property
     def quota_manager(self) -> QuotaManager | None:
-        """The teams' quotas in our partitions."""
+        """The actor that manages the teams' quotas in this controller's partitions."""
         return self.current.actors.quota_manager if self.current.actors is not None else None
 
     @property
     def standby(self) -> Standby | None:
-        """The copy of the leader's decisions, where it is turned on."""
+        """The standby, which replicates the leader's decisions; None if it is turned off."""
         return self.current.actors.standby if self.current.actors is not None else None
 
     @property
     def sharing(self) -> Sharing | None:
-        """The moving of machines between controllers, where it is turned on."""
+        """The actor that moves machines between controllers; None if it is turned off."""
         return self.current.actors.sharing if self.current.actors is not None else None
 
     @property
     def has_left(self) -> bool:
-        """An operator let this controller leave the service: it is not registered."""
+        """Whether this controller has left the service at an operator's request.
+
+        It is then not registered.
+        """
         return self.current.has_left
 
     # -- start and restart
 
     async def start(self) -> None:
-        """Listen first, so that workers and peers are answered; then register."""
+        """Start listening, so that workers and peers are served at once, and then register."""
         sockets = Sockets.of(self.settings.platform.limits.sockets, self.settings.platform.nodes)
         await self.net.listen(
             self.settings.public_addr, self.api.handle, sockets.public, BODY_LIMIT
         )
-        # A controller that holds most of a large fleet tells more at first contact than
-        # users and workers may send.
+        # The first heartbeat of a controller that holds most of a large fleet is larger than
+        # the limit for users' and workers' requests.
         await self.net.listen(
             self.settings.peer_bind, self.dispatch.handle, sockets.peers, MAX_PEER_MESSAGE_BYTES
         )
@@ -181,12 +184,15 @@
         spawn(self._register_and_start(), "registration")
 
     async def _register_and_start(self) -> None:
-        """Become a new incarnation; its fence renews the fencing tokens of our shards."""
+        """Register a new incarnation, start its actors and load its jobs.
+
+        The new fence also renews the fencing tokens of this controller's shards.
+        """
         current = self.current
         current.is_loaded = False
         actors = self._build_actors()
         current.actors = actors
-        self.heartbeats.tell_all_next()
+        self.heartbeats.send_full_state_next()
         await actors.registration.start()
         if actors.standby is not None:
             actors.standby.start()
@@ -194,7 +200,7 @@
         current.is_loaded = True
 
     def _restart(self, registration: Registration) -> None:
-        """The registration is lost: its actors act no more, and new ones take their place."""
+        """Replace the actors of a lost registration, unless this controller has left."""
         if registration is self.current.registration:
             self.current.actors = None
             if not self.current.has_left:
@@ -203,9 +209,10 @@
     # -- building the actors
 
     def _build_actors(self) -> Actors:
-        """New actors under a registration that is still to be made.
+        """Build new actors for a registration that has not been made yet.
 
-        Each listens to the mirror from its construction on, so their order is that of listeners.
+        Each actor subscribes to the mirror when it is constructed, so the order of construction
+        is the order in which they are notified.
         """
         clock, state, settings, timeouts = self.clock, self.state, self.settings, self.timeouts
         registration = Registration(clock, state, settings, timeouts)
@@ -247,7 +254,7 @@
         )
 
     def _connect(self, actors: Actors) -> None:
-        """Give each actor its ways to the others, here and at peers."""
+        """Connect each actor to the other actors, in this process and at peers."""
         job_controller, quota_manager = actors.job_controller, actors.quota_manager
         job_controller.quota_manager = quota_manager
         quota_manager.loaded = lambda: job_controller.loaded
@@ -290,7 +297,7 @@
             self.departure.resign,
         )
 
-    # -- what the actors ask
+    # -- callbacks of the actors
 
     def _unreserved_rooms(self) -> list[Room]:
         machine_controller = self.machine_controller
@@ -299,26 +306,38 @@
         return self.guidance.unreserved_rooms(machine_controller)
 
     def _preference(self, spec: JobSpec) -> Preference:
-        """What the running work asks of accelerator machines, and the class's haste."""
+        """Return the placement preference for the job.
+
+        It combines the CPUs and memory that accelerator jobs use per accelerator with the machine
+        types that are too slow for the start objective of the job's class.
+        """
         within_s = self.settings.platform.start_within(spec.job_class)
         slow = slow_kinds(spec, within_s, self.types.by_name.values())
         return Preference(self.guidance.per_accelerator, slow)
 
     async def _is_bound(self, task: str, attempt: int, machine: str) -> bool | None:
-        """Does the stored record bind this attempt to the machine? None: can't tell now."""
+        """Whether the stored record binds the attempt to the machine; None if it can't be read."""
         limits = self.settings.platform.state
         try:
             return await records.is_bound(self.state, limits, task, attempt, machine)
         except (StateUnavailableError, msgspec.ValidationError) as error:
-            log.info("binding check of {task} failed: {error}", task=task, error=error)
+            log.info(
+                "could not check whether {task} is bound to its machine: {error}",
+                task=task,
+                error=error,
+            )
             return None
 
     # -- ticks
 
     def _tick(self, due: float | None = None) -> None:
-        """See to all that is periodic, about once a heartbeat; `due` is when it should run."""
-        pause_s = self.timeouts.heartbeat * (0.9 + 0.2 * self.rng.random())
-        self.clock.callLater(pause_s, self._tick, self.clock.seconds() + pause_s)
+        """Do all periodic work, about once per heartbeat interval.
+
+        `due` is the time for which this tick was scheduled. The interval varies at
+        random by up to 10 %.
+        """
+        interval_s = self.timeouts.heartbeat * (0.9 + 0.2 * self.rng.random())
+        self.clock.callLater(interval_s, self._tick, self.clock.seconds() + interval_s)
         if due is not None and self.job_controller is not None:
             self.job_controller.placer.observe_timer(due)
         self.health.probe()
@@ -328,7 +347,7 @@
             if actors is not None:
                 self._tick_actors(actors)
         except Exception:
-            log.failure("tick failed")
+            log.failure("periodic tick failed, the next one runs as scheduled")
 
     def _tick_actors(self, actors: Actors) -> None:
         actors.machine_controller.tick()
