--- a/src/beamspar/node/heartbeats.py
+++ b/src/beamspar/node/heartbeats.py
@@ -20,7 +20,7 @@
 
 
 class Heartbeats:
-    """Sends heartbeats and tracks how much of this member's state the leader has acknowledged_count.
+    """Sends heartbeats and tracks how much of this member's state the leader has accepted.
 
     Only one heartbeat is in flight at a time, so that each is relative to one that the leader has
     accepted.
--- a/src/beamspar/node/leader_guidance.py
+++ b/src/beamspar/node/leader_guidance.py
@@ -37,5 +37,5 @@
                 del self.caches[name]
 
     def unreserved_rooms(self, machine_controller: MachineController) -> list[Room]:
-        """Return the free capacity that the local job controller may use without asking the leader."""
+        """Return the free capacity that the job controller here may use without the leader."""
         return [room for room in machine_controller.rooms() if room.name not in self.reserved]
