--- a/src/beamspar/node/cancellations.py
+++ b/src/beamspar/node/cancellations.py
@@ -12,9 +12,9 @@
 
 
 class CancellationNotices:
-    """Owns the confirmed cancellations that a peer has not acknowledged.
+    """Holds the confirmed cancellations that a peer has not acknowledged.
 
-    They are kept beyond a lost registration: a user was told of them.
+    They outlive a lost registration, because they have been confirmed to users.
     """
 
     def __init__(
@@ -22,16 +22,17 @@
     ) -> None:
         self.current = current
         self.peers = peers
-        # Per peer and job, the revision by which the cancellation was stored.
+        # Per peer and job, the revision at which the cancellation was stored.
         self.unacknowledged: dict[str, dict[str, int]] = {member: {} for member in members}
-        # Peers with a notice under way: one at a time.
+        # Peers to which a notice is in flight; each peer gets one at a time.
         self.notifying: set[str] = set()
 
     def confirm(self, job: str, revision: int) -> None:
-        """A user is about to be told that the job is cancelled: all members should know.
+        """Notify all members of a cancellation that is about to be confirmed to its user.
 
-        The state service tells them too, unless it refuses them alone or is out; they may
-        own the job or hold its machines, and go on with both until their leases end.
+        Members also observe it in the state service, unless the service is down or fails for them
+        alone. A member that owns the job or holds its machines would then go on running the job
+        until its leases end.
         """
         registration = self.current.registration
         if registration is not None and not registration.lost:
@@ -41,7 +42,10 @@
         self.send_pending()
 
     def send_pending(self) -> None:
-        """Send what a peer has not acknowledged, until the mirror shows the job's end."""
+        """Send each peer the cancellations that it has not acknowledged.
+
+        A cancellation is dropped once the mirror shows that the job has ended.
+        """
         for member, pending in self.unacknowledged.items():
             self._drop_ended(pending)
             if pending and member not in self.notifying:
--- a/src/beamspar/node/job_lookup.py
+++ b/src/beamspar/node/job_lookup.py
@@ -1,4 +1,4 @@
-"""The state of jobs for users: by cached records that are checked, or by shared reads."""
+"""The state of jobs for users, from cached records with a version check or from shared reads."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock, spawn
 
-# A record takes some 2 KB here: both caches together stay below a tenth of the memory.
+# A record takes some 2 KB of memory, so both caches together stay below a tenth of the memory.
 CACHED_RECORDS_PER_MB = 25
 MIN_CACHED_RECORDS = 1000
 
-# What a user is told of a job.
+# The response that describes a job to its user.
 JobState = dict[str, Any]
 T = TypeVar("T")
 
@@ -38,32 +38,32 @@
 
 
 def decode_record(value: Any, kind: type[T]) -> T:
-    """The stored value as a record; raises StateUnavailableError if it is none."""
+    """Convert a stored value to a record; raise StateUnavailableError if it is malformed."""
     try:
         return msgspec.convert(value, kind)
     except msgspec.ValidationError as error:
-        raise StateUnavailableError(f"odd record: {error}") from error
+        raise StateUnavailableError(f"malformed stored record: {error}") from error
 
 
 def finished_state(job: str, end: EndRecord) -> JobState:
-    """What a user is told of a job that is over."""
+    """Return the state of a finished job as shown to its user."""
     return job_response(job, end.status, end.done)
 
 
 def stored_state(job: str, record: JobRecord) -> JobState:
-    """What a user is told of a job whose record is stored."""
+    """Return the state of a job with a stored record as shown to its user."""
     if record.status == JobStatus.CANCELLED:
         return job_response(job, JobStatus.CANCELLED, record.done)
     return live_state(job, record.done, record.running)
 
 
 def live_state(job: str, done: int, running: int) -> JobState:
-    """What a user is told of a job that is neither done nor cancelled."""
+    """Return the state of a job that is neither done nor cancelled as shown to its user."""
     return job_response(job, "running" if running else "pending", done, running)
 
 
 class JobLookup:
-    """Owns the caches of records and the reads that several requests share."""
+    """Looks up jobs with caches of their records and reads that concurrent requests share."""
 
     def __init__(
         self,
@@ -78,16 +78,16 @@
         self.version_checks = VersionChecks(clock, state, settings, timeouts)
         memory_mb = settings.platform.limits.memory_mb
         max_cached = max(int(memory_mb * CACHED_RECORDS_PER_MB), MIN_CACHED_RECORDS)
-        # Final: these never change.
+        # End records are final: these entries never become stale.
         self.finished: RecordCache[EndRecord] = RecordCache(max_cached)
         self.stored: RecordCache[StoredJob] = RecordCache(max_cached)
-        # Requests that wait for a read which has not left yet.
-        self.waiting: dict[str, list[Deferred[JobState | None]]] = {}
+        # Per job, the requests that share a read which has not been sent yet.
+        self.pending_reads: dict[str, list[Deferred[JobState | None]]] = {}
 
     async def state_of(self, job: str) -> JobState | None:
-        """The job's state, no older than the request; None if there is no such job.
+        """Return the job's state, no older than the request; None if there is no such job.
 
-        Raises StateUnavailableError when it can't be told now.
+        Raises StateUnavailableError if the state can't be determined now.
         """
         end = self.finished.get(job)
         if end is not None:
@@ -111,43 +111,44 @@
         return self.version_checks.is_current(keys.job(job), version)
 
     def read(self, job: str) -> Deferred[JobState | None]:
-        """The job's state by its stored record; all requests before the read leaves share it.
+        """Return the job's state as stored, sharing one read among all requests until it is sent.
 
-        Fails with StateUnavailableError.
+        The deferred fails with StateUnavailableError.
         """
         result: Deferred[JobState | None] = Deferred()
-        waiting = self.waiting.get(job)
-        if waiting is None:
-            waiting = self.waiting[job] = []
-            spawn(self._read_for(job, waiting), f"reading {job}")
-        waiting.append(result)
+        pending = self.pending_reads.get(job)
+        if pending is None:
+            pending = self.pending_reads[job] = []
+            spawn(self._read_and_resolve(job, pending), f"reading {job}")
+        pending.append(result)
         return result
 
-    async def _read_for(self, job: str, waiting: list[Deferred[JobState | None]]) -> None:
-        def close() -> None:
-            # Who asks from now on must not get an answer from before the asking.
-            if self.waiting.get(job) is waiting:
-                del self.waiting[job]
+    async def _read_and_resolve(self, job: str, pending: list[Deferred[JobState | None]]) -> None:
+        def stop_sharing() -> None:
+            # A later request must not get a result that is older than the request.
+            if self.pending_reads.get(job) is pending:
+                del self.pending_reads[job]
 
         try:
-            found = await self._read_record(job, close)
+            state = await self._read_record(job, stop_sharing)
         except StateUnavailableError as error:
-            close()
-            for result in waiting:
+            stop_sharing()
+            for result in pending:
                 result.errback(error)
             return
-        for result in waiting:
-            result.callback(found)
+        for result in pending:
+            result.callback(state)
 
-    async def _read_record(self, job: str, on_leaving: Callable[[], None]) -> JobState | None:
-        item = await self.state.get(keys.job(job), RequestPriority.ACCEPT, POLL_WEIGHT, on_leaving)
+    async def _read_record(self, job: str, on_sent: Callable[[], None]) -> JobState | None:
+        item = await self.state.get(keys.job(job), RequestPriority.ACCEPT, POLL_WEIGHT, on_sent)
         if item is not None:
             record = decode_record(item.value, JobRecord)
             self.stored.put(job, StoredJob(item.version, record))
-            self._adopt_unloaded(job, record)
+            self._load_missing_job(job, record)
             return stored_state(job, record)
         self.stored.drop(job)
-        # A job moves from `job/` to `end/` in one transaction, so this order finds it.
+        # A job moves from `job/` to `end/` in one transaction, so reading `job/` first and then
+        # `end/` can't miss it.
         item = await self.state.get(keys.finished_job(job))
         if item is None:
             return None
@@ -155,8 +156,8 @@
         self.finished.put(job, end)
         return finished_state(job, end)
 
-    def _adopt_unloaded(self, job: str, record: JobRecord) -> None:
-        """A job of our partitions that the job controller does not know is loaded."""
+    def _load_missing_job(self, job: str, record: JobRecord) -> None:
+        """Load a job of this controller's partitions that the job controller does not have."""
         job_controller = self.current.job_controller
         if (
             job_controller is not None
--- a/src/beamspar/node/polls.py
+++ b/src/beamspar/node/polls.py
@@ -1,4 +1,4 @@
-"""Users' polls: what state a job is in."""
+"""Handling of users' polls for the state of a job."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 log = Logger(namespace="requests")
 
-# How long a user waits for an answer, in heartbeats.
+# How long a user waits for a response, in heartbeat intervals.
 MAX_WAIT_HEARTBEATS = 2
-# Before anything was logged: earlier than any time of the clock.
+# Time of the last log line before there was one: earlier than any time of the clock.
 NEVER = -1e9
 
 
 class Polls:
-    """Answers polls; owns the count of those that were turned away."""
+    """Answers polls; rejects and counts those that can't be answered in time."""
 
     def __init__(
         self,
@@ -40,30 +40,31 @@
         self.current = current
         self.jobs = jobs
         self.max_wait_s = timeouts.heartbeat * MAX_WAIT_HEARTBEATS
-        # Polls that were turned away, and when that was logged last.
-        self.turned_away = 0
-        self.logged_at = NEVER
+        # Polls that were rejected, and when that count was last logged.
+        self.rejected_count = 0
+        self.rejections_logged_at = NEVER
 
     async def poll(self, job: str) -> Answer:
-        """The job's state, or that it can't be told now."""
+        """Respond with the job's state, or ask the client to retry if it is unavailable."""
         if not JOB_ID.match(job):
             return no_such_job()
-        received = self.clock.seconds()
+        received_at = self.clock.seconds()
         if self._is_overloaded(job):
             return busy(self.timeouts.report)
         try:
-            found = await self.jobs.state_of(job)
+            job_state = await self.jobs.state_of(job)
         except StateUnavailableError as error:
-            log.debug("poll of {job}: {error}", job=job, error=error)
+            log.debug("poll of {job} failed, the client is to retry: {error}", job=job, error=error)
             return busy()
-        if self.clock.seconds() - received > self.max_wait_s and not _is_final(found):
-            # The state service's word was held up on its way: others may have told
-            # the user of the job's end meanwhile, or accepted it: this would be older.
+        if self.clock.seconds() - received_at > self.max_wait_s and not _is_final(job_state):
+            # The response of the state service was delayed. In the meantime another controller
+            # may have reported the job's end to the user or accepted the job, and this state
+            # would be older.
             return busy()
-        if found is None:
-            # One that is being accepted here may be stored since we looked.
+        if job_state is None:
+            # A job that is being accepted here may have been stored since the read.
             return busy() if self._is_being_accepted(job) else no_such_job()
-        return respond(200, found)
+        return respond(200, job_state)
 
     def _is_being_accepted(self, job: str) -> bool:
         job_controller = self.current.job_controller
@@ -72,18 +73,24 @@
         )
 
     def _is_overloaded(self, job: str) -> bool:
-        """Would the user give up before the read has its turn? Finished jobs need none."""
+        """Whether the user would give up before the read is sent; count the poll as rejected if so.
+
+        Finished jobs need no read.
+        """
         if job in self.jobs.finished:
             return False
         if self.state.polls_backlog_s() <= self.max_wait_s:
             return False
-        self.turned_away += 1
+        self.rejected_count += 1
         now = self.clock.seconds()
-        if now - self.logged_at > self.timeouts.worker_lease:
-            self.logged_at = now
-            log.warn("{n} polls turned away so far", n=self.turned_away)
+        if now - self.rejections_logged_at > self.timeouts.worker_lease:
+            self.rejections_logged_at = now
+            log.warn(
+                "{n} polls rejected so far, as their reads could not be sent in time",
+                n=self.rejected_count,
+            )
         return True
 
 
-def _is_final(found: JobState | None) -> bool:
-    return found is not None and found["status"] in (JobStatus.CANCELLED, JobStatus.DONE)
+def _is_final(job_state: JobState | None) -> bool:
+    return job_state is not None and job_state["status"] in (JobStatus.CANCELLED, JobStatus.DONE)
--- a/src/beamspar/node/submissions.py
+++ b/src/beamspar/node/submissions.py
@@ -1,4 +1,4 @@
-"""Users' submissions of jobs."""
+"""Handling of job submissions from users."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 
 log = Logger(namespace="requests")
 
-# Bytes that a job's description may take for each KB that a stored value may have: its record
-# holds the description beside the job's progress.
+# Bytes that a job's description may take per KB of the largest stored value: the job's record
+# holds the description together with the job's progress.
 SPEC_BYTES_PER_VALUE_KB = 480
-# Small buffers: a share of the memory's worth of submissions under way.
+# Concurrent submissions per MB of memory, so that their buffers stay small.
 SUBMISSIONS_PER_MB = 1 / 2
 MIN_SUBMISSIONS = 16
-# What a sum of CPUs or accelerators may exceed a limit by, for rounding.
+# Rounding error by which a sum of CPUs or accelerators may exceed a limit.
 AMOUNT_TOLERANCE = 1e-6
 
 
 class Submissions:
-    """Checks and accepts jobs; owns the count of those under way."""
+    """Validates and accepts jobs; bounds the number of submissions in progress."""
 
     def __init__(
         self,
@@ -52,12 +52,15 @@
         self.types = types
         self.jobs = jobs
         self.polls = polls
-        self.under_way = 0
+        self.in_progress = 0
         memory_mb = settings.platform.limits.memory_mb
-        self.max_under_way = max(int(memory_mb * SUBMISSIONS_PER_MB), MIN_SUBMISSIONS)
+        self.max_in_progress = max(int(memory_mb * SUBMISSIONS_PER_MB), MIN_SUBMISSIONS)
 
     async def submit(self, call: Call) -> Answer:
-        """Accept the job. It is idempotent: one that is known is answered as if polled."""
+        """Accept the job.
+
+        Submitting is idempotent: for a job that exists already the response is that of a poll.
+        """
         try:
             data = unpack(call.body)
         except (msgspec.DecodeError, UnicodeDecodeError):
@@ -68,14 +71,14 @@
         try:
             spec = self._parse(data)
         except InvalidInputError as invalid:
-            return await self._known_or(job, error(400, str(invalid)))
-        if self._is_known_here(job):
+            return await self._state_or(job, error(400, str(invalid)))
+        if self._is_in_memory(job):
             return await self.polls.poll(job)
         if not self.types or not self.current.may_act():
             return busy()
-        reason = self._why_impossible(spec)
+        reason = self._rejection_reason(spec)
         if reason is not None:
-            return await self._known_or(job, error(422, reason))
+            return await self._state_or(job, error(422, reason))
         return await self._accept(job, spec)
 
     def _parse(self, data: Any) -> JobSpec:
@@ -85,24 +88,27 @@
             raise InvalidInputError("the description is too long to be stored")
         return spec
 
-    def _is_known_here(self, job: str) -> bool:
+    def _is_in_memory(self, job: str) -> bool:
         job_controller = self.current.job_controller
         return job in self.jobs.finished or (
             job_controller is not None and job in job_controller.jobs
         )
 
-    async def _known_or(self, job: str, answer: Answer) -> Answer:
-        """A job that is known is never refused, whatever the repeated body says."""
-        known = await self.polls.poll(job)
-        return answer if known.status == 404 else known
+    async def _state_or(self, job: str, answer: Answer) -> Answer:
+        """Respond as to a poll if the job exists, and with `answer` otherwise.
+
+        An existing job is never refused, whatever the repeated body says.
+        """
+        state = await self.polls.poll(job)
+        return answer if state.status == 404 else state
 
     async def _accept(self, job: str, spec: JobSpec) -> Answer:
         job_controller = self.current.job_controller
         if job_controller is None or job in job_controller.jobs_being_accepted:
             return busy()
-        if self.under_way >= self.max_under_way:
+        if self.in_progress >= self.max_in_progress:
             return busy(self.state.backlog_s())
-        self.under_way += 1
+        self.in_progress += 1
         try:
             await job_controller.accept(spec)
         except ConflictError as conflict:
@@ -110,20 +116,20 @@
                 return await self.polls.poll(job)
             return busy()
         except (StateUnavailableError, LeaseExpiredError) as failure:
-            log.info("{job} not accepted: {error}", job=job, error=failure)
+            log.info("{job} not accepted, the client is to retry: {error}", job=job, error=failure)
             return busy()
         finally:
-            self.under_way -= 1
+            self.in_progress -= 1
         return respond(201, job_response(job, "pending"))
 
-    def _why_impossible(self, spec: JobSpec) -> str | None:
-        """Why the job could never run, in the users' words; None if it could."""
+    def _rejection_reason(self, spec: JobSpec) -> str | None:
+        """Return why the job could never run, as text for its user; None if it could run."""
         team = next((t for t in self.settings.platform.teams if t.name == spec.team), None)
         if team is None:
             return f"owner {spec.team} is no team"
         if not any(fits_type(spec, kind) for kind in self.types.values()):
             return "a task fits no allowed machine type"
-        # These run all of their tasks at a time; others may run one by one.
+        # Services and gangs run all their tasks at once; other jobs may run them one by one.
         count = spec.tasks if spec.is_service or spec.is_gang else 1
         if team.cpus_max and spec.cpus * count > team.cpus_max + AMOUNT_TOLERANCE:
             return "more cpus than the team's limit"
--- a/src/beamspar/node/user_cancellations.py
+++ b/src/beamspar/node/user_cancellations.py
@@ -1,4 +1,4 @@
-"""Users' cancellations of jobs."""
+"""Handling of job cancellations from users."""
 
 from __future__ import annotations
 
@@ -20,12 +20,13 @@
 
 log = Logger(namespace="requests")
 
-# Writes that are tried before the user has to come back: the record changes as tasks end.
-MAX_ATTEMPTS = 6
+# Writes that are attempted before the user has to retry: each may conflict with a change of the
+# record, which is written as tasks end.
+MAX_WRITE_ATTEMPTS = 6
 
 
 class UserCancellations:
-    """Stores cancellations and lets all members know."""
+    """Stores cancellations and notifies all members of them."""
 
     def __init__(
         self,
@@ -40,26 +41,33 @@
         self.notices = notices
 
     async def cancel(self, job: str) -> Answer:
-        """Cancel the job. It is idempotent; a job that is over stays as it ended."""
+        """Cancel the job.
+
+        Cancelling is idempotent, and a job that has ended keeps its final state.
+        """
         if not JOB_ID.match(job):
             return no_such_job()
         try:
-            for _ in range(MAX_ATTEMPTS):
+            for _ in range(MAX_WRITE_ATTEMPTS):
                 answer = await self._try_to_cancel(job)
                 if answer is not None:
                     return answer
         except (StateUnavailableError, LeaseExpiredError) as error:
-            log.info("cancellation of {job}: {error}", job=job, error=error)
+            log.info(
+                "cancellation of {job} not confirmed, the client is to retry: {error}",
+                job=job,
+                error=error,
+            )
         return busy()
 
     async def _try_to_cancel(self, job: str) -> Answer | None:
-        """One attempt; None if the record changed meanwhile."""
-        end = self.jobs.finished.get(job)
-        if end is not None:
-            return respond(200, {"id": job, "status": end.status})
+        """Make one attempt; return None if the record changed in the meantime."""
+        end_record = self.jobs.finished.get(job)
+        if end_record is not None:
+            return respond(200, {"id": job, "status": end_record.status})
         item = await self.state.get(keys.job(job), RequestPriority.URGENT)
         if item is None:
-            # The next attempt finds the end that this read brings.
+            # If the job has ended, this read caches its end record for the next attempt.
             return no_such_job() if await self.jobs.read(job) is None else None
         record = decode_record(item.value, JobRecord)
         if record.status == JobStatus.CANCELLED:
