--- a/src/beamspar/node/health.py
+++ b/src/beamspar/node/health.py
@@ -1,4 +1,4 @@
-"""Health of this controller and its peers: probes, and who can serve users better."""
+"""Health of this controller and its peers: probes, and which peer can serve users better."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Health:
-    """Owns when the state service served each peer last, by the peers' own word."""
+    """Tracks when the state service last served each peer, as the peers report it."""
 
     def __init__(
         self,
@@ -39,7 +39,10 @@
         self.is_probing = False
 
     def is_healthy(self) -> bool:
-        """Can requests be taken here? In an outage that all share, staying is better."""
+        """Whether this controller should receive users' requests.
+
+        In an outage that affects all controllers it stays healthy: no other would serve better.
+        """
         actors = self.current.actors
         sharing = actors.sharing if actors is not None else None
         if sharing is not None and sharing.leave.is_leaving():
@@ -47,25 +50,32 @@
         return self.current.is_loaded and bool(self.types.by_name) and self.healthy_peer() is None
 
     def healthy_peer(self) -> str | None:
-        """A peer that the state service has served since it began to fail us alone."""
-        since = self.state.failing_since
-        if since is None or self.clock.seconds() - since < self.timeouts.heartbeat:
+        """Return the peer that the state service served last while it fails for this controller.
+
+        None unless it has failed here for a heartbeat interval and served a peer in that time.
+        """
+        failing_since = self.state.failing_since
+        if failing_since is None or self.clock.seconds() - failing_since < self.timeouts.heartbeat:
             return None
-        served = [member for member, at in self.served_at.items() if at > since]
+        served = [member for member, at in self.served_at.items() if at > failing_since]
         return min(served, key=lambda m: (-self.served_at[m], m)) if served else None
 
     def probe_response(self) -> HealthProbeResponse:
-        """The answer to a peer's probe."""
+        """Return the response to a peer's health probe."""
         return HealthProbeResponse(self.clock.seconds() - self.state.served_at)
 
     def probe(self) -> None:
-        """Begin a round of probes, unless one is under way."""
+        """Start a round of probes, unless one is running."""
         if not self.is_probing:
             self.is_probing = True
             spawn(self._probe_peers(), "health probes")
 
     async def _probe_peers(self) -> None:
-        """Who can be reached, and does the state service fail us alone? The peers know."""
+        """Probe all peers in turn, then pause for a heartbeat interval.
+
+        The probes show which peers are reachable, and whether the state service fails for this
+        controller alone.
+        """
         try:
             for member in self.peers.addresses:
                 await self._probe_peer(member)
@@ -74,12 +84,16 @@
             self.is_probing = False
 
     async def _probe_peer(self, member: str) -> None:
-        sent = self.clock.seconds()
+        sent_at = self.clock.seconds()
         try:
             body = await self.peers.call(member, PeerPath.HEALTH_PROBE, {}, self.timeouts.heartbeat)
             response: HealthProbeResponse = decode(body, HealthProbeResponse)
         except (CallFailedError, ValueError) as error:
-            log.debug("health probe of {member} failed: {error}", member=member, error=error)
+            log.debug(
+                "health probe of {member} failed, will retry in the next round: {error}",
+                member=member,
+                error=error,
+            )
             self.served_at.pop(member, None)
         else:
-            self.served_at[member] = sent - response.served_s
+            self.served_at[member] = sent_at - response.served_s
--- a/src/beamspar/node/node.py
+++ b/src/beamspar/node/node.py
@@ -170,8 +170,8 @@
         await self.net.listen(
             self.settings.public_addr, self.api.handle, sockets.public, BODY_LIMIT
         )
-        # The first heartbeat of a controller that holds most of a large fleet is larger than
-        # the limit for users' and workers' requests.
+        # At first contact a controller that holds most of a large fleet sends more than the
+        # limit for users' and workers' requests allows.
         await self.net.listen(
             self.settings.peer_bind, self.dispatch.handle, sockets.peers, MAX_PEER_MESSAGE_BYTES
         )
@@ -333,8 +333,8 @@
     def _tick(self, due: float | None = None) -> None:
         """Do all periodic work, about once per heartbeat interval.
 
-        `due` is the time for which this tick was scheduled. The interval varies at
-        random by up to 10 %.
+        `due` is the time for which this tick was scheduled. The interval varies at random
+        by up to 10 %.
         """
         interval_s = self.timeouts.heartbeat * (0.9 + 0.2 * self.rng.random())
         self.clock.callLater(interval_s, self._tick, self.clock.seconds() + interval_s)
--- a/src/beamspar/node/peer_client.py
+++ b/src/beamspar/node/peer_client.py
@@ -1,4 +1,4 @@
-"""Calls to peers, and what is known of the peers' reachability."""
+"""Calls to peers, and tracking of the peers' reachability."""
 
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 
 log = Logger(namespace="node")
 
-# Before any call to a peer has failed: earlier than any time of the clock.
+# Time of the last failed call to a peer before there was one: earlier than any time of the clock,
+# and than NEVER_ANSWERED, so that a peer counts as reachable at first.
 NEVER_FAILED = -1.0
-NEVER_HEARD = 0.0
+NEVER_ANSWERED = 0.0
 
 
 class PeerClient:
-    """Owns the peers' addresses and the outcome of the last calls to each of them."""
+    """Sends requests to peers and tracks the outcome of the last calls to each of them."""
 
     def __init__(
         self, clock: Clock, net: Net, addresses: dict[str, str], timeouts: Timeouts
@@ -29,63 +30,65 @@
         self.net = net
         self.addresses = addresses
         self.timeouts = timeouts
-        # When the last call was sent that the peer answered.
+        # By peer, the time at which the last answered call was sent.
         self.last_answered: dict[str, float] = {}
-        # When a call to the peer failed last.
+        # By peer, the time at which a call last failed.
         self.last_failed: dict[str, float] = {}
-        # When the first of the calls was sent that have failed without an answer between them.
+        # By peer, the time at which the first call of the current run of failures was sent.
         self.failing_since: dict[str, float] = {}
-        # Whether the last failed call was refused: a crashed process is back soon.
-        self.refused: dict[str, bool] = {}
+        # By peer, whether its last failed call was refused. A crashed process, whose address
+        # refuses connections, is back soon.
+        self.last_failure_refused: dict[str, bool] = {}
 
-    async def call(self, member: str, path: str, message: Any, limit_s: float) -> bytes:
-        """The body of the peer's answer.
+    async def call(self, member: str, path: str, message: Any, timeout_s: float) -> bytes:
+        """Send a request to a peer and return the body of its answer.
 
-        Raises CallFailedError without an answer in time, CallRefusedError for one that is an error.
+        Raises CallFailedError if there is no answer in time, and CallRefusedError if the answer is
+        an error.
         """
         address = self.addresses.get(member)
         if address is None:
             raise CallFailedError(f"no member {member}")
-        sent = self.clock.seconds()
+        sent_at = self.clock.seconds()
         try:
             answer = await self.net.request(
-                "POST", address, f"{PEER_PREFIX}{path}", encode(message), limit_s
+                "POST", address, f"{PEER_PREFIX}{path}", encode(message), timeout_s
             )
         except CallFailedError as error:
             self.last_failed[member] = self.clock.seconds()
-            self.refused[member] = error.refused
-            self.failing_since.setdefault(member, sent)
+            self.last_failure_refused[member] = error.refused
+            self.failing_since.setdefault(member, sent_at)
             raise
         self.failing_since.pop(member, None)
-        self.last_answered[member] = max(self.last_answered.get(member, NEVER_HEARD), sent)
+        self.last_answered[member] = max(self.last_answered.get(member, NEVER_ANSWERED), sent_at)
         if answer.status != 200:
             raise CallRefusedError(f"{member} answered {answer.status}")
         return answer.body
 
     async def notify(self, member: str, path: str, message: Any) -> bool:
-        """Send the message once; False when it may be lost."""
+        """Send the message once; return False if it may be lost."""
         try:
             await self.call(member, path, message, self.timeouts.request)
         except CallFailedError as error:
-            log.debug("{error}", error=error)
+            log.debug("message to a peer may be lost: {error}", error=error)
             return False
         return True
 
     def is_reachable(self, member: str) -> bool:
-        """Has the peer answered a call that was sent after the last failure?"""
+        """Whether the peer has answered a call that was sent since the last failure."""
         failed = self.last_failed.get(member, NEVER_FAILED)
-        return failed <= self.last_answered.get(member, NEVER_HEARD)
+        return failed <= self.last_answered.get(member, NEVER_ANSWERED)
 
     def has_just_failed(self, member: str) -> bool:
-        """Is the peer unreachable, and did a call show so within the last heartbeat?"""
+        """Whether the peer is unreachable and a call failed within the last heartbeat interval."""
         if self.is_reachable(member):
             return False
         return self.clock.seconds() - self.last_failed[member] < self.timeouts.heartbeat
 
     def was_refused(self, member: str) -> bool:
-        """Was the last call that failed refused, rather than lost or out of time?"""
-        return self.refused.get(member, False)
+        """Whether the last failed call was refused, rather than lost or timed out."""
+        return self.last_failure_refused.get(member, False)
 
     def unreachable_since(self, member: str) -> float | None:
-        """Since when calls to the peer fail; None while they are answered."""
+        """Return since when calls to the peer have failed; None while they are answered."""
         return self.failing_since.get(member)
--- a/src/beamspar/node/peer_dispatch.py
+++ b/src/beamspar/node/peer_dispatch.py
@@ -1,4 +1,4 @@
-"""Messages from peers and operators, each handed to the actor that it is for."""
+"""Dispatch of messages from peers and operators to the actors that handle them."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
     return EMPTY_BODY
 
 
-# Messages that need a registered controller.
+# Handlers of messages that only a registered controller processes.
 HANDLERS: dict[str, Callable[[Actors, bytes], bytes]] = {
     PeerPath.DESIRED_STATE: _apply_desired_state,
     PeerPath.ATTEMPT_STATUSES: _observe_statuses,
@@ -67,16 +67,16 @@
     PeerPath.HEARTBEAT: _observe_heartbeat,
     PeerPath.CANCELLATIONS: _observe_cancellations,
 }
-# What one that is not registered answers. Nothing else is taken in by anybody there: it is
-# refused, so that it is sent again.
-UNREGISTERED_ANSWERS: dict[str, bytes] = {
+# Responses of a controller that is not registered. It rejects all other messages, so that the
+# sender retries them.
+UNREGISTERED_RESPONSES: dict[str, bytes] = {
     PeerPath.CAPACITY_REQUESTS: encode(CapacityOffers([])),
     PeerPath.HEARTBEAT: encode(HeartbeatResponse(False)),
 }
 
 
 class PeerDispatch:
-    """Answers what comes to the peers' port."""
+    """Answers the requests that arrive on the port for peers."""
 
     def __init__(
         self,
@@ -88,33 +88,37 @@
         self.current = current
         self.health = health
         self.departure = departure
-        # Answers a user's request that a peer forwards, without forwarding it again.
+        # Answers a user's request that a peer has forwarded, without forwarding it again.
         self.answer_user = answer_user
 
     async def handle(self, call: Call) -> Answer:
-        """Answer a message. Whatever is malformed or for nobody here is refused, and logged."""
+        """Answer a message; reject and log one that is malformed or has no handler here."""
         try:
             return Answer(200, await self._answer(call))
         except (msgspec.ValidationError, orjson.JSONDecodeError, KeyError) as error:
-            log.info("refused message {path}: {error}", path=call.path, error=error)
+            log.info(
+                "rejected message {path}, malformed or without a handler here: {error}",
+                path=call.path,
+                error=error,
+            )
             return Answer(400)
 
     async def _answer(self, call: Call) -> bytes:
         if call.path == f"{PEER_PREFIX}{PeerPath.FORWARDED_REQUEST}":
             return await answer_forwarded(call.body, self.answer_user)
         name = call.path.removeprefix(PEER_PREFIX)
-        answer = await self._answer_of_standby(name, call.body)
+        answer = await self._dispatch_to_standby(name, call.body)
         if answer is None:
-            answer = await self._answer_of_sharing(name, call.body)
+            answer = await self._dispatch_to_sharing(name, call.body)
         return answer if answer is not None else self._dispatch(name, call.body)
 
-    async def _answer_of_standby(self, name: str, body: bytes) -> bytes | None:
+    async def _dispatch_to_standby(self, name: str, body: bytes) -> bytes | None:
         actors = self.current.registered()
         if actors is None or actors.standby is None:
             return None
         return await actors.standby.answer(name, body)
 
-    async def _answer_of_sharing(self, name: str, body: bytes) -> bytes | None:
+    async def _dispatch_to_sharing(self, name: str, body: bytes) -> bytes | None:
         actors = self.current.registered()
         if actors is None or actors.sharing is None:
             return self.departure.answer(name, body)
@@ -125,5 +129,5 @@
             return encode(self.health.probe_response())
         actors = self.current.registered()
         if actors is None:
-            return UNREGISTERED_ANSWERS[name]
+            return UNREGISTERED_RESPONSES[name]
         return HANDLERS[name](actors, body)
--- a/src/beamspar/node/worker_contacts.py
+++ b/src/beamspar/node/worker_contacts.py
@@ -1,4 +1,4 @@
-"""Workers that came to this controller although it does not hold their machines."""
+"""Workers that contacted this controller although it does not hold their machines."""
 
 from __future__ import annotations
 
@@ -7,36 +7,36 @@
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock
 
-# Unassigned machines that one heartbeat tells the leader of.
+# Unassigned machines that one heartbeat reports to the leader.
 MAX_UNASSIGNED = 500
 
 
 class WorkerContacts:
-    """Owns what the next heartbeat tells the leader of such workers."""
+    """Collects what the next heartbeat reports to the leader about such workers."""
 
     def __init__(self, clock: Clock, timeouts: Timeouts) -> None:
         self.clock = clock
         self.timeouts = timeouts
         # Machines in no shard, by name.
         self.unassigned: dict[str, Machine] = {}
-        # When workers came here last whose machines' holder does not answer them.
+        # By machine, the last contact of a worker that its holder does not serve.
         self.unserved: dict[str, float] = {}
 
     def observe_unassigned(self, machine: Machine, leader: Leader | None) -> None:
-        """A worker whose machine is in no shard: the leader should lease it."""
+        """Record a machine that is in no shard, so that the leader leases it."""
         if leader is not None and leader.leading:
             leader.shard_leasing.observe_unassigned(machine)
         elif len(self.unassigned) < MAX_UNASSIGNED:
             self.unassigned[machine.name] = machine
 
     def observe_unserved(self, machine: str) -> None:
-        """A worker whose machine's holder can't be reached, or does not answer it."""
+        """Record a machine whose holder can't be reached, or does not answer the worker."""
         self.unserved[machine] = self.clock.seconds()
 
     def unserved_machines(self) -> list[str]:
-        """The names of those that came of late: they do so every few seconds."""
+        """Return the names of recently unserved machines, whose workers retry every few seconds."""
         now = self.clock.seconds()
-        for name, at in list(self.unserved.items()):
-            if now - at > self.timeouts.unserved_machine:
+        for name, last_contact in list(self.unserved.items()):
+            if now - last_contact > self.timeouts.unserved_machine:
                 del self.unserved[name]
         return sorted(self.unserved)
--- a/src/beamspar/node/worker_heartbeats.py
+++ b/src/beamspar/node/worker_heartbeats.py
@@ -1,4 +1,4 @@
-"""Workers' heartbeats: answered here, or sent on to whoever holds the machine."""
+"""Handling of workers' heartbeats: answered here or redirected to the machine's holder."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class WorkerHeartbeats:
-    """Hands heartbeats to the machine controller, and notes those of other machines."""
+    """Passes heartbeats to the machine controller and records those of other machines."""
 
     def __init__(
         self, current: CurrentIncarnation, peers: PeerClient, contacts: WorkerContacts
@@ -32,33 +32,36 @@
         self.contacts = contacts
 
     def answer(self, call: Call) -> Answer:
-        """The commands for the worker, another controller's name, or that nobody knows now."""
+        """Respond with the worker's commands, or with the controller that holds its machine.
+
+        The response is 503 if this controller can't act now or no controller holds the machine.
+        """
         try:
             heartbeat = parse_worker_heartbeat(call.body)
         except InvalidInputError as invalid:
-            log.info("malformed worker heartbeat: {error}", error=invalid)
+            log.info("rejected a malformed worker heartbeat: {error}", error=invalid)
             return error(400, str(invalid))
         actors = self.current.actors
         if actors is None or not actors.registration.lease_is_valid():
             return respond(503)
-        held = actors.registration.mirror.holder_of(heartbeat.machine)
-        if held is None:
-            self.contacts.observe_unassigned(_machine(heartbeat), actors.leader)
+        holder_and_token = actors.registration.mirror.holder_of(heartbeat.machine)
+        if holder_and_token is None:
+            self.contacts.observe_unassigned(_machine_of(heartbeat), actors.leader)
             return respond(503)
-        holder, _ = held
+        holder, _ = holder_and_token
         if holder != actors.registration.me:
             return self._redirect(heartbeat.machine, holder)
-        return _answer_own(actors, heartbeat)
+        return _answer_held_machine(actors, heartbeat)
 
     def _redirect(self, machine: str, holder: str) -> Answer:
         is_reachable = self.peers.is_reachable(holder)
         if is_reachable or not self.peers.was_refused(holder):
-            # It may just be on its way there; the leader knows whether it arrives.
+            # The worker may be about to reach its holder; the leader can tell whether it does.
             self.contacts.observe_unserved(machine)
         return respond(421, redirect_response(holder if is_reachable else None))
 
 
-def _answer_own(actors: Actors, heartbeat: WorkerHeartbeat) -> Answer:
+def _answer_held_machine(actors: Actors, heartbeat: WorkerHeartbeat) -> Answer:
     answer = actors.machine_controller.report(heartbeat)
     if answer is None:
         return respond(503)
@@ -66,7 +69,7 @@
     return respond(200, heartbeat_response(fencing_token, commands))
 
 
-def _machine(heartbeat: WorkerHeartbeat) -> Machine:
+def _machine_of(heartbeat: WorkerHeartbeat) -> Machine:
     return Machine(
         heartbeat.machine,
         heartbeat.address,
