--- a/src/beamspar/node/capacity_client.py
+++ b/src/beamspar/node/capacity_client.py
@@ -1,4 +1,4 @@
-"""Asks the leader, here or at a peer, for capacity for waiting jobs."""
+"""Requests to the leader, here or at a peer, for capacity for pending jobs."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class CapacityClient:
-    """Sends capacity requests to whoever leads now."""
+    """Sends capacity requests to the current leader."""
 
     def __init__(
         self, me: str, current: CurrentIncarnation, peers: PeerClient, timeouts: Timeouts
@@ -33,7 +33,10 @@
         self.timeouts = timeouts
 
     def request(self, requests: list[CapacityRequest]) -> Deferred[list[PlacementOffer] | None]:
-        """The leader's offers; None when it can't be asked, and soon, for users wait."""
+        """Return the leader's offers, or None if it can't be reached.
+
+        The timeout is short, because users wait for the placement.
+        """
         return ensureDeferred(self._request(requests))
 
     async def _request(self, requests: list[CapacityRequest]) -> list[PlacementOffer] | None:
@@ -52,6 +55,6 @@
             )
             offers: CapacityOffers = decode(body, CapacityOffers)
         except (CallFailedError, ValueError) as error:
-            log.info("no offers of leader {name}: {error}", name=leader, error=error)
+            log.info("capacity request to leader {name} failed: {error}", name=leader, error=error)
             return None
         return offers.offers
--- a/src/beamspar/node/departure.py
+++ b/src/beamspar/node/departure.py
@@ -1,4 +1,4 @@
-"""Leaving the service in order, and what a controller answers that has left."""
+"""Orderly departure from the service, and the responses of a controller that has left."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Departure:
-    """Ends the registration at the end of a leave, and makes a new one when it is undone."""
+    """Ends the registration when a leave completes, and registers again when it is undone."""
 
     def __init__(
         self, me: str, state: StateClient, current: CurrentIncarnation, rejoin: Callable[[], None]
@@ -27,7 +27,10 @@
         self.rejoin = rejoin
 
     async def resign(self) -> None:
-        """End the registration: nothing is held here, and others get our jobs at once."""
+        """End the registration, so that other controllers take over this one's jobs at once.
+
+        By now this controller holds no machines.
+        """
         registration = self.current.registration
         if registration is None:
             return
@@ -38,16 +41,19 @@
         try:
             await self.state.revoke_lease(lease_id)
         except (StateUnavailableError, LeaseExpiredError) as error:
-            log.info("the lease expires by itself: {error}", error=error)
+            log.info(
+                "could not revoke the registration lease, it will expire: {error}", error=error
+            )
 
     def answer(self, name: str, body: bytes) -> bytes | None:
-        """Answer an operator's request, if this controller has left and it is about that.
+        """Answer an operator's request about a controller that has left.
 
-        Raises ValidationError or JSONDecodeError for one that is malformed.
+        Return None if this controller has not left or the message is about something else. Raises
+        ValidationError or JSONDecodeError if the request is malformed.
         """
         if not self.current.has_left:
             return None
-        # Loaded only where it is needed: each module costs time at the start.
+        # Imported only when needed, because each module lengthens the start of the process.
         from beamspar.sharing.messages import CommandReply, LeaveRequest
         from beamspar.sharing.service import shares_of_one_that_left
 
--- a/src/beamspar/node/desired_state_delivery.py
+++ b/src/beamspar/node/desired_state_delivery.py
@@ -1,4 +1,4 @@
-"""Carries the desired state of attempts from the job controller here to machine controllers."""
+"""Delivery of the desired state of attempts from the job controller to machine controllers."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 def apply_updates(
     machine_controller: MachineController, updates: list[DesiredStateUpdate]
 ) -> list[AttemptStatus]:
-    """Let the machine controller take the updates in; the statuses that it answers with."""
+    """Apply the updates to the machine controller and return the statuses that it reports."""
     return [status for update in updates for status in machine_controller.sync(update)]
 
 
 class DesiredStateDelivery:
-    """Sends updates to the controller of the machines, here or at a peer."""
+    """Sends updates to the machine controllers, here or at a peer."""
 
     def __init__(
         self, me: str, current: CurrentIncarnation, peers: PeerClient, timeouts: Timeouts
@@ -42,7 +42,7 @@
     def send(
         self, member: str, updates: list[DesiredStateUpdate]
     ) -> Deferred[list[AttemptStatus] | None]:
-        """The statuses that the member answers with; None when the updates may be lost."""
+        """Send updates to a member; return its statuses, or None if the updates may be lost."""
         return ensureDeferred(self._send(member, updates))
 
     async def _send(
@@ -59,6 +59,6 @@
             )
             batch: AttemptStatusBatch = decode(body, AttemptStatusBatch)
         except (CallFailedError, ValueError) as error:
-            log.debug("desired state for {member}: {error}", member=member, error=error)
+            log.debug("desired state for {member} may be lost: {error}", member=member, error=error)
             return None
         return batch.statuses
--- a/src/beamspar/node/forwarding.py
+++ b/src/beamspar/node/forwarding.py
@@ -16,12 +16,13 @@
 
 log = Logger(namespace="node")
 
-# A poll's answer that took longer, in heartbeats, may be older than what the user was told since.
+# The response to a poll that takes longer, in heartbeat intervals, may be older than a response
+# that the user has received in the meantime.
 MAX_ANSWER_AGE_HEARTBEATS = 2
 
 
 class RequestForwarder:
-    """Lets a peer answer users whom this controller would have to send away."""
+    """Forwards users' requests that this controller would have to reject to a peer."""
 
     def __init__(self, clock: Clock, peers: PeerClient, timeouts: Timeouts) -> None:
         self.clock = clock
@@ -29,7 +30,7 @@
         self.timeouts = timeouts
 
     async def forward(self, member: str, call: Call) -> Answer | None:
-        """The peer's answer to the request; None when there is none that may be passed on."""
+        """Return the peer's response, or None if there is none that may be passed on."""
         sent = self.clock.seconds()
         try:
             data = unpack(call.body) if call.body else None
@@ -39,17 +40,24 @@
             )
             answer: ForwardedResponse = decode(body, ForwardedResponse)
         except (CallFailedError, ValueError, TypeError) as error:
-            log.info("not forwarded to {member}: {error}", member=member, error=error)
+            log.info(
+                "forwarding a request to {member} failed, answering it here: {error}",
+                member=member,
+                error=error,
+            )
             return None
         age_s = self.clock.seconds() - sent
         if answer.status == 200 and age_s > self.timeouts.heartbeat * MAX_ANSWER_AGE_HEARTBEATS:
-            # Held up on its way: another may have told the user something newer.
+            # The response was delayed: another controller may have sent the user a newer state.
             return None
         return Answer(answer.status, pack(answer.data), tuple(answer.headers))
 
 
 async def answer_forwarded(body: bytes, handle: Callable[[Call], Awaitable[Answer]]) -> bytes:
-    """Answer a request that a peer forwards; raises ValidationError or JSONDecodeError."""
+    """Answer a request that a peer has forwarded.
+
+    Raises ValidationError or JSONDecodeError if the message is malformed.
+    """
     request: ForwardedRequest = decode(body, ForwardedRequest)
     raw = pack(request.data) if request.data is not None else b""
     answer = await handle(Call(request.method, request.path, {}, raw))
--- a/src/beamspar/node/machine_types.py
+++ b/src/beamspar/node/machine_types.py
@@ -20,7 +20,7 @@
 
 
 class MachineTypes:
-    """Owns the machine types by name. They are fetched once in a process' life."""
+    """Holds the machine types by name. They are fetched once in the lifetime of a process."""
 
     def __init__(
         self,
@@ -35,11 +35,14 @@
         self.state = state
         self.current = current
         self.timeouts = timeouts
-        # Empty until they are known. Actors share this very dictionary.
+        # Empty until the types are available. Actors share this dictionary object.
         self.by_name: dict[str, MachineType] = {}
 
     async def fetch(self) -> None:
-        """Machine types from the cloud; the stored copy serves while it is down."""
+        """Fetch the machine types from the cloud, retrying until it responds, and store a copy.
+
+        While the cloud is down the stored copy is used.
+        """
         while True:
             try:
                 types = await self.cloud.types()
@@ -47,7 +50,7 @@
                 await self._store()
                 return
             except (CloudUnavailableError, NoCapacityError) as error:
-                log.info("machine types wait: {error}", error=error)
+                log.info("fetching machine types failed, will retry: {error}", error=error)
             await sleep(self.clock, self.timeouts.report)
 
     async def _store(self) -> None:
@@ -59,10 +62,13 @@
         try:
             await self.state.transact({keys.MACHINE_TYPES: 0}, [put(keys.MACHINE_TYPES, value)])
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
-            log.info("machine types not stored: {error}", error=error)
+            log.info("the copy of the machine types was not stored: {error}", error=error)
 
     def observe(self, key: str) -> None:
-        """A key of the mirror changed: the stored copy serves where the cloud has not answered."""
+        """Take the stored copy when it appears in the mirror.
+
+        It is used only as long as the cloud has not responded.
+        """
         registration = self.current.registration
         if key == keys.MACHINE_TYPES and registration and not self.by_name:
             value = registration.mirror.values.get(keys.MACHINE_TYPES, ([], 0))[0]
--- a/src/beamspar/node/peer_paths.py
+++ b/src/beamspar/node/peer_paths.py
@@ -8,7 +8,7 @@
 
 
 class PeerPath(StrEnum):
-    """What a message to a peer is about: the last part of its path."""
+    """The kinds of messages to a peer, by the last part of their path."""
 
     HEALTH_PROBE = "pulse"
     FORWARDED_REQUEST = "relay"
@@ -17,6 +17,6 @@
     DESIRED_STATE = "sync"
     ATTEMPT_STATUSES = "statuses"
     CANCELLATIONS = "withdrawn"
-    # Operators' requests, which a controller that has left still answers.
+    # Operators' requests, which are answered even by a controller that has left.
     SHARES = "shares"
     LEAVE = "leave"
--- a/src/beamspar/node/public_api.py
+++ b/src/beamspar/node/public_api.py
@@ -1,4 +1,4 @@
-"""The public interface: users' requests, workers' heartbeats and health checks, by their paths."""
+"""The public interface: routes users' requests, workers' heartbeats and health checks by path."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class PublicApi:
-    """Owns what answers each kind of request."""
+    """Routes each request to the object that handles its kind."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         return await self._answer(call, may_forward=True)
 
     async def answer_forwarded(self, call: Call) -> Answer:
-        """Answer a request that a peer forwards; it is not forwarded again."""
+        """Answer a request that a peer has forwarded, without forwarding it again."""
         return await self._answer(call, may_forward=False)
 
     async def _answer(self, call: Call, may_forward: bool) -> Answer:
--- a/src/beamspar/node/record_cache.py
+++ b/src/beamspar/node/record_cache.py
@@ -9,7 +9,7 @@
 
 
 class RecordCache(Generic[T]):
-    """Keeps the values that were put last, at most so many."""
+    """Holds the most recently stored values, up to `max_entries`."""
 
     def __init__(self, max_entries: int) -> None:
         self.max_entries = max_entries
@@ -19,20 +19,20 @@
         return job in self._values
 
     def get(self, job: str) -> T | None:
-        """The job's value, if it is kept."""
+        """Return the job's value, or None if it is not cached."""
         return self._values.get(job)
 
     def put(self, job: str, value: T) -> None:
-        """Keep the value; the one that was put first goes when there are too many."""
+        """Cache the value, and evict the values stored least recently beyond the limit."""
         self._values[job] = value
         self._values.move_to_end(job)
         while len(self._values) > self.max_entries:
             self._values.popitem(last=False)
 
     def drop(self, job: str) -> None:
-        """Forget the job's value."""
+        """Remove the job's value."""
         self._values.pop(job, None)
 
     def clear(self) -> None:
-        """Forget all."""
+        """Remove all values."""
         self._values.clear()
--- a/src/beamspar/node/status_delivery.py
+++ b/src/beamspar/node/status_delivery.py
@@ -1,4 +1,4 @@
-"""Carries statuses of attempts from the machine controller here to the jobs' controllers."""
+"""Delivery of attempt statuses from the machine controller to the jobs' controllers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class StatusDelivery:
-    """Owns the statuses that leave at the end of this turn of the event loop."""
+    """Queues the statuses that are sent in the next iteration of the event loop."""
 
     def __init__(
         self, clock: Clock, me: str, current: CurrentIncarnation, peers: PeerClient
@@ -19,13 +19,14 @@
         self.me = me
         self.current = current
         self.peers = peers
-        # By the member that owns the attempts' jobs.
+        # By the member that owns the jobs of the attempts.
         self.queued: dict[str, list[AttemptStatus]] = {}
 
     def publish(self, member: str, statuses: list[AttemptStatus]) -> None:
         """Queue statuses for a member.
 
-        Those of one turn are sent together: many machines are often lost at once.
+        All statuses of one iteration of the event loop are sent together, because many machines
+        are often lost at once.
         """
         if not self.queued:
             self.clock.callLater(0, self._send_queued)
--- a/src/beamspar/node/version_checks.py
+++ b/src/beamspar/node/version_checks.py
@@ -1,4 +1,4 @@
-"""Checks that cached records are still the stored ones: many in one comparison."""
+"""Batched checks that cached records are still the stored versions."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock, spawn
 
-# Conditions of one transaction for each change that the state service takes in one.
+# Conditions in one transaction per change that the state service allows in one transaction.
 CONDITIONS_PER_CHANGE = 4
 
 
 class KeyVersion(NamedTuple):
-    """A key and the version that is known of it."""
+    """A key and the version of it that is cached."""
 
     key: str
     version: int
 
 
 class VersionChecks:
-    """Owns the checks that wait for the next comparison."""
+    """Collects version checks and runs them in transactions without changes."""
 
     def __init__(
         self, clock: Clock, state: StateClient, settings: Settings, timeouts: Timeouts
@@ -34,27 +34,27 @@
         self.state = state
         self.timeouts = timeouts
         self.max_conditions = settings.platform.state.smallest.txn_ops * CONDITIONS_PER_CHANGE
-        self.waiting: dict[KeyVersion, list[Deferred[bool]]] = {}
+        self.pending_checks: dict[KeyVersion, list[Deferred[bool]]] = {}
         self.is_running = False
 
     def is_current(self, key: str, version: int) -> Deferred[bool]:
-        """Is this still the stored version? False also when that can't be told now."""
+        """Return whether this is still the stored version; False also if the check fails."""
         result: Deferred[bool] = Deferred()
-        self.waiting.setdefault(KeyVersion(key, version), []).append(result)
+        self.pending_checks.setdefault(KeyVersion(key, version), []).append(result)
         if not self.is_running:
             self.is_running = True
-            self.clock.callLater(self.timeouts.poll_batching, self._start)
+            self.clock.callLater(self.timeouts.poll_batching, self._start_pending)
         return result
 
-    def _start(self) -> None:
-        spawn(self._run(), "checking versions")
+    def _start_pending(self) -> None:
+        spawn(self._run_pending(), "checking versions")
 
-    async def _run(self) -> None:
-        while self.waiting:
-            batch = dict(list(self.waiting.items())[: self.max_conditions])
+    async def _run_pending(self) -> None:
+        while self.pending_checks:
+            batch = dict(list(self.pending_checks.items())[: self.max_conditions])
             for item in batch:
-                del self.waiting[item]
-            # Of one key's versions the last is compared; the others are not current.
+                del self.pending_checks[item]
+            # Of several versions of one key the last is compared; the others count as outdated.
             conditions = {item.key: item.version for item in batch}
             failed = await self._compare(conditions)
             for item, results in batch.items():
@@ -68,7 +68,7 @@
         self.is_running = False
 
     async def _compare(self, conditions: dict[str, int]) -> set[str] | None:
-        """The keys whose stored version is another; None without an answer."""
+        """Return the keys whose stored version differs; None if the check failed."""
         try:
             await self.state.transact(conditions, [], RequestPriority.ACCEPT)
         except ConflictError as error:
