--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program itself: deploy file, flags, settings errors, and a start on loopback."""
+"""The program as deployed: deploy file, flags, settings errors, and a start on loopback."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     return ports
 
 
-def run_line() -> list[str]:
+def run_command() -> list[str]:
     deploy = tomllib.loads((ROOT / "deploy" / "service.toml").read_text())
     return [sys.executable, *deploy["run"].split()[1:]]
 
@@ -62,7 +62,7 @@
 
 
 def run_tool(module: str, *options: str) -> Any:
-    """Run a tool of the tests on the built program; the object that it prints last."""
+    """Run a test tool on the built program and return the object that it prints last."""
     build()
     done = subprocess.run(
         [sys.executable, "-m", module, *options],
@@ -98,18 +98,18 @@
     ],
 )
 def test_deploy_lines_start_the_service(tmp_path: Path, limits: str) -> None:
-    """Also with limits that are missing, nought or absurdly small."""
+    """The service starts even if its resource limits are missing, zero or absurdly small."""
     file = settings_file(tmp_path, SETTINGS + limits)
     address = tomllib.loads(file.read_text())["public_addr"]
     process = subprocess.Popen(
-        [*run_line(), str(file)], cwd=ROOT, stderr=subprocess.PIPE, text=True
+        [*run_command(), str(file)], cwd=ROOT, stderr=subprocess.PIPE, text=True
     )
     try:
         assert process.stderr is not None
         for line in process.stderr:
             if "listens" in line:
                 break
-        # Without a state service it answers, and says that it can't take requests.
+        # Without a state service it responds to health checks as unhealthy.
         with pytest.raises(urllib.error.HTTPError) as error:
             urllib.request.urlopen(f"http://{address}/up", timeout=30)
         assert error.value.code == 503
@@ -128,26 +128,27 @@
         (SETTINGS.replace("lease_s = 17.0", "lease_s = 90.0"), "cancel_s"),
     ],
 )
-def test_bad_settings_are_one_clear_line(tmp_path: Path, text: str, says: str) -> None:
+def test_invalid_settings_are_reported_in_one_line(tmp_path: Path, text: str, says: str) -> None:
     file = settings_file(tmp_path, text)
-    done = subprocess.run([*run_line(), str(file)], cwd=ROOT, capture_output=True, text=True)
+    done = subprocess.run([*run_command(), str(file)], cwd=ROOT, capture_output=True, text=True)
     assert done.returncode == 2
     assert says in done.stderr
     assert len(done.stderr.strip().splitlines()) == 1
 
 
-def test_missing_settings_and_check(tmp_path: Path) -> None:
-    missing = [*run_line(), str(tmp_path / "none.toml")]
+def test_missing_settings_fail_and_check_validates_settings(tmp_path: Path) -> None:
+    missing = [*run_command(), str(tmp_path / "none.toml")]
     assert subprocess.run(missing, cwd=ROOT, capture_output=True).returncode == 2
     file = settings_file(tmp_path)
     check = subprocess.run(
-        [*run_line(), str(file), "--check"], cwd=ROOT, capture_output=True, text=True
+        [*run_command(), str(file), "--check"], cwd=ROOT, capture_output=True, text=True
     )
     assert check.returncode == 0
     assert "in order" in check.stdout
 
 
-# The time of day is changed before anything of twisted is loaded, for it keeps a reference.
+# Replaces `time.time` before any twisted module is imported, because twisted keeps a reference
+# to it.
 CLOCK_STEP = """
 import random, sys, time
 sys.path[:0] = ["src", "target/deps"]
@@ -179,7 +180,9 @@
 
 
 @pytest.mark.parametrize("jump", [-1000.0, 1000.0])
-def test_time_of_day_moves_neither_leases_nor_timers(tmp_path: Path, jump: float) -> None:
+def test_a_jump_of_the_time_of_day_affects_neither_leases_nor_timers(
+    tmp_path: Path, jump: float
+) -> None:
     config = tmp_path / "settings.toml"
     ports = dict(zip(("public", "peer", "cloud", "state"), free_ports(4), strict=True))
     config.write_text(SETTINGS.format(**ports))
@@ -187,11 +190,12 @@
         [sys.executable, "-c", CLOCK_STEP, str(config), str(jump)],
         cwd=ROOT, capture_output=True, text=True, timeout=20, check=True,
     )  # fmt: skip
-    passed = float(done.stdout.split()[-1])
-    assert 0.2 <= passed < 5.0, passed
+    elapsed_s = float(done.stdout.split()[-1])
+    assert 0.2 <= elapsed_s < 5.0, elapsed_s
 
 
-# What the deploy line loads before it serves: modules, and whether each is compiled already.
+# Prints the modules that the deploy line imports before it serves, and whether the compiled file
+# of each is up to date.
 LOADED = """
 import sys
 sys.argv = ["run.py", "--help"]
@@ -208,15 +212,15 @@
         mtime = int.from_bytes(compiled.read_bytes()[8:12], "little") if compiled.exists() else 0
         print(name, source, mtime == int(source.stat().st_mtime))
 """
-# Libraries that are not needed to serve, and cost some tenth of a start together.
+# Libraries that are not needed to serve and together take about a tenth of the start time.
 NOT_LOADED = ("twisted.web.client", "twisted.internet.endpoints", "twisted.plugin")
 
 
 def test_a_start_loads_compiled_sources_and_no_more_than_it_needs() -> None:
     shutil.rmtree(ROOT / "target" / "app")
     build()
-    flags = [word for word in run_line()[1:] if word.startswith("-") and word != "--config"]
-    # What the build left out is not made up for by this run.
+    flags = [word for word in run_command()[1:] if word.startswith("-") and word != "--config"]
+    # With `-B` this run does not compile what the build has left out.
     done = subprocess.run(
         [sys.executable, *flags, "-B", "-c", LOADED],
         cwd=ROOT, capture_output=True, text=True, check=True,
@@ -228,4 +232,4 @@
     for name, path, compiled in lines:
         if name.startswith("beamspar"):
             assert Path(path).is_relative_to(ROOT / "target" / "app"), path
-        assert compiled == "True", f"{name} is compiled anew at each start"
+        assert compiled == "True", f"{name} is recompiled at each start"
