--- a/src/beamspar/node/health.py
+++ b/src/beamspar/node/health.py
@@ -25,14 +25,14 @@
         clock: Clock,
         state: StateClient,
         current: CurrentIncarnation,
-        types: MachineTypes,
+        machine_types: MachineTypes,
         peers: PeerClient,
         timeouts: Timeouts,
     ) -> None:
         self.clock = clock
         self.state = state
         self.current = current
-        self.types = types
+        self.machine_types = machine_types
         self.peers = peers
         self.timeouts = timeouts
         self.served_at: dict[str, float] = {}
@@ -47,7 +47,11 @@
         sharing = actors.sharing if actors is not None else None
         if sharing is not None and sharing.leave.is_leaving():
             return False
-        return self.current.is_loaded and bool(self.types.by_name) and self.healthy_peer() is None
+        return (
+            self.current.is_loaded
+            and bool(self.machine_types.by_name)
+            and self.healthy_peer() is None
+        )
 
     def healthy_peer(self) -> str | None:
         """Return the peer that the state service served last while it fails for this controller.
--- a/src/beamspar/node/heartbeats.py
+++ b/src/beamspar/node/heartbeats.py
@@ -69,7 +69,7 @@
             self.clock.callLater(0, self._send_if_registered)
 
     def _send_if_registered(self) -> None:
-        if self.current.registered() is not None:
+        if self.current.registered_actors() is not None:
             self.send()
 
     def send(self) -> None:
--- a/src/beamspar/node/incarnation.py
+++ b/src/beamspar/node/incarnation.py
@@ -50,7 +50,7 @@
         # not register again.
         self.has_left = False
 
-    def registered(self) -> Actors | None:
+    def registered_actors(self) -> Actors | None:
         """Return the actors, or None if they are not registered yet or not any more."""
         actors = self.actors
         return actors if actors is not None and actors.is_registered() else None
--- a/src/beamspar/node/job_lookup.py
+++ b/src/beamspar/node/job_lookup.py
@@ -146,7 +146,7 @@
             self.stored.put(job, StoredJob(item.version, record))
             self._load_missing_job(job, record)
             return stored_state(job, record)
-        self.stored.drop(job)
+        self.stored.remove(job)
         # A job moves from `job/` to `end/` in one transaction, so reading `job/` first and then
         # `end/` can't miss it.
         item = await self.state.get(keys.finished_job(job))
--- a/src/beamspar/node/node.py
+++ b/src/beamspar/node/node.py
@@ -73,7 +73,9 @@
         self.state = StateClient(clock, net, settings, self.timeouts)
         self.cloud = CloudClient(net, settings.services.cloud, self.timeouts.request)
         self.current = CurrentIncarnation()
-        self.types = MachineTypes(clock, self.cloud, self.state, self.current, self.timeouts)
+        self.machine_types = MachineTypes(
+            clock, self.cloud, self.state, self.current, self.timeouts
+        )
         addresses = {peer.member: peer.peer_addr for peer in settings.peers}
         self.peers = PeerClient(clock, net, addresses, self.timeouts)
         self._build_messaging()
@@ -94,7 +96,7 @@
     def _build_request_handlers(self) -> None:
         """Build the objects that serve users, workers, peers and operators."""
         self.health = Health(
-            self.clock, self.state, self.current, self.types, self.peers, self.timeouts
+            self.clock, self.state, self.current, self.machine_types, self.peers, self.timeouts
         )
         self.forwarder = RequestForwarder(self.clock, self.peers, self.timeouts)
         self.departure = Departure(
@@ -106,7 +108,7 @@
             self.timeouts,
             self.state,
             self.current,
-            self.types.by_name,
+            self.machine_types.by_name,
             self.health,
             self.forwarder,
             self.cancellations,
@@ -176,7 +178,7 @@
             self.settings.peer_bind, self.dispatch.handle, sockets.peers, MAX_PEER_MESSAGE_BYTES
         )
         log.info("{me} listens", me=self.settings.member)
-        spawn(self.types.fetch(), "machine types")
+        spawn(self.machine_types.fetch(), "machine types")
         self._spawn_registration()
         self._tick()
 
@@ -222,7 +224,7 @@
             registration,
             WorkerClient(self.net, timeouts.command),
             timeouts,
-            lambda: self.types.by_name,
+            lambda: self.machine_types.by_name,
             self._is_bound,
         )
         job_controller = JobController(clock, registration, state, settings, timeouts)
@@ -230,7 +232,7 @@
         leader = self._build_leader(registration)
         actors = Actors(registration, machine_controller, job_controller, leader, quota_manager)
         self._connect(actors)
-        registration.mirror.listeners.append(self.types.observe)
+        registration.mirror.listeners.append(self.machine_types.observe)
         if self.operator_settings.standby:
             actors.standby = self._build_standby(actors)
             registration.mirror.listeners.append(self.heartbeats.observe)
@@ -240,7 +242,12 @@
 
     def _build_leader(self, registration: Registration) -> Leader:
         instance_manager = InstanceManager(
-            self.clock, self.cloud, registration, self.settings, self.timeouts, self.types.by_name
+            self.clock,
+            self.cloud,
+            registration,
+            self.settings,
+            self.timeouts,
+            self.machine_types.by_name,
         )
         return Leader(
             self.clock,
@@ -312,7 +319,7 @@
         types that are too slow for the start objective of the job's class.
         """
         within_s = self.settings.platform.start_within(spec.job_class)
-        slow = slow_kinds(spec, within_s, self.types.by_name.values())
+        slow = slow_kinds(spec, within_s, self.machine_types.by_name.values())
         return Preference(self.guidance.per_accelerator, slow)
 
     async def _is_bound(self, task: str, attempt: int, machine: str) -> bool | None:
@@ -343,7 +350,7 @@
         self.health.probe()
         self.cancellations.send_pending()
         try:
-            actors = self.current.registered()
+            actors = self.current.registered_actors()
             if actors is not None:
                 self._tick_actors(actors)
         except Exception:
--- a/src/beamspar/node/peer_dispatch.py
+++ b/src/beamspar/node/peer_dispatch.py
@@ -113,13 +113,13 @@
         return answer if answer is not None else self._dispatch(name, call.body)
 
     async def _dispatch_to_standby(self, name: str, body: bytes) -> bytes | None:
-        actors = self.current.registered()
+        actors = self.current.registered_actors()
         if actors is None or actors.standby is None:
             return None
         return await actors.standby.answer(name, body)
 
     async def _dispatch_to_sharing(self, name: str, body: bytes) -> bytes | None:
-        actors = self.current.registered()
+        actors = self.current.registered_actors()
         if actors is None or actors.sharing is None:
             return self.departure.answer(name, body)
         return await actors.sharing.answer(name, body)
@@ -127,7 +127,7 @@
     def _dispatch(self, name: str, body: bytes) -> bytes:
         if name == PeerPath.HEALTH_PROBE:
             return encode(self.health.probe_response())
-        actors = self.current.registered()
+        actors = self.current.registered_actors()
         if actors is None:
             return UNREGISTERED_RESPONSES[name]
         return HANDLERS[name](actors, body)
--- a/src/beamspar/node/public_api.py
+++ b/src/beamspar/node/public_api.py
@@ -34,7 +34,7 @@
         timeouts: Timeouts,
         state: StateClient,
         current: CurrentIncarnation,
-        types: Mapping[str, MachineType],
+        machine_types: Mapping[str, MachineType],
         health: Health,
         forwarder: RequestForwarder,
         notices: CancellationNotices,
@@ -45,7 +45,9 @@
         self.forwarder = forwarder
         self.jobs = JobLookup(clock, state, settings, timeouts, current)
         self.polls = Polls(clock, state, timeouts, current, self.jobs)
-        self.submissions = Submissions(state, settings, current, types, self.jobs, self.polls)
+        self.submissions = Submissions(
+            state, settings, current, machine_types, self.jobs, self.polls
+        )
         self.cancellations = UserCancellations(state, current, self.jobs, notices)
         self.worker_heartbeats = WorkerHeartbeats(current, peers, contacts)
 
--- a/src/beamspar/node/record_cache.py
+++ b/src/beamspar/node/record_cache.py
@@ -29,7 +29,7 @@
         while len(self._values) > self.max_entries:
             self._values.popitem(last=False)
 
-    def drop(self, job: str) -> None:
+    def remove(self, job: str) -> None:
         """Remove the job's value."""
         self._values.pop(job, None)
 
--- a/src/beamspar/node/submissions.py
+++ b/src/beamspar/node/submissions.py
@@ -42,14 +42,14 @@
         state: StateClient,
         settings: Settings,
         current: CurrentIncarnation,
-        types: Mapping[str, MachineType],
+        machine_types: Mapping[str, MachineType],
         jobs: JobLookup,
         polls: Polls,
     ) -> None:
         self.state = state
         self.settings = settings
         self.current = current
-        self.types = types
+        self.machine_types = machine_types
         self.jobs = jobs
         self.polls = polls
         self.in_progress = 0
@@ -74,7 +74,7 @@
             return await self._state_or(job, error(400, str(invalid)))
         if self._is_in_memory(job):
             return await self.polls.poll(job)
-        if not self.types or not self.current.may_act():
+        if not self.machine_types or not self.current.may_act():
             return busy()
         reason = self._rejection_reason(spec)
         if reason is not None:
@@ -127,7 +127,7 @@
         team = next((t for t in self.settings.platform.teams if t.name == spec.team), None)
         if team is None:
             return f"owner {spec.team} is no team"
-        if not any(fits_type(spec, kind) for kind in self.types.values()):
+        if not any(fits_type(spec, kind) for kind in self.machine_types.values()):
             return "a task fits no allowed machine type"
         # Services and gangs run all their tasks at once; other jobs may run them one by one.
         count = spec.tasks if spec.is_service or spec.is_gang else 1
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -64,7 +64,7 @@
 def run_tool(module: str, *options: str) -> Any:
     """Run a test tool on the built program and return the object that it prints last."""
     build()
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", module, *options],
         cwd=ROOT,
         env={**os.environ, "PYTHONPATH": f"src{os.pathsep}."},
@@ -72,8 +72,8 @@
         text=True,
         timeout=400,
     )
-    assert done.returncode == 0, done.stderr[-4000:]
-    return orjson.loads(done.stdout.splitlines()[-1])
+    assert completed.returncode == 0, completed.stderr[-4000:]
+    return orjson.loads(completed.stdout.splitlines()[-1])
 
 
 @pytest.fixture(scope="module", autouse=True)
@@ -130,10 +130,12 @@
 )
 def test_invalid_settings_are_reported_in_one_line(tmp_path: Path, text: str, says: str) -> None:
     file = settings_file(tmp_path, text)
-    done = subprocess.run([*run_command(), str(file)], cwd=ROOT, capture_output=True, text=True)
-    assert done.returncode == 2
-    assert says in done.stderr
-    assert len(done.stderr.strip().splitlines()) == 1
+    completed = subprocess.run(
+        [*run_command(), str(file)], cwd=ROOT, capture_output=True, text=True
+    )
+    assert completed.returncode == 2
+    assert says in completed.stderr
+    assert len(completed.stderr.strip().splitlines()) == 1
 
 
 def test_missing_settings_fail_and_check_validates_settings(tmp_path: Path) -> None:
@@ -186,11 +188,11 @@
     config = tmp_path / "settings.toml"
     ports = dict(zip(("public", "peer", "cloud", "state"), free_ports(4), strict=True))
     config.write_text(SETTINGS.format(**ports))
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", CLOCK_STEP, str(config), str(jump)],
         cwd=ROOT, capture_output=True, text=True, timeout=20, check=True,
     )  # fmt: skip
-    elapsed_s = float(done.stdout.split()[-1])
+    elapsed_s = float(completed.stdout.split()[-1])
     assert 0.2 <= elapsed_s < 5.0, elapsed_s
 
 
@@ -221,11 +223,11 @@
     build()
     flags = [word for word in run_command()[1:] if word.startswith("-") and word != "--config"]
     # With `-B` this run does not compile what the build has left out.
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, *flags, "-B", "-c", LOADED],
         cwd=ROOT, capture_output=True, text=True, check=True,
     )  # fmt: skip
-    lines = [line.split() for line in done.stdout.splitlines()]
+    lines = [line.split() for line in completed.stdout.splitlines()]
     names = {name for name, _, _ in lines}
     assert {"beamspar.node.node", "twisted.web.http"} <= names
     assert not names & set(NOT_LOADED)
