--- a/src/beamspar/node/capacity_client.py
+++ b/src/beamspar/node/capacity_client.py
@@ -35,7 +35,7 @@
     def request(self, requests: list[CapacityRequest]) -> Deferred[list[PlacementOffer] | None]:
         """Return the leader's offers, or None if it can't be reached.
 
-        The timeout is short, because users wait for the placement.
+        It gives up soon, because users wait for their jobs to be placed.
         """
         return ensureDeferred(self._request(requests))
 
--- a/src/beamspar/node/forwarding.py
+++ b/src/beamspar/node/forwarding.py
@@ -22,7 +22,7 @@
 
 
 class RequestForwarder:
-    """Forwards users' requests that this controller would have to reject to a peer."""
+    """Forwards to a peer users' requests that this controller would have to reject."""
 
     def __init__(self, clock: Clock, peers: PeerClient, timeouts: Timeouts) -> None:
         self.clock = clock
