--- a/src/beamspar/standby/__init__.py
+++ b/src/beamspar/standby/__init__.py
@@ -1,1 +1,1 @@
-"""A warm standby: followers of the leader's decisions, ready to take the lead when it fails."""
+"""The warm standby: followers replicate the leader's decisions and replace it when it fails."""
--- a/src/beamspar/standby/command.py
+++ b/src/beamspar/standby/command.py
@@ -1,7 +1,7 @@
-"""The operators' command: who leads, who follows, and handing the lead over.
+"""The operators' command: show which controller leads or follows, and hand the lead over.
 
-It calls the controllers at their addresses for peers, which the settings file names. Exit statuses:
-0 done, 1 nobody leads or the lead was not handed over, 2 bad settings or usage.
+It calls the controllers at their peer addresses, which the settings file lists. Exit statuses:
+0 done, 1 no controller leads or the lead was not handed over, 2 invalid settings or usage.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from beamspar.standby.messages import HandOverReply, StandbyPath, StandbyStatus
 
 NOT_DONE, BAD_SETTINGS = 1, 2
-# Limits of a call: a hand-over has an election in it, the answer to a question much less.
+# Timeouts of a call: a hand-over includes an election, other calls only read state.
 ANSWER_S, HAND_OVER_S = 2.0, 10.0
 
 
 class NoAnswerError(Exception):
-    """The controller gave no usable answer."""
+    """The controller sent no usable response."""
 
 
 def call(address: str, path: str, message: Any, limit_s: float) -> Any:
-    """Send a message to a controller and return its answer. Raises NoAnswerError."""
+    """Send a message to a controller and return its response. Raises NoAnswerError."""
     request = urllib.request.Request(
         f"http://{address}/peer/{path}", data=orjson.dumps(message), method="POST"
     )
@@ -42,14 +42,14 @@
 
 
 def addresses(settings: Settings) -> dict[str, str]:
-    """Every controller's address for peers."""
+    """Return the peer address of every controller."""
     found = {settings.member: settings.peer_bind}
     found.update({peer.member: peer.peer_addr for peer in settings.peers})
     return dict(sorted(found.items()))
 
 
 def statuses(settings: Settings) -> dict[str, StandbyStatus | str]:
-    """Each controller's status, or why it has not answered."""
+    """Return each controller's status, or the reason why it sent none."""
     found: dict[str, StandbyStatus | str] = {}
     for member, address in addresses(settings).items():
         try:
@@ -61,7 +61,7 @@
 
 
 def describe(status: StandbyStatus) -> str:
-    """One line for people."""
+    """Return the status as one line of text."""
     if status.is_leading:
         doing = "decides" if status.is_deciding else "leads, and confirms who is alive"
         order = ", ".join(status.succession) or "nobody"
--- a/src/beamspar/standby/context.py
+++ b/src/beamspar/standby/context.py
@@ -1,4 +1,4 @@
-"""What all parts of the standby work with."""
+"""Dependencies that all parts of the standby share."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock
 
-# Sends a message to a member's path, with a time limit in seconds, and returns the body of its
-# answer. Raises CallRefusedError when it answers with a refusal, and else CallFailedError.
+# Sends a message to a member's path with a timeout in seconds, and returns the response body.
+# Raises CallRefusedError if the response is a refusal, and CallFailedError if there is no usable
+# response.
 Send = Callable[[str, str, Any, float], Awaitable[bytes]]
 
 
 class StandbyContext(msgspec.Struct, frozen=True):
-    """One incarnation of this controller, as the parts of its standby see it."""
+    """Dependencies of the standby's parts, for one incarnation of this controller."""
 
     clock: Clock
     registration: Registration
@@ -28,5 +29,5 @@
 
     @property
     def me(self) -> str:
-        """This controller's name."""
+        """The name of this controller."""
         return self.registration.me
--- a/src/beamspar/standby/failover.py
+++ b/src/beamspar/standby/failover.py
@@ -1,4 +1,4 @@
-"""Replacing a leader: one that is confirmed to have failed, or one that hands over to us."""
+"""Replacing a leader that is confirmed to have failed or that hands over to this controller."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
 
 log = Logger(namespace="standby")
 
-# Heartbeats that a follower gives each one before it in the succession.
-SUCCESSOR_HEARTBEATS = 2
+# How long a follower waits for each one before it in the succession, in heartbeat intervals.
+SUCCESSOR_WAIT_HEARTBEATS = 2
 
 
 class Failover:
-    """Has this controller elected as the successor, and confirms the members afterwards.
+    """Stands for election as the successor, and confirms the members once elected.
 
     The election is a compare-and-swap on the leader's record, which fences the former leader and
-    settles which of several successors leads. So nothing of safety rests on the suspicion.
+    decides which of several successors leads. Safety therefore doesn't depend on the failure
+    detection being right.
     """
 
     def __init__(
@@ -42,9 +43,12 @@
         self._history = history
         self._detector = FailureDetector(context.clock, context.timeouts, probes)
 
-    async def suspect(self, leader: str, succession: list[str]) -> None:
-        """The leader does not answer: confirm that it has failed, and in turn replace it."""
-        log.info("{leader} is suspected", leader=leader)
+    async def replace_if_failed(self, leader: str, succession: list[str]) -> None:
+        """Replace a leader that does not respond, once its failure is confirmed.
+
+        The followers act in the order of the succession.
+        """
+        log.info("leader {leader} does not respond, suspecting a failure", leader=leader)
         suspected_record = self._leader_record()
         await self._wait_for_turn(succession)
         now = self._context.clock.seconds
@@ -56,10 +60,11 @@
         if not self._may_be_elected():
             return
         if self._leader_record() != suspected_record:
-            log.info("the lead has passed on meanwhile")
+            log.info("the leader's record has changed meanwhile, failover cancelled")
             return
         log.warn(
-            "{leader} has failed: {me} takes the lead, copied up to {index} of term {term}",
+            "leader {leader} has failed; {me} stands for election, replicated up to index {index} "
+            "of term {term}",
             leader=leader,
             me=self._context.me,
             index=self._replica.index,
@@ -69,7 +74,7 @@
         self._confirm_members(except_for=leader)
 
     async def take_lead(self, request: TakeLeadRequest) -> TakeLeadReply:
-        """The leader hands over to us: succeed it, if we have all that it decided."""
+        """Take the lead from a leader that hands over, if its whole log is replicated here."""
         replica = self._replica
         is_complete = replica.term == request.term and replica.index >= request.index
         if not is_complete or self._mirror.leader != request.member or self._leader.electing:
@@ -79,11 +84,11 @@
         return TakeLeadReply(self._mirror.leader == self._context.me)
 
     async def _wait_for_turn(self, succession: list[str]) -> None:
-        """Who is preferred goes first; the others only step in for it."""
+        """Give each preferred successor the time to be elected first."""
         me = self._context.me
         position = succession.index(me) if me in succession else len(succession)
         if position:
-            pause_s = self._context.timeouts.heartbeat * SUCCESSOR_HEARTBEATS * position
+            pause_s = self._context.timeouts.heartbeat * SUCCESSOR_WAIT_HEARTBEATS * position
             await sleep(self._context.clock, pause_s)
 
     def _may_be_elected(self) -> bool:
@@ -94,10 +99,10 @@
         return self._mirror.values.get(keys.LEADER, (None, 0))[0]
 
     def _confirm_members(self, except_for: str = "") -> None:
-        """Ask every live member for its machines and jobs.
+        """Request a full heartbeat from every live member.
 
-        They send them by themselves when their mirror names the new leader; one whose mirror is
-        late is not waited for in vain.
+        Members send one by themselves once their mirror names the new leader. The request saves
+        waiting for a member whose mirror is late.
         """
         if self._leader.leading:
             for member in sorted(self._mirror.members - {self._context.me, except_for}):
--- a/src/beamspar/standby/failover_history.py
+++ b/src/beamspar/standby/failover_history.py
@@ -1,16 +1,17 @@
-"""The failovers of late, and how long the next one has to wait for them."""
+"""Recent failovers, and the exponential backoff that they impose on the next one."""
 
 from __future__ import annotations
 
 from beamspar.timeouts import Timeouts
 
-# Failovers count for this many leases of a worker; so many of them go without a pause.
-COUNTED_WORKER_LEASES = 8
-FREE_FAILOVERS = 2
+# How long a failover counts, in worker leases.
+HISTORY_WORKER_LEASES = 8
+# Failovers within that time that need no delay.
+MAX_FAILOVERS_WITHOUT_DELAY = 2
 
 
 class FailoverHistory:
-    """Owns the times at which one leader replaced another, as far as this controller knows."""
+    """Owns the times of failovers, in which one leader replaced another, as observed here."""
 
     def __init__(self, timeouts: Timeouts) -> None:
         self.times: list[float] = []
@@ -18,7 +19,7 @@
         self._leader: str | None = None
 
     def observe_leader(self, leader: str | None, now: float) -> None:
-        """The record of the leader has changed; None while nobody leads."""
+        """Record the leader named by the leader's record; None while there is no leader."""
         if leader is None:
             return
         if self._leader is not None and leader != self._leader:
@@ -26,10 +27,15 @@
         self._leader = leader
 
     def may_fail_over(self, now: float) -> bool:
-        """Failovers that follow each other closely have to wait, twice as long each time."""
-        counted_s = self._timeouts.worker_lease * COUNTED_WORKER_LEASES
-        self.times = [at for at in self.times if now - at < counted_s]
-        if len(self.times) < FREE_FAILOVERS:
+        """Return whether the delay since the last failover is over.
+
+        The first MAX_FAILOVERS_WITHOUT_DELAY need no delay; it doubles with each further one.
+        """
+        history_s = self._timeouts.worker_lease * HISTORY_WORKER_LEASES
+        self.times = [at for at in self.times if now - at < history_s]
+        if len(self.times) < MAX_FAILOVERS_WITHOUT_DELAY:
             return True
-        pause_s = self._timeouts.leader_lease * 2.0 ** (len(self.times) - FREE_FAILOVERS)
-        return now - self.times[-1] > pause_s
+        delay_s = self._timeouts.leader_lease * 2.0 ** (
+            len(self.times) - MAX_FAILOVERS_WITHOUT_DELAY
+        )
+        return now - self.times[-1] > delay_s
--- a/src/beamspar/standby/failure_detector.py
+++ b/src/beamspar/standby/failure_detector.py
@@ -1,4 +1,4 @@
-"""Suspicion of a failed leader, and its confirmation by asking others before anyone acts."""
+"""Failure detection: a suspected failure is confirmed through other members before any action."""
 
 from __future__ import annotations
 
@@ -13,28 +13,29 @@
 
 log = Logger(namespace="standby")
 
-# How often in a row everybody must fail to reach a suspect.
+# Consecutive rounds of probes in which no member may reach a suspect.
 CONFIRMING_ROUNDS = 2
 
 
 class Probes(Protocol):
-    """Probes of members, by ourselves and by others."""
+    """Health probes of members, sent directly or through another member."""
 
     def is_reachable(self, member: str) -> Coroutine[Any, Any, bool]:
-        """Can we reach the member?"""
+        """Return whether this controller can reach the member."""
 
     def is_reachable_from(self, peer: str, member: str) -> Coroutine[Any, Any, bool | None]:
-        """Can the peer reach the member? None when the peer does not answer."""
+        """Return whether the peer can reach the member; None if the peer does not respond."""
 
 
 class FailureDetector:
-    """Decides whether a member that does not answer has failed.
-
-    A member has failed when we cannot reach it in several rounds and, in each round, at least one
-    other member answered and none of those that answered could reach it. So a slow member, one
-    that others reach, and one on the far side of a cut that leaves us alone are never declared
-    failed. If no other member is registered, our own probes decide: nothing of safety rests on
-    the decision, only the time until a successor leads.
+    """Decides whether a member that does not respond has failed.
+
+    A member has failed if, in several consecutive rounds, this controller can't reach it, at
+    least one other member responds, and none of those that respond can reach it. So none of
+    these is declared failed: a slow member, one that others reach, and one on the other side of a
+    network partition that isolates this controller. If no other member is registered, this
+    controller's own probes decide. The decision affects only the time until a successor leads, not
+    safety.
     """
 
     def __init__(self, clock: Clock, timeouts: Timeouts, probes: Probes) -> None:
@@ -43,7 +44,7 @@
         self._probes = probes
 
     async def has_failed(self, suspect: str, others: list[str]) -> bool:
-        """Confirm a suspicion. Takes some heartbeats; probes the suspect in each round."""
+        """Return whether the suspect has failed; takes a few heartbeat intervals."""
         for round_number in range(CONFIRMING_ROUNDS):
             if round_number:
                 await sleep(self._clock, self._timeouts.heartbeat / 2)
@@ -52,18 +53,25 @@
         return True
 
     async def _is_unreachable_for_all(self, suspect: str, others: list[str]) -> bool:
-        # All at once: one after the other, time-outs would add up to a failover too late.
-        own = ensureDeferred(self._probes.is_reachable(suspect))
-        asked = [ensureDeferred(self._probes.is_reachable_from(other, suspect)) for other in others]
-        if await own:
-            log.info("{suspect} answers: not failed", suspect=suspect)
+        # The probes run in parallel: in sequence, their timeouts would add up and delay failover.
+        own_probe = ensureDeferred(self._probes.is_reachable(suspect))
+        probes_by_others = [
+            ensureDeferred(self._probes.is_reachable_from(other, suspect)) for other in others
+        ]
+        if await own_probe:
+            log.info("{suspect} responds to a probe, it has not failed", suspect=suspect)
             return False
-        answers = [await answer for answer in asked]
-        known = [answer for answer in answers if answer is not None]
-        if any(known):
-            log.info("{suspect} is reached by others: not failed", suspect=suspect)
+        replies = [await reply for reply in probes_by_others]
+        received = [reply for reply in replies if reply is not None]
+        if any(received):
+            log.info(
+                "{suspect} is reachable from other members, it has not failed", suspect=suspect
+            )
             return False
-        if others and not known:
-            log.info("nobody confirms that {suspect} has failed", suspect=suspect)
+        if others and not received:
+            log.info(
+                "no other member responded to confirm the failure of {suspect}, it counts as alive",
+                suspect=suspect,
+            )
             return False
         return True
--- a/src/beamspar/standby/hand_over.py
+++ b/src/beamspar/standby/hand_over.py
@@ -1,4 +1,4 @@
-"""The leader's side of a succession: who is preferred, and handing the lead over on purpose."""
+"""The leader's side of a succession: ranking the followers and handing over on request."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 log = Logger(namespace="standby")
 
-# In time-outs of a request: how long nothing is decided, and of that how long the followers may
-# take to catch up, and one of them to be elected.
+# In request timeouts: how long no decisions are made, and of that how long the followers may take
+# to catch up, and the successor to be elected.
 PAUSE_REQUESTS, CATCH_UP_REQUESTS, ELECTION_REQUESTS = 3, 1, 2
 
 
-class LeadHandOver:
-    """Orders the followers of this leader, and lets one of them take the lead."""
+class LeadershipHandOver:
+    """Ranks the followers of this leader and hands the lead over to one of them."""
 
     def __init__(
         self, context: StandbyContext, decision_log: DecisionLog, zones: dict[str, str]
@@ -39,7 +39,11 @@
         self._zones = zones
 
     def succession(self) -> list[str]:
-        """Followers seen of late: the most complete first, of another zone, the least busy."""
+        """Return the recently seen followers, the preferred successor first.
+
+        They are ranked by fewest missing entries, then a zone other than the leader's, then
+        fewest machines.
+        """
         now = self._context.clock.seconds()
         own_zone = self._zones.get(self._context.me)
         followers = self._decision_log.followers
@@ -61,9 +65,9 @@
         return [member for *_, member in sorted(ranked)]
 
     async def hand_over(self, request: HandOverRequest) -> HandOverReply:
-        """Let a follower that has the whole log take the lead, in order.
+        """Hand the lead over to a follower that has replicated the whole log.
 
-        Nothing is decided meanwhile. If no follower takes it, this controller goes on.
+        No decisions are made meanwhile. If no follower takes the lead, this controller keeps it.
         """
         if not self._leader.ready:
             leader = self._mirror.leader or ""
@@ -71,42 +75,49 @@
         now = self._context.clock.seconds()
         self._leader.paused_until = now + self._timeouts.request * PAUSE_REQUESTS
         try:
-            until = now + self._timeouts.request * CATCH_UP_REQUESTS
-            successor = await self._complete_follower(request.to, until)
+            deadline = now + self._timeouts.request * CATCH_UP_REQUESTS
+            successor = await self._wait_for_complete_follower(request.to, deadline)
             if successor is None:
-                return self._kept("no such follower has the whole log")
+                return self._not_handed_over("no such follower has the whole log")
             has_taken = await self._offer_lead(successor)
         except (CallFailedError, ValueError) as error:
-            log.info("not handed over: {error}", error=error)
-            return self._kept("the follower did not answer")
+            log.info("handing the lead over failed, resuming decisions: {error}", error=error)
+            return self._not_handed_over("the follower did not answer")
         finally:
             self._leader.paused_until = self._context.clock.seconds()
         if not has_taken:
-            return self._kept(f"{successor} could not take the lead")
-        log.info("the lead is handed over to {member}", member=successor)
+            return self._not_handed_over(f"{successor} could not take the lead")
+        log.info("handed the lead over to {member}", member=successor)
         return HandOverReply(True, successor)
 
-    def _kept(self, reason: str) -> HandOverReply:
-        """The lead was not handed over."""
+    def _not_handed_over(self, reason: str) -> HandOverReply:
+        """Return the reply for a lead that was not handed over."""
         return HandOverReply(False, self._context.me, reason)
 
     async def _offer_lead(self, successor: str) -> bool:
-        """Ask the follower to take the lead; returns whether it has. Raises CallFailedError."""
+        """Request that the follower take the lead, and return whether it has.
+
+        Raises CallFailedError.
+        """
         index = self._decision_log.followers[successor].index
         request = TakeLeadRequest(self._context.me, self._decision_log.term, index)
-        limit_s = self._timeouts.request * ELECTION_REQUESTS
-        body = await self._context.send(successor, StandbyPath.TAKE_LEAD, request, limit_s)
+        timeout_s = self._timeouts.request * ELECTION_REQUESTS
+        body = await self._context.send(successor, StandbyPath.TAKE_LEAD, request, timeout_s)
         reply: TakeLeadReply = decode(body, TakeLeadReply)
         return reply.is_taken
 
-    async def _complete_follower(self, wanted: str, until: float) -> str | None:
-        """The first in order, or the wanted one, once it has all that is decided by now."""
+    async def _wait_for_complete_follower(self, wanted: str, deadline: float) -> str | None:
+        """Wait for a follower that has replicated all decisions made before this call.
+
+        Return `wanted` if it is given, otherwise the first complete one in the succession, and
+        None if there is none by `deadline`.
+        """
         index = self._decision_log.index
         while True:
             for member in self.succession():
                 is_complete = self._decision_log.followers[member].index >= index
                 if wanted in ("", member) and is_complete:
                     return member
-            if self._context.clock.seconds() >= until:
+            if self._context.clock.seconds() >= deadline:
                 return None
             await sleep(self._context.clock, self._timeouts.heartbeat / 4)
--- a/src/beamspar/standby/leader_follower.py
+++ b/src/beamspar/standby/leader_follower.py
@@ -1,4 +1,4 @@
-"""Following the leader: fetching its decisions, and noticing when it does not answer."""
+"""Following the leader: fetching its decisions, and detecting that it does not respond."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 log = Logger(namespace="standby")
 
-# Heartbeats that an answer may take, and that a leader without a log is not asked again.
-FETCH_HEARTBEATS, NO_LOG_HEARTBEATS = 2, 2
+# The timeout of a fetch, and the pause after a leader has refused one, in heartbeat intervals.
+FETCH_TIMEOUT_HEARTBEATS, REFUSED_PAUSE_HEARTBEATS = 2, 2
 
 
 class LeaderFollower:
@@ -29,18 +29,18 @@
         replica: Replica,
         on_unreachable: Callable[[str, list[str]], Awaitable[None]],
     ) -> None:
-        # The followers as the leader ordered them last, the preferred successor first.
+        # The followers in the leader's latest order of preference as successors.
         self.succession: list[str] = []
         self._context = context
         self._registration = context.registration
         self._mirror = context.registration.mirror
         self._timeouts = context.timeouts
         self._replica = replica
-        # Called with the leader and the succession when the leader does not answer.
+        # Called with the leader and the succession when the leader does not respond.
         self._on_unreachable = on_unreachable
 
     async def run(self) -> None:
-        """Follow whoever leads until the registration is lost."""
+        """Follow the current leader until the registration ends."""
         while not self._registration.lost:
             leader = self._mirror.leader
             if (
@@ -53,37 +53,48 @@
             await sleep(self._context.clock, await self._follow(leader))
 
     async def _follow(self, leader: str) -> float:
-        """Fetch once; returns the pause in seconds until the next time."""
+        """Fetch once and return the pause until the next fetch, in seconds."""
         pause_s = self._timeouts.heartbeat / 2
         try:
             if await self._fetch(leader):
                 pause_s /= 10
         except CallRefusedError as error:
-            # It is alive: an earlier release, or one that registers anew.
-            log.debug("{leader} has no log: {error}", leader=leader, error=error)
-            pause_s = self._timeouts.heartbeat * NO_LOG_HEARTBEATS
+            # The leader is alive: it runs an earlier release, which has no log, or it is
+            # registering again.
+            log.debug(
+                "leader {leader} serves no decision log, will retry: {error}",
+                leader=leader,
+                error=error,
+            )
+            pause_s = self._timeouts.heartbeat * REFUSED_PAUSE_HEARTBEATS
         except (CallFailedError, ValueError) as error:
-            log.debug("following {leader}: {error}", leader=leader, error=error)
+            log.debug(
+                "fetching decisions of leader {leader} failed: {error}", leader=leader, error=error
+            )
             if leader == self._mirror.leader and not self._registration.lost:
                 await self._on_unreachable(leader, self.succession)
         return pause_s
 
     async def _fetch(self, leader: str) -> bool:
-        """Ask for what we lack; returns whether there is more."""
+        """Fetch entries that the replica lacks; return whether to fetch more at once."""
         request = self._replica.request(self._context.me)
-        limit_s = self._timeouts.heartbeat * FETCH_HEARTBEATS
-        body = await self._context.send(leader, StandbyPath.FOLLOW, request, limit_s)
+        timeout_s = self._timeouts.heartbeat * FETCH_TIMEOUT_HEARTBEATS
+        body = await self._context.send(leader, StandbyPath.FOLLOW, request, timeout_s)
         reply: FollowReply = decode(body, FollowReply)
         if not reply.term:
-            # It does not lead yet, or not any more.
+            # The member does not lead yet, or no longer leads.
             return False
         if self._mirror.leader == self._context.me:
-            # We were elected meanwhile: a former leader's decisions count no more.
+            # This controller was elected meanwhile, so a former leader's entries no longer apply.
             return False
         try:
             has_more = self._replica.apply(reply)
         except StaleTermError as error:
-            log.info("entries of {leader} are refused: {error}", leader=leader, error=error)
+            log.info(
+                "rejected log entries of leader {leader}, will fetch a snapshot: {error}",
+                leader=leader,
+                error=error,
+            )
             self._replica.restart()
             return True
         self.succession = reply.succession
--- a/src/beamspar/standby/messages.py
+++ b/src/beamspar/standby/messages.py
@@ -1,6 +1,6 @@
-"""Messages between a leader and its followers, and of the operators' command to both.
+"""Messages between a leader and its followers, and from the operators' command to both.
 
-Field names on the wire are those that were first given, where `name` says so.
+Where a field has a `name`, that is its name on the wire, kept from earlier releases.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class StandbyPath(StrEnum):
-    """What a message is sent to, below `/peer/`."""
+    """The path of each kind of message, below `/peer/`."""
 
     FOLLOW = "follow"
     PROBE = "probe"
@@ -22,13 +22,13 @@
 
 
 class HandOverRequest(msgspec.Struct, frozen=True):
-    """An operator asks the leader to hand over, to this member if one is named."""
+    """An operator's request to the leader to hand the lead over, to `to` if it is set."""
 
     to: str = ""
 
 
 class HandOverReply(msgspec.Struct, frozen=True):
-    """Who leads now, or why the lead was not handed over."""
+    """The current leader, and the reason if the lead was not handed over."""
 
     is_done: bool = msgspec.field(name="done")
     leader: str = ""
@@ -36,7 +36,7 @@
 
 
 class TakeLeadRequest(msgspec.Struct, frozen=True):
-    """The leader asks a follower that has its whole log to take the lead."""
+    """The leader's request to a follower that has replicated its whole log to take the lead."""
 
     member: str
     term: int
@@ -44,40 +44,40 @@
 
 
 class TakeLeadReply(msgspec.Struct, frozen=True):
-    """Has the follower taken the lead?"""
+    """Whether the follower has taken the lead."""
 
     is_taken: bool = msgspec.field(name="taken")
 
 
 class ConfirmRequest(msgspec.Struct, frozen=True):
-    """A new leader asks for all that the receiver knows of its machines and jobs."""
+    """A new leader's request for the receiver's full heartbeat."""
 
     member: str
 
 
 class ProbeRequest(msgspec.Struct, frozen=True):
-    """Can you reach this member?"""
+    """A request to probe this member."""
 
     member: str
 
 
 class ProbeReply(msgspec.Struct, frozen=True):
-    """The answer, by a call made for it."""
+    """Whether the member responded to a probe that was sent for this request."""
 
     is_reachable: bool = msgspec.field(name="reachable")
 
 
 class StandbyStatus(msgspec.Struct, frozen=True):
-    """A controller's standby as operators are shown it."""
+    """The status of a controller's standby, as shown to operators."""
 
     member: str
     leader: str | None
     is_leading: bool = msgspec.field(name="leading")
-    # It leads and has confirmed which members are alive: it makes decisions.
+    # It leads and has confirmed which members are alive, so it may make decisions.
     is_deciding: bool = msgspec.field(name="deciding")
     term: int
     index: int
     lag: int
     succession: list[str]
-    # Failovers that it has observed of late.
+    # Recent failovers that it has observed.
     failovers: int = msgspec.field(name="takeovers")
--- a/src/beamspar/standby/standby.py
+++ b/src/beamspar/standby/standby.py
@@ -1,4 +1,4 @@
-"""The standby: follows the leader's decisions and takes the lead when the leader has failed."""
+"""The standby: replicates the leader's decisions and replaces the leader when it has failed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from beamspar.standby.context import Send, StandbyContext
 from beamspar.standby.failover import Failover
 from beamspar.standby.failover_history import FailoverHistory
-from beamspar.standby.hand_over import LeadHandOver
+from beamspar.standby.hand_over import LeadershipHandOver
 from beamspar.standby.leader_follower import LeaderFollower
 from beamspar.standby.messages import (
     ConfirmRequest,
@@ -37,11 +37,12 @@
 
 
 class Standby:
-    """Joins the parts of one incarnation's standby, and answers the messages to it.
+    """Assembles the parts of one incarnation's standby and handles the messages to it.
 
-    While another controller leads, it asks that one for new decisions, and when the answers
-    cease it has the failure confirmed and takes the lead. While this controller leads, it
-    answers the followers. One lasts as long as the registration that it was made for.
+    While another controller leads, it fetches that leader's new decisions. When the leader stops
+    responding, it has the failure confirmed and stands for election in its place. While this
+    controller leads, it serves the followers. An instance lives as long as the registration that
+    it was created for.
     """
 
     def __init__(
@@ -61,59 +62,60 @@
         self._clock = clock
         self._mirror = registration.mirror
         self._leader = leader
-        # All that this controller knows of its machines and jobs.
+        # Returns a full snapshot of this controller's machines and jobs.
         self._heartbeat = heartbeat
         context = StandbyContext(clock, registration, leader, timeouts, send)
         self._probes = MemberProbes(context)
         self._failover = Failover(context, self.replica, self._probes, self.failovers)
-        self._follower = LeaderFollower(context, self.replica, self._failover.suspect)
-        self._hand_over = LeadHandOver(context, self.log, zones)
-        registration.mirror.listeners.append(self._record_changed)
-        leader.on_ready = self._log_ready
+        self._follower = LeaderFollower(context, self.replica, self._failover.replace_if_failed)
+        self._hand_over = LeadershipHandOver(context, self.log, zones)
+        registration.mirror.listeners.append(self._on_record_changed)
+        leader.on_ready = self._log_replicated_state
         leader.lends_by_zone = True
 
     def start(self) -> None:
-        """Follow until the registration is lost."""
+        """Follow the leader, in the background, until the registration ends."""
         spawn(self._follower.run(), "following the leader")
 
     def follow(self, request: FollowRequest) -> FollowReply:
-        """Answer a follower; one that does not lead says so by its term."""
+        """Return the entries that a follower lacks; of term 0 if this controller does not lead."""
         if not self._leader.leading:
             return FollowReply()
         return self.log.answer(request, self._hand_over.succession())
 
     async def hand_over(self, request: HandOverRequest) -> HandOverReply:
-        """Let a follower that has the whole log take the lead."""
+        """Hand the lead over to a follower that has replicated the whole log."""
         return await self._hand_over.hand_over(request)
 
     async def take_lead(self, request: TakeLeadRequest) -> TakeLeadReply:
-        """The leader hands over to us: take the lead, if we have all that it decided."""
+        """Take the lead from a leader that hands over, if its whole log is replicated here."""
         return await self._failover.take_lead(request)
 
     async def probe(self, request: ProbeRequest) -> ProbeReply:
-        """Find out for another member whether we can reach one."""
+        """Probe a member on behalf of another one."""
         return ProbeReply(await self._probes.is_reachable(request.member))
 
     def status(self) -> StandbyStatus:
-        """What operators are shown."""
+        """Return the status that operators see."""
         is_leading = self._leader.leading
-        copy = self.log if is_leading else self.replica
+        log_or_replica = self.log if is_leading else self.replica
         return StandbyStatus(
             member=self.registration.me,
             leader=self._mirror.leader,
             is_leading=is_leading,
             is_deciding=self._leader.ready,
-            term=copy.term,
-            index=copy.index,
+            term=log_or_replica.term,
+            index=log_or_replica.index,
             lag=0 if is_leading else self.replica.lag,
             succession=self._hand_over.succession() if is_leading else self._follower.succession,
             failovers=len(self.failovers.times),
         )
 
     async def answer(self, path: str, body: bytes) -> bytes | None:
-        """Answer a peer's message; None if it is none of the standby's.
+        """Handle a peer's message and return the response; None if the path is not the standby's.
 
-        Raises ValidationError, JSONDecodeError or KeyError for one that can't be answered.
+        Raises ValidationError or JSONDecodeError if the message is malformed, and KeyError if it
+        can't be answered at present.
         """
         match path:
             case StandbyPath.FOLLOW:
@@ -123,7 +125,7 @@
             case StandbyPath.CONFIRM:
                 decode(body, ConfirmRequest)
                 if not self.registration.lease_is_valid():
-                    # What it knows may be another's by now.
+                    # Without a valid lease its machines and jobs may have another owner by now.
                     raise KeyError(path)
                 return encode(self._heartbeat())
             case StandbyPath.HAND_OVER:
@@ -134,15 +136,15 @@
                 return encode(self.status())
         return None
 
-    def _record_changed(self, key: str) -> None:
+    def _on_record_changed(self, key: str) -> None:
         if key == keys.LEADER:
             self.failovers.observe_leader(self._mirror.leader, self._clock.seconds())
 
-    def _log_ready(self) -> None:
-        """The first decision may be made: say what it will be based on."""
+    def _log_replicated_state(self) -> None:
+        """Log the replicated state that the first decision of a term is based on."""
         log.info(
-            "{me} decides in term {term}: copied up to {index} of {copied_term}, lag {lag}, "
-            "confirmed by {members}",
+            "{me} starts making decisions in term {term}: replicated up to index {index} of term "
+            "{copied_term}, lag {lag}, confirmed by {members}",
             me=self.registration.me,
             term=self.log.term,
             index=self.replica.index,
