--- a/src/beamspar/transport/__init__.py
+++ b/src/beamspar/transport/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP over TCP: calls, the served side, and the reactor."""
+"""HTTP over TCP: the client, the server, the reactor, and timers."""
--- a/src/beamspar/transport/clock.py
+++ b/src/beamspar/transport/clock.py
@@ -1,4 +1,4 @@
-"""Time, timers and background work: what everything that waits is built on."""
+"""Monotonic time, timers and background tasks."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 from twisted.internet.defer import Deferred, ensureDeferred
 from twisted.logger import Logger
 
-# The namespace that operators know these lines by.
+# Operators know these log lines by this namespace.
 log = Logger(namespace="http")
 
 
 class Clock(Protocol):
-    """Steady time and timers: the reactor, or a test's simulated clock."""
+    """Monotonic time and timers: the reactor, or a simulated clock in tests."""
 
     def seconds(self) -> float:
-        """Steady time, in seconds from any beginning."""
+        """Return the monotonic time, in seconds since an arbitrary point."""
 
     def callLater(self, delay: float, f: Callable[..., Any], *args: Any) -> Any:  # noqa: N802
-        """Call the function after so many seconds; the result can cancel that."""
+        """Call the function after `delay` seconds; the returned timer can be cancelled."""
 
 
 def spawn(work: Coroutine[Any, Any, Any], what: str) -> Deferred[Any]:
-    """Run a coroutine whose failure nobody awaits; failures are logged, never lost."""
+    """Run a coroutine in the background, and log its failure, as no caller awaits it."""
     done = ensureDeferred(work)
     done.addErrback(lambda failure: log.failure("{what} failed", failure, what=what))
     return done
 
 
 def sleep(clock: Clock, delay_s: float) -> Deferred[None]:
-    """A Deferred that fires after the delay."""
+    """Return a Deferred that fires after the delay."""
     done: Deferred[None] = Deferred()
     clock.callLater(delay_s, done.callback, None)
     return done
--- a/src/beamspar/transport/http.py
+++ b/src/beamspar/transport/http.py
@@ -1,4 +1,4 @@
-"""Calls and answers, and how a controller reaches others: what all transports share."""
+"""HTTP requests and responses, and the network interface that all transports implement."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class CallFailedError(Exception):
-    """A call without a usable answer: refused, reset or timed out. It may yet take effect.
+    """A call without a usable response: refused, reset or timed out. It may still take effect.
 
-    `refused` says that the other side accepts no connections: there is no process.
+    `refused` is set if the connection was refused, which means that no process listens there.
     """
 
     def __init__(self, text: str, refused: bool = False) -> None:
@@ -20,11 +20,11 @@
 
 
 class CallRefusedError(CallFailedError):
-    """The other side answered that it does not accept this call."""
+    """The other side responded that it does not accept this call."""
 
 
 class Call(NamedTuple):
-    """A request as its handler gets it."""
+    """An HTTP request as it is passed to its handler."""
 
     method: str
     path: str
@@ -33,26 +33,29 @@
 
 
 class Answer(NamedTuple):
-    """A whole response."""
+    """A complete HTTP response."""
 
     status: int
     body: bytes = b""
     headers: tuple[tuple[str, str], ...] = ()
 
 
-# Answers a call; what it raises is answered with status 500.
+# Handles a request and returns the response; an exception is answered with status 500.
 Handler = Callable[[Call], Awaitable[Answer]]
 
 
 class Net(Protocol):
-    """How a controller reaches others; tests put a simulated network here."""
+    """The network, over which a controller calls others and serves; tests simulate it."""
 
     def request(
         self, method: str, address: str, path: str, body: bytes | None, limit_s: float
     ) -> Deferred[Answer]:
-        """The answer of HOST:PORT; fails with CallFailedError, within `limit_s` at the latest."""
+        """Send a request to HOST:PORT and return its response.
+
+        Fails with CallFailedError, after `limit_s` seconds at the latest.
+        """
 
     def listen(
         self, address: str, handler: Handler, max_connections: int, body_limit: int
     ) -> Awaitable[Any]:
-        """Serve on HOST:PORT with at most so many open connections, and bytes in a body."""
+        """Serve on HOST:PORT, limiting the open connections and the bytes of a request body."""
--- a/src/beamspar/transport/http_client.py
+++ b/src/beamspar/transport/http_client.py
@@ -1,8 +1,7 @@
-"""HTTP client over TCP: one request at a time on a connection, which may be used again.
+"""HTTP client over TCP: one request at a time on a connection, which may be reused.
 
-`twisted.web.client.Agent` took twice as much processor time for a call (184 against 83
-microseconds on loopback, at the same time): it builds a URI, an endpoint, a producer and a dozen
-deferreds for each.
+`twisted.web.client.Agent` takes twice the processor time for a call (184 against 83 microseconds
+on loopback), as it builds a URI, an endpoint, a producer and a dozen deferreds for each.
 """
 
 from __future__ import annotations
@@ -20,59 +19,59 @@
 from beamspar.transport.clock import Clock
 from beamspar.transport.http import Answer
 
-# Connections to one address that stay open without a request, at most.
+# Maximum number of idle connections that are kept open to one address.
 MAX_IDLE_PER_ADDRESS = 4
-# Statuses whose responses have no body, whatever their headers say.
+# Statuses whose responses have no body, regardless of their headers.
 STATUSES_WITHOUT_BODY = (204, 304)
 
 
 class MalformedResponseError(Exception):
-    """What was received is no HTTP response."""
+    """The received data is not a valid HTTP response."""
 
 
 class _Connection(LineReceiver):
-    """One connection; owns the call that is under way on it."""
+    """One connection; owns the call in progress on it."""
 
     def __init__(self, client: HttpClient, address: str, keep_open: bool) -> None:
         self.transport: Any = None
         self.client = client
         self.address = address
-        # Does it stay open after the answer?
+        # Whether the connection stays open after the response.
         self.keep_open = keep_open
         self.on_open: Callable[[], None] = lambda: None
-        # Gets the answer of the call that is under way; None between calls.
-        self.answered: Deferred[Answer] | None = None
+        # Fires with the response of the call in progress; None between calls.
+        self.result: Deferred[Answer] | None = None
         self.idle_since = 0.0
-        # Of the response that is being read: its status, 0 before its first line; the bytes of
-        # its body that are missing, None where the headers don't say; is its head complete?
+        # The response that is being read: its status, 0 before the status line; the bytes of its
+        # body not yet received, None if the headers give no length; whether its body has begun.
         self.status = 0
-        self.missing_bytes: int | None = None
+        self.remaining_bytes: int | None = None
         self.is_reading_body = False
         self.decoder: _ChunkedTransferDecoder | None = None
         self.chunks: list[bytes] = []
 
     def connectionMade(self) -> None:  # noqa: N802
-        """The connection is open."""
+        """Handle the opened connection."""
         self.on_open()
 
-    def send(self, request: bytes, answered: Deferred[Answer]) -> None:
-        """Send a whole request; `answered` gets its answer."""
-        self.answered = answered
+    def send(self, request: bytes, result: Deferred[Answer]) -> None:
+        """Send a complete request; `result` fires with its response."""
+        self.result = result
         self._expect_response()
         self.transport.write(request)
 
     def _expect_response(self) -> None:
         self.status = 0
-        self.missing_bytes = None
+        self.remaining_bytes = None
         self.is_reading_body = False
         self.decoder = None
         self.chunks = []
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        """A line of a response's head; one that is malformed ends the connection."""
+        """Parse a line of a response's head; a malformed one closes the connection."""
         try:
-            if self.answered is None:
-                raise MalformedResponseError("data without a request")
+            if self.result is None:
+                raise MalformedResponseError("received data without a request")
             if not self.status:
                 self._read_status(line)
             elif line:
@@ -85,7 +84,7 @@
     def _read_status(self, line: bytes) -> None:
         version, _, rest = line.partition(b" ")
         if not version.startswith(b"HTTP/1."):
-            raise MalformedResponseError("no HTTP response")
+            raise MalformedResponseError("status line does not begin with HTTP/1")
         self.status = int(rest[:3])
         if version != b"HTTP/1.1":
             self.keep_open = False
@@ -93,12 +92,12 @@
     def _read_header(self, line: bytes) -> None:
         name, colon, value = line.partition(b":")
         if not colon:
-            raise MalformedResponseError("a header without a colon")
+            raise MalformedResponseError("header line without a colon")
         name, value = name.lower(), value.strip()
         if name == b"content-length":
-            self.missing_bytes = int(value)
-            if self.missing_bytes < 0:
-                raise MalformedResponseError("a negative length")
+            self.remaining_bytes = int(value)
+            if self.remaining_bytes < 0:
+                raise MalformedResponseError("content-length is negative")
         elif name == b"connection" and value.lower() == b"close":
             self.keep_open = False
         elif name == b"transfer-encoding" and value.lower() == b"chunked":
@@ -114,64 +113,71 @@
             self.setRawMode()  # type: ignore[no-untyped-call]
 
     def _has_no_body(self) -> bool:
-        is_empty = self.missing_bytes == 0 and self.decoder is None
+        is_empty = self.remaining_bytes == 0 and self.decoder is None
         return is_empty or self.status in STATUSES_WITHOUT_BODY
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        """A part of the body."""
+        """Receive a part of the body."""
         if self.decoder is not None:
             try:
                 self.decoder.dataReceived(data)
             except _MalformedChunkedDataError as error:
                 self._fail(error)
             return
-        if self.missing_bytes is None:
+        if self.remaining_bytes is None:
             self.chunks.append(data)
             return
-        part = data[: self.missing_bytes]
+        part = data[: self.remaining_bytes]
         self.chunks.append(part)
-        self.missing_bytes -= len(part)
-        if self.missing_bytes == 0:
+        self.remaining_bytes -= len(part)
+        if self.remaining_bytes == 0:
             self._finish(data[len(part) :])
 
-    def _finish(self, rest: bytes = b"") -> None:
-        """The response is complete. `rest` came after it and belongs to no request of ours."""
+    def _finish(self, excess: bytes = b"") -> None:
+        """Complete the call with its response.
+
+        `excess` was received after the response and belongs to no request of this client, so the
+        connection is not reused after it.
+        """
         self.setLineMode()  # type: ignore[no-untyped-call]
-        if rest:
+        if excess:
             self.keep_open = False
-        answer = Answer(self.status, b"".join(self.chunks))
+        response = Answer(self.status, b"".join(self.chunks))
         self.chunks = []
-        answered, self.answered = self.answered, None
+        result, self.result = self.result, None
         if self.keep_open:
             self.client.release(self)
         else:
             self.transport.loseConnection()
-        if answered is not None:
-            answered.callback(answer)
+        if result is not None:
+            result.callback(response)
 
     def _fail(self, error: Exception) -> None:
-        answered, self.answered = self.answered, None
+        result, self.result = self.result, None
         self.transport.abortConnection()
-        if answered is not None:
-            answered.errback(error)
+        if result is not None:
+            result.errback(error)
 
     def abort(self) -> None:
-        """The call is cancelled: nobody waits for its answer."""
-        self.answered = None
+        """Cancel the call and close the connection."""
+        self.result = None
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        """The connection has ended: so has a body without a length; any other call fails."""
+        """Handle the end of the connection.
+
+        It completes a body without a length; any other call in progress fails.
+        """
         self.client.remove(self)
-        if self.answered is None:
+        if self.result is None:
             return
-        has_no_length = self.missing_bytes is None and self.decoder is None
+        has_no_length = self.remaining_bytes is None and self.decoder is None
         if self.is_reading_body and has_no_length and reason.check(ConnectionDone):
             self.keep_open = False
             self._finish()
             return
-        answered, self.answered = self.answered, None
-        answered.errback(reason)
+        result, self.result = self.result, None
+        result.errback(reason)
 
 
 class _ConnectionFactory(ClientFactory):
@@ -179,14 +185,14 @@
 
     noisy = False
 
-    def __init__(self, connection: _Connection, request: bytes, answered: Deferred[Answer]) -> None:
+    def __init__(self, connection: _Connection, request: bytes, result: Deferred[Answer]) -> None:
         self.connection = connection
         self.request = request
-        self.answered = answered
+        self.result = result
         self.is_cancelled = False
 
     def buildProtocol(self, addr: Any) -> _Connection:  # noqa: N802
-        """The protocol of the connection that has opened."""
+        """Return the protocol of the opened connection."""
         self.connection.on_open = self._send
         return self.connection
 
@@ -194,18 +200,19 @@
         if self.is_cancelled:
             self.connection.abort()
         else:
-            self.connection.send(self.request, self.answered)
+            self.connection.send(self.request, self.result)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: N802
-        """It could not be opened."""
+        """Fail the call, as its connection could not be opened."""
         if not self.is_cancelled:
-            self.answered.errback(reason)
+            self.result.errback(reason)
 
 
 class HttpClient:
     """Owns the connections that this process has opened.
 
-    A connection is opened within `connect_s`, and closed after `idle_s` without a request.
+    `connect_s` is the timeout for opening a connection; a connection is closed after `idle_s`
+    without a request.
     """
 
     def __init__(self, reactor: Any, connect_s: float, idle_s: float) -> None:
@@ -213,25 +220,25 @@
         self._clock: Clock = reactor
         self._connect_s = connect_s
         self._idle_s = idle_s
-        # By address: open connections without a request, the one used last at the end.
+        # Idle connections by address, the most recently used one last.
         self._idle: dict[str, list[_Connection]] = {}
-        # Is a timer set that closes those that have been idle for too long?
+        # Whether the timer that closes expired idle connections is set.
         self._is_close_scheduled = False
 
     def request(
         self, method: str, address: str, path: str, body: bytes | None, keep_open: bool
     ) -> Deferred[Answer]:
-        """Send a request to HOST:PORT; cancelling the result ends its connection.
+        """Send a request to HOST:PORT; cancelling the result closes its connection.
 
-        With `keep_open`, an open connection is used and stays open for the next request.
+        With `keep_open`, an idle connection is reused and stays open for the next request.
         """
         request = self._encode(method, address, path, body, keep_open)
         idle = self._idle.get(address)
         if keep_open and idle:
             connection = idle.pop()
-            answered: Deferred[Answer] = Deferred(lambda _: connection.abort())
-            connection.send(request, answered)
-            return answered
+            result: Deferred[Answer] = Deferred(lambda _: connection.abort())
+            connection.send(request, result)
+            return result
         return self._connect(address, request, keep_open)
 
     def _encode(
@@ -255,14 +262,14 @@
             else:
                 connector.stopConnecting()
 
-        answered: Deferred[Answer] = Deferred(cancel)
+        result: Deferred[Answer] = Deferred(cancel)
         connection = _Connection(self, address, keep_open)
-        factory = _ConnectionFactory(connection, request, answered)
+        factory = _ConnectionFactory(connection, request, result)
         connector = self._reactor.connectTCP(host, int(port), factory, self._connect_s)
-        return answered
+        return result
 
     def release(self, connection: _Connection) -> None:
-        """The connection's call is over: keep it for the next one, or close it."""
+        """Keep a connection whose call is complete for the next one, or close it."""
         idle = self._idle.setdefault(connection.address, [])
         if len(idle) >= MAX_IDLE_PER_ADDRESS:
             connection.transport.loseConnection()
@@ -272,7 +279,7 @@
         self._schedule_close(self._idle_s)
 
     def remove(self, connection: _Connection) -> None:
-        """Use the connection no more: it has ended, or is about to."""
+        """Remove a connection that has ended or is being closed, so that it is not reused."""
         idle = self._idle.get(connection.address, [])
         if connection in idle:
             idle.remove(connection)
@@ -285,12 +292,12 @@
             self._clock.callLater(delay_s, self._close_idle)
 
     def _close_idle(self) -> None:
-        """Close what was not used for the idle time: one timer for all connections."""
+        """Close expired idle connections; one timer serves all connections."""
         self._is_close_scheduled = False
         now = self._clock.seconds()
         for connection in [c for idle in self._idle.values() for c in idle]:
             if now - connection.idle_since >= self._idle_s:
-                # Removed at once: a call that was sent before its end is noticed would be lost.
+                # Removed at once, as a call sent before the end is observed would be lost.
                 self.remove(connection)
                 connection.transport.loseConnection()
             else:
--- a/src/beamspar/transport/http_server.py
+++ b/src/beamspar/transport/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP server over twisted.web: one handler, limited connections, answers in one write."""
+"""HTTP server on twisted.web: one handler, limited connections, each response in one write."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 log = Logger(namespace="http")
 
-# Headers that are not parsed: nothing here uses them, most requests carry some, and there are
-# hundreds of requests a second.
+# Headers that are not parsed, as nothing uses them: most requests carry some, at hundreds of
+# requests per second.
 _IGNORED_HEADERS = (b"content-type:", b"host:", b"accept:", b"accept-encoding:", b"user-agent:")
 
-# Before anything happened.
+# Earlier than any reading of the clock.
 NEVER = -1e9
 
 
 class _Channel(HTTPChannel):
     """One connection of a user, a worker or a peer."""
 
-    # May it stay open after an answer?
+    # Whether the connection may stay open after a response.
     may_stay_open = True
 
     def headerReceived(self, line: bytes) -> bool:  # noqa: N802
@@ -36,23 +36,23 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
         site: Site = self.factory
-        site.connection_ended()
+        site.on_connection_ended()
         super().connectionLost(reason)  # type: ignore[no-untyped-call]
 
 
 class _Request(Request):
-    """A request that is passed to the site's handler at once, and answered in one write.
+    """A request that is passed directly to the site's handler, and answered in one write.
 
-    Resources, sessions, forms and the parsing of content types took more than half of the
-    processor time of a worker's heartbeat or a user's poll.
+    The resources, sessions, forms and content-type parsing of twisted.web would take more than
+    half of the processor time of a worker's heartbeat or a user's poll.
     """
 
     def __init__(self, channel: Any, queued: object = False) -> None:
         super().__init__(channel, parsePOSTFormSubmission=False)
-        self.client_is_gone = False
+        self.is_client_disconnected = False
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        self.client_is_gone = True
+        self.is_client_disconnected = True
         super().connectionLost(reason)  # type: ignore[no-untyped-call]
 
     def process(self) -> None:
@@ -67,7 +67,7 @@
 
     async def _serve(self, site: Site, call: Call) -> None:
         answer = await self._answer(site, call)
-        if not self.client_is_gone:
+        if not self.is_client_disconnected:
             self._send(answer, has_body=call.method != "HEAD")
 
     async def _answer(self, site: Site, call: Call) -> Answer:
@@ -98,9 +98,9 @@
 
 
 class Site(HTTPFactory):
-    """Owns the connections that come in to one address: no more than its share of the sockets."""
+    """Owns the incoming connections at one address, and limits their number."""
 
-    # Without twisted's wrapper that might turn a connection into HTTP/2.
+    # Replaces twisted's wrapper, which may switch a connection to HTTP/2.
     protocol = _Channel  # type: ignore[assignment]
 
     def __init__(
@@ -111,41 +111,42 @@
         self.handler = handler
         self.body_limit = body_limit
         self.max_connections = max_connections
-        # How long a connection without a request stays open.
+        # How long an idle connection stays open.
         self.idle_s = idle_s
         self.open_connections = 0
-        # Connections that were rejected since the start, and when the last warning of them was.
+        # Connections rejected since the start, and the clock time of the last warning about them.
         self.rejected_connections = 0
         self.warned_at = NEVER
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802
-        """The protocol of a connection that comes in; None rejects it."""
+        """Return the protocol of an incoming connection; None rejects it."""
         if self.open_connections >= self.max_connections:
             self._on_rejected()
             return None
         channel: Any = super().buildProtocol(addr)
         channel.requestFactory = _Request
         channel.may_stay_open = may_stay_open(self.open_connections, self.max_connections)
-        # The other side of a network partition never acknowledges the end of a connection.
+        # A client on the other side of a network partition never acknowledges the close, so the
+        # connection is aborted after this time.
         channel.abortTimeout = self.idle_s / 4
         self.open_connections += 1
         return channel
 
-    def connection_ended(self) -> None:
-        """One of the open connections has ended."""
+    def on_connection_ended(self) -> None:
+        """Count an open connection as ended."""
         self.open_connections -= 1
 
     def _on_rejected(self) -> None:
-        """Count a connection that was rejected, and warn of it now and then."""
+        """Count a rejected connection; log a warning at most once per `idle_s`."""
         self.rejected_connections += 1
         now = self.clock.seconds()
         if now - self.warned_at > self.idle_s:
             self.warned_at = now
             log.warn(
-                "{n} connections are open, {m} turned away so far",
+                "connection limit reached with {n} open, {m} connections rejected since the start",
                 n=self.open_connections,
                 m=self.rejected_connections,
             )
 
     def log(self, request: Any) -> None:
-        """No access log: decisions are logged, not requests."""
+        """Write no access log, as decisions are logged instead of requests."""
--- a/src/beamspar/transport/tcp.py
+++ b/src/beamspar/transport/tcp.py
@@ -1,4 +1,4 @@
-"""The network over TCP and the reactor that the program runs on."""
+"""The network over TCP, and the program's reactor."""
 
 from __future__ import annotations
 
@@ -19,32 +19,34 @@
 from beamspar.transport.http_client import HttpClient
 from beamspar.transport.http_server import Site
 
-# Connections that wait to be accepted.
-BACKLOG = 256
+# Connections that may wait to be accepted by a listening socket.
+LISTEN_BACKLOG = 256
 
 
 class SteadyReactor(EPollReactor):
-    """The reactor on the steady clock.
+    """A reactor on the monotonic clock.
 
-    Twisted's own takes `seconds` and all its timers from the time of day, which may wander by
-    up to two seconds within its bound: longer than the margins of our leases. A machine
-    controller once declared machines expired whose leases lasted and which still ran tasks.
+    Twisted's reactor takes `seconds` and all its timers from the wall clock, which may be off by
+    up to two seconds within its bound, more than the safety margins of the leases. With it, a
+    machine controller declared machines expired whose leases were still valid and which still ran
+    tasks.
     """
 
     seconds = staticmethod(time.monotonic)
 
 
 def steady_reactor() -> SteadyReactor:
-    """Install the reactor that the program runs on; before anything imports another."""
+    """Install the program's reactor, which must happen before another one is imported."""
     reactor = SteadyReactor()  # type: ignore[no-untyped-call]
     installReactor(reactor)
     return reactor
 
 
 class TcpNet:
-    """Net over TCP: owns the connections to others and the sites that listen.
+    """The network over TCP: owns the client's connections and the listening sites.
 
-    A connection is opened within `connect_s`, and closed after `idle_s` without a request.
+    `connect_s` is the timeout for opening a connection; a connection is closed after `idle_s`
+    without a request.
     """
 
     def __init__(self, reactor: Any, connect_s: float, idle_s: float, sockets: Sockets) -> None:
@@ -56,9 +58,12 @@
     def request(
         self, method: str, address: str, path: str, body: bytes | None, limit_s: float
     ) -> Deferred[Answer]:
-        """The answer of HOST:PORT; fails with CallFailedError, within `limit_s` at the latest."""
-        # Direct commands go to hundreds of workers, each now and then: kept connections to all
-        # of them would take the sockets that their heartbeats need.
+        """Send a request to HOST:PORT and return its response.
+
+        Fails with CallFailedError, after `limit_s` seconds at the latest.
+        """
+        # Each of hundreds of workers gets direct commands now and then. Keeping connections to all
+        # of them alive would take the sockets that their heartbeats need.
         keep_open = path != WORKER_COMMANDS_PATH
 
         def call() -> Deferred[Answer]:
@@ -69,15 +74,15 @@
             error = f"{method} {address}{path}: {failure.type.__name__}"
             raise CallFailedError(error, is_refused)
 
-        answered: Deferred[Answer] = ensureDeferred(self._limits.run(path, call))
-        answered.addTimeout(limit_s, self._reactor)
-        answered.addErrback(fail)
-        return answered
+        result: Deferred[Answer] = ensureDeferred(self._limits.run(path, call))
+        result.addTimeout(limit_s, self._reactor)
+        result.addErrback(fail)
+        return result
 
     async def listen(
         self, address: str, handler: Handler, max_connections: int, body_limit: int
     ) -> None:
-        """Serve on HOST:PORT with at most so many open connections, and bytes in a body."""
+        """Serve on HOST:PORT, limiting the open connections and the bytes of a request body."""
         host, _, port = address.rpartition(":")
         site = Site(self._reactor, handler, body_limit, max_connections, self._idle_s)
-        self._reactor.listenTCP(int(port), site, BACKLOG, host)
+        self._reactor.listenTCP(int(port), site, LISTEN_BACKLOG, host)
