--- a/src/beamspar/protocol/__init__.py
+++ b/src/beamspar/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The edge of the service: names and checks of all that is sent and received."""
+"""The messages that the service sends and receives: their field names and validation."""
--- a/src/beamspar/protocol/cloud.py
+++ b/src/beamspar/protocol/cloud.py
@@ -1,4 +1,4 @@
-"""Machine types and instances, as the cloud's interface describes them."""
+"""Machine types and instances, as described by the cloud's API."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 
 
 class InstanceStatus(StrEnum):
-    """States of an instance. Others that the cloud may send are kept as they are."""
+    """Known states of an instance; unknown ones that the cloud sends are kept as they are."""
 
     STARTING = "starting"
     RUNNING = "running"
-    # It stopped on its own: listed until it is deleted, and no longer charged.
+    # It stopped by itself: it is listed until it is deleted, and no longer charged.
     FAILED = "failed"
 
 
 class MachineType(msgspec.Struct):
-    """A machine type that the cloud rents out: its resources, prices and zones."""
+    """A machine type that the cloud offers: its resources, prices and zones."""
 
     name: str = msgspec.field(name="label")
     cpus: float
     gpus: float = msgspec.field(name="accelerators", default=0.0)
     memory_gb: float = 0.0
-    # Space for cached images.
+    # Disk space for cached images.
     cache_gb: float = msgspec.field(name="local_gb", default=0.0)
-    # The rate that all images which are fetched at one time share.
+    # The download rate, shared by all images that are being fetched.
     fetch_gb_per_s: float = 1.0
-    # Prices per hour, of ordinary and of spot machines.
+    # Prices per hour, of on-demand and of spot machines.
     price: float = msgspec.field(name="hourly", default=0.0)
     spot_price: float = msgspec.field(name="market_price", default=0.0)
-    # From the request until the worker's first heartbeat, in ordinary cases.
+    # The usual time from the request until the worker's first heartbeat.
     boot_s: float = 60.0
     zones: list[str] = msgspec.field(name="yards", default_factory=list)
 
 
 class Instance(msgspec.Struct):
-    """A machine in the cloud's list, which lags by several seconds."""
+    """A machine in the cloud's instance list, which is stale by several seconds."""
 
     machine: str = msgspec.field(name="id")
     # HOST:PORT of its worker.
@@ -44,7 +44,7 @@
     kind: str = msgspec.field(name="rig_kind", default="")
     zone: str = msgspec.field(name="yard", default="")
     spot: bool | None = msgspec.field(name="standby", default=False)
-    # One of InstanceStatus, or one that later versions of the cloud know.
+    # One of InstanceStatus, or a status of a later version of the cloud.
     status: str = InstanceStatus.RUNNING.value
-    # Time since its request, at the time that the list describes.
+    # Time since its request, as of the time that the list reflects.
     age_s: float = msgspec.field(name="held_s", default=0.0)
--- a/src/beamspar/protocol/codec.py
+++ b/src/beamspar/protocol/codec.py
@@ -1,4 +1,7 @@
-"""MessagePack bodies of users, workers, the cloud and the state service, and their validation."""
+"""Encoding, decoding and validation of MessagePack bodies.
+
+Users, workers, the cloud and the state service exchange these with the controllers.
+"""
 
 from __future__ import annotations
 
@@ -6,30 +9,30 @@
 
 import msgspec
 
-# The largest body that users and workers may send, in bytes (PROTOCOL).
+# The largest request body of users and workers, in bytes, as fixed by the public protocol.
 BODY_LIMIT = 64 * 1024
 
 _encoder = msgspec.msgpack.Encoder()
 
 
 def pack(data: object) -> bytes:
-    """Encode data as MessagePack."""
+    """Return the data as MessagePack."""
     return _encoder.encode(data)
 
 
 def unpack(body: bytes) -> Any:
-    """Decode MessagePack; raises msgspec.DecodeError if it is malformed."""
+    """Return the decoded MessagePack; raises msgspec.DecodeError if it is malformed."""
     return msgspec.msgpack.decode(body)
 
 
 class InvalidInputError(Exception):
-    """A message that was received is malformed; the text says which field."""
+    """A received message is malformed; the text names the invalid field."""
 
 
 def convert(data: Any, kind: Any) -> Any:
-    """Decoded data as a message of this type; raises InvalidInputError if it is none.
+    """Return decoded data as a message of type `kind`; raises InvalidInputError if invalid.
 
-    So a malformed reply is a failure of its call, never of this process.
+    A malformed reply therefore fails only its call, and never this process.
     """
     try:
         return msgspec.convert(data, kind)
--- a/src/beamspar/protocol/jobs.py
+++ b/src/beamspar/protocol/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs as users submit them, and the answers about jobs."""
+"""Jobs as users submit them, and the responses about jobs."""
 
 from __future__ import annotations
 
@@ -11,40 +11,41 @@
 
 from beamspar.protocol.codec import InvalidInputError
 
-# Tasks of one job at most (PROTOCOL).
+# The maximum number of tasks of a job, as fixed by the public protocol.
 MAX_TASKS = 100_000
 JOB_ID = re.compile(r"j-[A-Za-z0-9_.:-]{1,100}\Z")
-# Priorities and their ranks: work of a higher rank number is preempted first.
+# Priorities and their ranks: tasks with a higher rank number are preempted first.
 PRIORITIES = {"critical": 0, "high": 1, "normal": 2, "low": 3}
 LOWEST_RANK = max(PRIORITIES.values())
-# Characters of a job's class, team and image at most.
+# The maximum length of a job's class, team and image name, in characters.
 MAX_NAME_LENGTH = 200
-# Machine types that a job may be restricted to at most.
+# The maximum number of machine types in a job's list of allowed ones.
 MAX_KINDS = 64
 
 
 class JobShape(StrEnum):
-    """How the tasks of a job belong together."""
+    """How the tasks of a job relate to each other."""
 
-    # A job array: independent tasks, each of which runs to completion.
+    # A job array: independent tasks that run to completion.
     ARRAY = "sweep"
     # A service: replicas that run until the job is cancelled.
     SERVICE = "standing"
-    # A gang: tasks that start together or not at all.
+    # A gang: tasks that all start together or not at all.
     GANG = "ensemble"
 
 
-# Placing compares these for every machine: looking up a member of an enum costs more than that.
+# Plain strings, as placement compares them for every machine, and looking up an enum member costs
+# more than the comparison.
 _SERVICE = JobShape.SERVICE.value
 _GANG = JobShape.GANG.value
 _SHAPES = frozenset(shape.value for shape in JobShape)
 
 
 class JobSpec(msgspec.Struct):
-    """A job as its user submitted it."""
+    """The specification of a job, as its user submitted it."""
 
     id: str
-    # The class of jobs that the settings' objectives name.
+    # The class of the job, to which the objectives in the settings apply.
     job_class: str = msgspec.field(name="lane")
     team: str = msgspec.field(name="owner")
     # One of JobShape.
@@ -52,50 +53,50 @@
     # One of PRIORITIES.
     priority: str = msgspec.field(name="urgency")
     tasks: int = msgspec.field(name="parcels")
-    # What each task takes of its machine.
+    # The resources of its machine that each task takes.
     cpus: float
     gpus: float = msgspec.field(name="accelerators")
     memory_gb: float
     image: str = msgspec.field(name="crate")
     image_gb: float = msgspec.field(name="size_gb")
-    # The only machine types and the only zone that are allowed; None: any.
+    # The only allowed machine types and the only allowed zone; None allows any.
     kinds: list[str] | None = msgspec.field(name="rig_kinds", default=None)
     zone: str | None = msgspec.field(name="yard", default=None)
-    # All tasks in one zone, whichever.
+    # All tasks have to be in the same zone, whichever it is.
     one_zone: bool = msgspec.field(name="together", default=False)
-    # At most half of the tasks, rounded up, in one zone.
+    # At most half of the tasks, rounded up, may be in one zone.
     spread: bool = msgspec.field(name="scatter", default=False)
-    # It may use spot machines.
+    # Its tasks may run on spot machines.
     spot: bool = msgspec.field(name="standby", default=False)
-    # The user's estimate of a task's run time; often wrong by half.
+    # The user's estimate of a task's run time, which is often off by half.
     estimate_s: float = msgspec.field(name="eta_s", default=0.0)
-    # The interval of a task's checkpoints (0: it never saves), and how long saving one takes.
+    # The interval of a task's checkpoints (0: it saves none), and the time that saving one takes.
     checkpoint_s: float = msgspec.field(name="stamp_every_s", default=0.0)
     save_s: float = msgspec.field(name="stamp_s", default=0.0)
     deadline_s: float | None = msgspec.field(name="due_s", default=None)
 
     @property
     def is_service(self) -> bool:
-        """Do its tasks run until it is cancelled?"""
+        """Whether its tasks run until the job is cancelled."""
         return self.shape == _SERVICE
 
     @property
     def is_gang(self) -> bool:
-        """Do its tasks start together or not at all?"""
+        """Whether its tasks start together or not at all."""
         return self.shape == _GANG
 
     @property
     def grouped(self) -> bool:
-        """Are its tasks placed together or not at all?"""
+        """Whether its tasks are placed all at once or not at all."""
         return self.tasks > 1 and (self.is_gang or (self.is_service and self.one_zone))
 
     @property
     def rank(self) -> int:
-        """Its priority as a number, 0 the highest."""
+        """Its priority as a number, 0 being the highest."""
         return PRIORITIES[self.priority]
 
 
-# Fields of a submission without which it is rejected, in the order in which they are checked.
+# The required fields of a submission, in the order in which they are checked.
 _REQUIRED = (
     "id",
     "lane",
@@ -118,7 +119,10 @@
 
 
 def parse_spec(data: Any) -> JobSpec:
-    """A submission as a JobSpec; raises InvalidInputError that names the first wrong field."""
+    """Return a submission as a JobSpec.
+
+    Raises InvalidInputError, which names the first invalid field.
+    """
     if not isinstance(data, dict):
         raise InvalidInputError("body is not a map")
     for name in _REQUIRED:
@@ -170,5 +174,5 @@
 
 
 def job_response(job: str, status: str, done: int = 0, running: int = 0) -> dict[str, Any]:
-    """The answer about a job: its status, and how many of its tasks are done and running."""
+    """Return the response about a job: its status and the numbers of done and running tasks."""
     return {"id": job, "status": status, "done": done, "running": running}
--- a/src/beamspar/protocol/peer_messages.py
+++ b/src/beamspar/protocol/peer_messages.py
@@ -1,7 +1,8 @@
-"""Messages between the roles of controllers, the same for peers and within one process.
+"""Messages between the controllers' roles, used both between peers and within one process.
 
-A job controller (of a partition of jobs) sends its desired state to machine controllers, which
-answer with the statuses of attempts. Members send heartbeats and capacity requests to the leader.
+A job controller, which owns partitions of jobs, sends its desired state to machine controllers,
+which respond with the statuses of attempts. Members send heartbeats and capacity requests to the
+leader.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 
 from beamspar.protocol.room import Room
 
-# Begins the paths of all calls between controllers.
+# The prefix of the paths of all calls between controllers.
 PEER_PATH_PREFIX = "/peer/"
 
 
 class PeerPath(StrEnum):
-    """The calls that controllers make of each other; with what they send and are answered.
+    """The paths of calls between controllers; each comment names the request and the response.
 
-    A call is a POST of `url_path`. Moving machines and following the leader have further ones.
+    A call is a POST to `url_path`. The packages `sharing` and `standby` define further paths.
     """
 
     # A list of DesiredStateUpdate to a machine controller; AttemptStatusBatch.
@@ -32,7 +33,7 @@
     CAPACITY_REQUESTS = "asks"
     # A MemberHeartbeat to the leader; HeartbeatResponse.
     MEMBER_HEARTBEAT = "beat"
-    # Nothing; HealthProbeResponse.
+    # An empty object; HealthProbeResponse.
     HEALTH_PROBE = "pulse"
     # A CancellationNotice; an empty object.
     CANCELLATIONS = "withdrawn"
@@ -41,32 +42,32 @@
 
     @property
     def url_path(self) -> str:
-        """The path of the call's URL."""
+        """The path of the URL of this call."""
         return PEER_PATH_PREFIX + self.value
 
 
 class DesiredAction(StrEnum):
-    """What a job controller wants to be done with an attempt."""
+    """The action that a job controller desires for an attempt."""
 
     RUN = "run"
     STOP = "stop"
-    # Forget an attempt that has ended: its end is recorded.
+    # Forget an attempt that has ended, as its end is stored.
     CLEAR = "clear"
-    # Reserve its resources while its record is being written: nothing is started before that.
+    # Reserve its resources while its record is being written; it is started only afterwards.
     HOLD = "hold"
 
 
 class AttemptState(StrEnum):
-    """States of an attempt beside those that a worker reports.
+    """States of an attempt in addition to those that a worker reports.
 
-    `GONE` and `REFUSED` are final: the machine controller will never start that attempt under
-    that fencing token.
+    `GONE` and `REFUSED` are final: the machine controller never starts that attempt under that
+    fencing token.
     """
 
     GONE = "gone"
     REFUSED = "refused"
     ENDED = "ended"
-    # A clear has to wait, for a start may still be under way.
+    # A clear has to wait, because a start may still be in flight.
     KEPT = "kept"
 
 
@@ -74,48 +75,48 @@
     """The desired state of one attempt on one machine under one fencing token."""
 
     machine: str
-    # The machine controller ignores it if its own token of the machine is another one.
+    # The machine controller ignores the desired state if its own token for the machine differs.
     fencing_token: int
     task: str
     attempt: int
     action: DesiredAction
-    # What it takes of its machine; left out where it is only to be stopped or cleared.
+    # The resources that it takes; left out if it is only to be stopped or cleared.
     cpus: float = 0.0
     gpus: float = 0.0
     memory_gb: float = 0.0
     image: str = ""
     image_gb: float = 0.0
-    # The rank of its job's priority, 0 the highest.
+    # The rank of its job's priority, 0 being the highest.
     rank: int = 0
-    # Does it save a checkpoint when it is stopped, and how long does that take?
+    # Whether it saves a checkpoint when it is stopped, and the time that this takes.
     saves: bool = False
     save_s: float = 0.0
-    # It may start once lower work on the machine has been stopped for it.
+    # Tasks of lower priority on the machine may be preempted for it.
     preempt: bool = False
-    # A task of a gang: stopping it costs all of them their time.
+    # Whether it belongs to a gang: stopping it loses the run time of all the gang's tasks.
     gang: bool = False
-    # Its job fails wherever it runs: an error says nothing of the machine.
+    # Its job fails on every machine, so an error is no evidence of a faulty machine.
     is_job_at_fault: bool = False
 
 
 class DesiredStateUpdate(msgspec.Struct):
-    """All attempts that the owner of a partition desires on machines of one controller.
+    """All attempts that the owner of a partition desires on the machines of one controller.
 
-    It replaces what was desired on these machines before. A job controller has one such message
-    under way to a machine controller at a time, and repeats the machines of one that was not
-    answered.
+    It replaces the previous desired state of these machines. A job controller has at most one
+    such message in flight to a machine controller, and resends the machines of a message that
+    got no response.
     """
 
     # The member that owns the partition.
     owner: str
     partition: str = msgspec.field(name="folio")
-    # The version of the partition's record that the owner acts by.
+    # The version of the partition's record on which the owner bases this message.
     version: int
-    # The owner's incarnation, and the number of the message within it: older ones are ignored.
+    # The owner's incarnation, and the message's number within it; older messages are ignored.
     incarnation: int = msgspec.field(name="inc")
     sequence: int = msgspec.field(name="seq")
     desired_attempts: list[DesiredAttempt] = msgspec.field(name="wants")
-    # The machines that it speaks of; None: all of the receiver.
+    # The machines that it covers; None covers all machines of the receiver.
     machines: list[str] | None = None
 
 
@@ -126,31 +127,31 @@
     fencing_token: int
     task: str
     attempt: int
-    # An AttemptState or a state that the worker reported.
+    # An AttemptState, or a state reported by the worker.
     state: str
-    # As the worker reported it; None unless the attempt has ended there.
+    # As reported by the worker; None unless the attempt has ended there.
     exit_reason: str | None = None
-    # It saved a checkpoint when it was stopped.
+    # Whether it saved a checkpoint when it was stopped.
     saved: bool = False
 
 
 class AttemptStatusBatch(msgspec.Struct):
-    """Statuses of attempts that their job controller has not acknowledged."""
+    """Statuses of attempts that the job controller has not acknowledged."""
 
     statuses: list[AttemptStatus]
 
 
 class CapacityRequest(msgspec.Struct):
-    """A request for machines for tasks of one job, with where its other tasks may be."""
+    """A request for machines for tasks of one job, with the locations of its other tasks."""
 
-    # The specification in the form in which its user submitted it.
+    # The job's specification, in the form in which its user submitted it.
     spec: dict[str, Any]
-    # Tasks that need a machine.
+    # The number of tasks that need a machine.
     count: int
-    # The job's tasks that are placed, by zone and by machine.
+    # The numbers of the job's placed tasks, by zone and by machine.
     zones: dict[str, int]
     machines: dict[str, int]
-    # Machines where tasks of the job failed lately, or that its gang has just left.
+    # Machines on which tasks of the job failed recently, or that its gang has just left.
     avoid: list[str]
     waited_s: float = 0.0
 
@@ -163,7 +164,7 @@
 
 
 class PlacementOffer(msgspec.Struct, array_like=True):
-    """A machine for one task of a job; with `preempt`, once lower work there has stopped."""
+    """A machine for one task of a job; with `preempt`, tasks of lower priority must stop first."""
 
     job: str
     machine: str
@@ -171,7 +172,7 @@
 
 
 class CapacityOffers(msgspec.Struct):
-    """The leader's answer to capacity requests."""
+    """The leader's response to capacity requests."""
 
     offers: list[PlacementOffer]
 
@@ -182,37 +183,38 @@
     # Its free resources and cached images.
     room: Room
     fencing_token: int = msgspec.field(name="number")
-    # Its worker has reported the fencing token of our latest commands: its reports are complete.
+    # Its worker has reported the fencing token of the latest commands, so its reports are complete.
     fresh: bool
-    # Its worker was silent for so long that its lease has expired.
+    # Its worker has sent no heartbeat for so long that its lease has expired.
     is_expired: bool = msgspec.field(name="lost")
     is_quarantined: bool = msgspec.field(name="sick")
-    # Several jobs failed there and none has been done since: to be replaced.
+    # Several jobs failed there and no task has succeeded since, so it is to be replaced.
     is_degraded: bool = msgspec.field(name="bad")
-    # The cloud will take it away soon.
+    # The cloud has announced that it will terminate the machine.
     has_termination_notice: bool = msgspec.field(name="leaving")
-    # It takes no more tasks and is to be scaled in.
+    # It takes no new tasks and is to be scaled in.
     draining: bool = msgspec.field(name="retiring")
-    # Time since its worker's last heartbeat, and since its last task.
+    # Time since its worker's last heartbeat, and since its last task ended.
     silent_s: float
     idle_s: float
 
 
 class JobClass(msgspec.Struct, array_like=True):
-    """What one class of jobs is like at one member; the leader keeps headroom by it."""
+    """A summary of one class of jobs at one member, by which the leader sizes the headroom."""
 
     # The specification of one of its jobs.
     spec: dict[str, Any]
-    # Tasks of its largest job.
+    # The number of tasks of its largest job.
     largest: int = 0
-    # Tasks that are placed, by zone.
+    # The numbers of placed tasks, by zone.
     zones: dict[str, int] = {}
 
 
 class MemberHeartbeat(msgspec.Struct):
-    """A member's heartbeat to the leader: what changed since one that the leader accepted.
+    """A member's heartbeat to the leader: the changes since one that the leader accepted.
 
-    `since` is the `count` of that one, 0 for a full snapshot; the next one builds on `count`.
+    `since` is the `count` of that heartbeat, or 0 for a full snapshot. The next heartbeat's
+    changes are relative to this one's `count`.
     """
 
     member: str
@@ -220,49 +222,51 @@
     machines: list[MachineStatus] = msgspec.field(name="views")
     since: int = 0
     count: int = 0
-    # Machines whose workers came here though no shard has them: Machine in plain form.
+    # Machines that are in no shard, whose workers sent heartbeats here: Machine as plain data.
     unassigned_machines: list[dict[str, Any]] = msgspec.field(name="seen", default_factory=list)
     classes: dict[str, JobClass] = msgspec.field(name="lanes", default_factory=dict)
-    # The version of the leader's map of cached images that the member has, and at first contact
-    # the map itself: by machine, images and their sizes in GB.
+    # The member's version of the leader's map of cached images, and at first contact the map
+    # itself: by machine, images and their sizes in GB.
     caches_known: int = 0
     caches: dict[str, dict[str, float]] = {}
-    # Machines whose workers came here, for their machine controller does not answer them.
+    # Machines whose workers sent heartbeats here because their own controller doesn't respond.
     unserved_machines: list[str] = msgspec.field(name="strays", default_factory=list)
-    # More changes than one message holds: the next heartbeat continues where this one ends.
+    # There are more changes than fit into one message; the next heartbeat continues from here.
     partial: bool = False
-    # Tasks of its jobs that are bound or waiting, and how late its timers fire.
+    # The number of its jobs' tasks that are bound or pending, and the lateness of its timers.
     demand: int = 0
     late_s: float = 0.0
 
 
 class HeartbeatResponse(msgspec.Struct):
-    """The leader's answer to a heartbeat; `leading` is false if the receiver does not lead."""
+    """The response to a member's heartbeat to the leader."""
 
+    # Whether the receiver of the heartbeat leads.
     leading: bool
-    # Every live member has sent its heartbeat, or had the time to: the leader offers capacity.
+    # Every live member has sent its heartbeat or the time for it is over, so the leader offers
+    # capacity.
     ready: bool = False
-    # The heartbeat's changes were applied; otherwise the next one is a full snapshot.
+    # The heartbeat's changes were applied; otherwise the next heartbeat must be a full snapshot.
     accepted: bool = msgspec.field(name="taken", default=False)
-    # CPUs and memory that work with accelerators takes for each of them.
+    # CPUs and memory that jobs with accelerators take per accelerator.
     per_gpu: tuple[float, float] = (0.0, 0.0)
-    # Idle machines of this member that are to take no more tasks and to be scaled in.
+    # Idle machines of this member that are to take no new tasks and to be scaled in.
     machines_to_drain: list[str] = msgspec.field(name="retire", default_factory=list)
-    # Changes of the map of cached images, for whoever controls the machines next.
+    # Changes of the map of cached images, for the member that controls the machines next.
     caches: dict[str, dict[str, float]] = {}
     caches_known: int = 0
-    # Machines that only the leader offers: a large gang has waited long for them.
+    # Machines that only the leader may offer, reserved for a large gang that has waited long.
     reserved: list[str] = []
 
 
 class HealthProbeResponse(msgspec.Struct):
-    """How long ago the state service served this member."""
+    """How long ago this member last had a successful response from the state service."""
 
     served_s: float
 
 
 class ForwardedRequest(msgspec.Struct):
-    """A user's request that the sender can't serve while the receiver can."""
+    """A user's request, forwarded by a member that can't serve it to one that can."""
 
     method: str
     path: str
@@ -270,7 +274,7 @@
 
 
 class ForwardedResponse(msgspec.Struct):
-    """The answer to a forwarded request, for the user."""
+    """The response to a forwarded request, to be returned to the user."""
 
     status: int
     data: Any = None
@@ -278,28 +282,31 @@
 
 
 class CancellationNotice(msgspec.Struct):
-    """Jobs whose cancellation is stored, and the revisions of these writes. It is final."""
+    """Jobs whose cancellation is stored, and thus final, with the revisions of these writes."""
 
     jobs: dict[str, int]
 
 
-# Bytes of one message that a peer accepts.
+# The largest message that a peer accepts, in bytes.
 MAX_PEER_MESSAGE_BYTES = 4 * 1024 * 1024
-# Bytes that one machine's status, one desired attempt and one attempt's status take at most.
+# The largest encoded size of a machine's status, a desired attempt and an attempt's status.
 _MACHINE_STATUS_BYTES = 1024
 _DESIRED_ATTEMPT_BYTES = 256
 _ATTEMPT_STATUS_BYTES = 256
-# How many of each one message may hold: they fill half of it at most.
+# The maximum number of each in one message, so that they fill at most half of it.
 MAX_MACHINE_STATUSES = MAX_PEER_MESSAGE_BYTES // 2 // _MACHINE_STATUS_BYTES
 MAX_DESIRED_ATTEMPTS = MAX_PEER_MESSAGE_BYTES // 2 // _DESIRED_ATTEMPT_BYTES
 MAX_ATTEMPT_STATUSES = MAX_PEER_MESSAGE_BYTES // 2 // _ATTEMPT_STATUS_BYTES
 
 
 def encode(message: Any) -> bytes:
-    """A message, or a list of them, as JSON."""
+    """Return a message, or a list of messages, as JSON."""
     return orjson.dumps(msgspec.to_builtins(message, builtin_types=()))
 
 
 def decode(body: bytes, kind: Any) -> Any:
-    """A message of that type; raises ValidationError or JSONDecodeError if it is none."""
+    """Return JSON as a message of type `kind`.
+
+    Raises ValidationError or JSONDecodeError if it is malformed.
+    """
     return msgspec.convert(orjson.loads(body), kind)
--- a/src/beamspar/protocol/room.py
+++ b/src/beamspar/protocol/room.py
@@ -1,4 +1,4 @@
-"""What is free on one machine, as machine controllers tell the leader and job controllers."""
+"""The free capacity of one machine, as reported to the leader and to job controllers."""
 
 from __future__ import annotations
 
@@ -8,32 +8,33 @@
 
 
 class Room(msgspec.Struct):
-    """Free resources and cached images of one machine, as its machine controller reports them."""
+    """The free resources and cached images of one machine, reported by its machine controller."""
 
     # The machine's name, type and zone.
     name: str
     kind: str
     zone: str
     spot: bool
-    # What is free.
+    # Free resources.
     cpus: float
     gpus: float
     memory_gb: float
     # Cached images and their sizes in GB, the least recently used first.
     images: dict[str, float] = msgspec.field(default_factory=dict)
-    # By priority rank: the CPUs, accelerators and memory that preempting all lower work would add.
+    # By priority rank: the CPUs, accelerators and memory that would become free if all tasks of
+    # lower priority were preempted.
     preemptible: list[tuple[float, float, float]] = msgspec.field(
         name="evictable", default_factory=list
     )
-    # May new work be started there?
+    # Whether new tasks may be started there.
     usable: bool = True
-    # Tasks on the machine.
+    # The number of tasks on the machine.
     tasks: int = 0
-    # Images that are being fetched: they share the machine's rate.
+    # The number of images being fetched, which share the machine's download rate.
     fetching: int = 0
 
     def reserve(self, spec: JobSpec) -> None:
-        """Reserve the resources of one more task of the job."""
+        """Reserve the resources for one more task of the job."""
         self.cpus -= spec.cpus
         self.gpus -= spec.gpus
         self.memory_gb -= spec.memory_gb
--- a/src/beamspar/protocol/workers.py
+++ b/src/beamspar/protocol/workers.py
@@ -11,25 +11,25 @@
 
 
 class TaskState(StrEnum):
-    """States of a task on its worker. Others that a worker may send are kept as they are."""
+    """Known states of a task on its worker; unknown ones that a worker sends are kept as is."""
 
-    # It waits for its image.
+    # Its image is being fetched.
     FETCHING = "fetching"
-    # A task of a gang that waits for the gang's other tasks.
+    # It belongs to a gang and waits for the gang's other tasks.
     GATHERING = "gathering"
     RUNNING = "running"
-    # It was told to stop and saves a checkpoint.
+    # It received a stop command and is saving a checkpoint.
     SAVING = "saving"
-    # See its exit reason.
+    # It has ended; the exit reason says why.
     ENDED = "ended"
 
 
 class ExitReason(StrEnum):
-    """Why a task has ended, as far as this code tells them apart."""
+    """The reasons for the end of a task that the controllers distinguish."""
 
     DONE = "done"
     STOPPED = "stopped"
-    # It failed. Mostly the machine is faulty, at times the job.
+    # It failed, usually because of a faulty machine, sometimes because of its job.
     ERROR = "error"
 
 
@@ -38,32 +38,32 @@
 
     task: str = msgspec.field(name="parcel")
     attempt: int = msgspec.field(name="try")
-    # One of TaskState, or one that later workers know.
+    # One of TaskState, or a state of a later version of workers.
     status: str
-    # One of ExitReason or another word of the worker's; None unless the task has ended.
+    # One of ExitReason or another reason sent by the worker; None unless the task has ended.
     exit_reason: str | None = msgspec.field(name="exit_cause", default=None)
-    # Of a task that was stopped: has it saved a checkpoint?
+    # For a stopped task, whether it saved a checkpoint.
     saved: bool | None = None
 
 
 class WorkerHeartbeat(msgspec.Struct):
-    """What a worker reports of itself. The one with the larger (agent_epoch, seq) is newer."""
+    """A worker's report about itself; heartbeats are ordered by (agent_epoch, seq)."""
 
     machine: str = msgspec.field(name="rig")
-    # HOST:PORT for direct commands.
+    # HOST:PORT that receives direct commands.
     address: str
     kind: str = msgspec.field(name="rig_kind")
     zone: str = msgspec.field(name="yard")
-    # Rises with each expiry of the worker's lease, by which it lost all its tasks.
+    # Increases with each expiry of the worker's lease, upon which it loses all its tasks.
     agent_epoch: int = msgspec.field(name="shift")
-    # Rises with each heartbeat and each answer to a direct command.
+    # Increases with each heartbeat and each response to a direct command.
     seq: int = msgspec.field(name="tally")
-    # The highest fencing token that the worker has seen: it obeys none below.
+    # The highest fencing token that the worker has seen; it rejects commands with a lower one.
     observed_fencing_token: int = msgspec.field(name="baton")
-    # All tasks on the machine, those that have ended until a clear command.
+    # All tasks on the machine, including ended ones until a clear command.
     tasks: list[TaskStatus] = msgspec.field(name="parcels", default_factory=list)
     spot: bool | None = msgspec.field(name="standby", default=False)
-    # Time until the cloud takes the machine away; None without a notice.
+    # Time until the cloud terminates the machine; None without a notice.
     termination_notice_s: float | None = msgspec.field(name="recall_s", default=None)
 
 
@@ -71,7 +71,7 @@
 
 
 def parse_worker_heartbeat(body: bytes) -> WorkerHeartbeat:
-    """A worker's heartbeat; raises InvalidInputError if it is malformed."""
+    """Return the decoded heartbeat of a worker; raises InvalidInputError if it is malformed."""
     try:
         heartbeat = _decoder.decode(body)
     except (msgspec.ValidationError, msgspec.DecodeError) as error:
@@ -82,14 +82,14 @@
 
 
 class StartCommand(msgspec.Struct, frozen=True, tag="start", tag_field="verb"):
-    """Start an attempt. It does nothing where the worker has that attempt, in any state."""
+    """Start an attempt; no effect if the worker already has that attempt, in any state."""
 
     task: str = msgspec.field(name="parcel")
     attempt: int = msgspec.field(name="try")
 
 
 class StopCommand(msgspec.Struct, frozen=True, tag="kill", tag_field="verb"):
-    """Stop an attempt, with the time that it has to save a checkpoint."""
+    """Stop an attempt, with a grace period in which it may save a checkpoint."""
 
     task: str = msgspec.field(name="parcel")
     attempt: int = msgspec.field(name="try")
@@ -97,26 +97,26 @@
 
 
 class ClearCommand(msgspec.Struct, frozen=True, tag="clear", tag_field="verb"):
-    """Forget an attempt that has ended. A start that is repeated later starts it anew."""
+    """Forget an attempt that has ended. A repeated start command would then start it again."""
 
     task: str = msgspec.field(name="parcel")
     attempt: int = msgspec.field(name="try")
 
 
-# The worker executes a list of them in its order.
+# A worker executes a list of commands in order.
 Command = StartCommand | StopCommand | ClearCommand
 
 
 def encode_commands(fencing_token: int, agent_epoch: int, commands: list[Command]) -> bytes:
-    """The body of a direct command."""
+    """Return the request body of direct commands."""
     return pack({"baton": fencing_token, "shift": agent_epoch, "orders": commands})
 
 
 def heartbeat_response(fencing_token: int, commands: list[Command]) -> dict[str, Any]:
-    """The answer to a worker's heartbeat."""
+    """Return the response to a worker's heartbeat."""
     return {"baton": fencing_token, "orders": commands}
 
 
 def redirect_response(member: str | None) -> dict[str, Any]:
-    """The answer that sends a worker to another controller, if one is known."""
+    """Return the response that redirects a worker to another controller, if one is known."""
     return {"dispatcher": member} if member else {}
