--- a/beamsparctl.py
+++ b/beamsparctl.py
@@ -1,4 +1,4 @@
-"""Thin entry of the operators' command: puts libraries and sources on the path and hands over."""
+"""Entry point of the operators' command: puts libraries and sources on the path and runs it."""
 
 import sys
 from pathlib import Path
--- a/run.py
+++ b/run.py
@@ -1,17 +1,17 @@
-"""Thin entry: puts the built libraries and the sources on the path and hands over.
+"""Entry point of a controller: puts the built libraries and the sources on the path and runs it.
 
-The build puts a compiled copy of the sources, this file among them, beside the libraries:
-compiling them anew was more than a third of the processor time of each start.
+The build puts a compiled copy of the sources, including this file, beside the libraries, because
+compiling them takes more than a third of the processor time of a start.
 """
 
 import gc
 import sys
 from pathlib import Path
 
-# Nothing that is loaded now is ever garbage; `cli.serve` turns the collector on again.
+# Nothing loaded during startup becomes garbage; `cli.serve` enables the collector again.
 gc.disable()
 ROOT = Path(__file__).resolve().parent
-# In a work tree the libraries lie below it, in the built copy beside it.
+# In a work tree the libraries are below this directory, in the built copy they are beside it.
 sys.path[:0] = [str(ROOT / "src"), str(ROOT / "target" / "deps"), str(ROOT.parent / "deps")]
 
 from beamspar.cli import main  # noqa: E402
--- a/src/beamspar/cli.py
+++ b/src/beamspar/cli.py
@@ -1,7 +1,7 @@
-"""The program: flags and environment variables, logging, and the reactor.
+"""The controller's command line: flags and environment variables, logging, and the reactor.
 
-Modules of twisted are imported where they are used: `--check` and `--help` need none of them, and
-the reactor has to be installed before anything imports another.
+Modules of twisted are imported where they are used, because `--check` and `--help` need none of
+them, and because the reactor has to be installed before another one is imported.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from beamspar import __version__
 from beamspar.settings import OperatorSettings, Settings, SettingsError, load
 
-# Exit status when the settings can't be used.
+# Exit status if the settings are invalid.
 EXIT_BAD_SETTINGS = 2
 
 
 def start_logging(level_name: str) -> None:
-    """Write log lines of this level and above to standard error; `info` if it is unknown.
+    """Write log lines of this level and above to standard error.
 
-    Of twisted itself, errors only.
+    An unknown level is taken as `info`. Of twisted's own lines, only errors are written.
     """
     from twisted.logger import (
         FilteringLogObserver,
@@ -71,7 +71,7 @@
     net = TcpNet(reactor, timeouts.request, timeouts.keep_open, sockets)
     node = Node(reactor, net, settings, operator_settings, random.Random())
     reactor.callWhenRunning(spawn, node.start(), "start")
-    # What is loaded by now stays: the garbage collector need not look at it again and again.
+    # Everything loaded by now stays in use, so exempt it from garbage collection.
     gc.freeze()
     gc.enable()
     reactor.run()
--- a/src/beamspar/settings.py
+++ b/src/beamspar/settings.py
@@ -1,6 +1,6 @@
-"""The platform's settings file, checked, and the operators' own settings.
+"""The platform's settings file, with its validation, and the operators' own settings.
 
-Names of the file that differ from those of the code are mapped here and seen nowhere else.
+Names in the file that differ from those in the code are mapped here and used nowhere else.
 """
 
 from __future__ import annotations
@@ -9,22 +9,22 @@
 
 import msgspec
 
-# The kind of the objectives that say within which time tasks are to start.
+# The kind of the objectives that limit the time until a task starts.
 WAIT_OBJECTIVE = "wait"
-# Changes that a transaction must allow for a controller to do its work.
+# The fewest changes per transaction of the state service with which a controller can work.
 SMALLEST_TXN_OPS = 4
 
 
 class SettingsError(Exception):
-    """The settings can't be used; the text is one clear line for the operator."""
+    """The settings are invalid; the text is a single line for the operator."""
 
 
 class PeerSettings(msgspec.Struct, frozen=True):
-    """Another controller: its name, and the HOST:PORT where it serves its peers."""
+    """Another controller: its name, and the HOST:PORT at which it serves its peers."""
 
     member: str
     peer_addr: str
-    # The zone that it runs in; empty where the settings do not say.
+    # The zone that it runs in; empty if the settings don't name it.
     site: str = ""
 
 
@@ -36,7 +36,7 @@
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guaranteed quota, and its limit (`_max`); 0 means none."""
+    """A team's guaranteed quota, and its limits (`_max`); 0 means none."""
 
     name: str
     cpus: float = 0.0
@@ -48,10 +48,10 @@
 class Objective(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
     """A service-level objective for one class of jobs."""
 
-    # What it is about; only WAIT_OBJECTIVE is known here.
+    # What it limits; only WAIT_OBJECTIVE is used here.
     kind: str = ""
     job_class: str = ""
-    # The time within which this share of cases is to be.
+    # The time limit, and the share of cases that are to meet it.
     within_s: float = 0.0
     share: float = 0.0
 
@@ -61,18 +61,18 @@
 
     # The interval of their heartbeats.
     report_s: float
-    # How long after the last answered heartbeat a worker keeps its tasks running.
+    # How long a worker keeps its tasks running after its last answered heartbeat.
     lease_s: float
-    # Within which a cancellation must have stopped a job's tasks, also during a failure.
+    # The time within which a cancellation must have stopped a job's tasks, even during a failure.
     cancel_s: float
-    # How long a gang's task waits for the others, and within which time they must be told to
-    # stop. 0 where the platform does not say: see `Timeouts`.
+    # How long a gang's task waits for the others, and the time within which a stop must be sent to
+    # them. 0 if the platform doesn't set it; `Timeouts` then supplies a default.
     gang_wait_s: float = 0.0
     gang_peer_s: float = 0.0
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """Limits that the state service will have from some later moment on; None: unchanged."""
+    """Announced limits, which the state service applies from a later time on; None: unchanged."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -83,20 +83,20 @@
 class StateServiceLimits(msgspec.Struct, frozen=True):
     """Limits of the state service, for all controllers together."""
 
-    # Requests per second, and changes (puts and drops of all transactions) per second.
+    # Requests per second, and changes per second (puts and drops of all transactions).
     rps: float
     write_rps: float
     # The largest value, in KiB.
     value_kb: float
-    # Changes of one transaction.
+    # The maximum number of changes in one transaction.
     txn_ops: int
     next: NextLimits = NextLimits()
 
     @property
     def smallest(self) -> StateServiceLimits:
-        """The smaller of the present and the announced limits.
+        """The smaller one of each present and announced limit.
 
-        Nothing larger is ever written: the change comes without notice.
+        All writes stay within these, because the change takes effect without further notice.
         """
         return StateServiceLimits(
             min(self.rps, self.next.rps or self.rps),
@@ -107,40 +107,40 @@
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
-    """Limits of the cloud's interface."""
+    """Limits of the cloud's API."""
 
     # Requests per second.
     rps: float
-    # How far the list of machines may lag behind, in ordinary cases.
+    # The usual maximum staleness of the list of machines.
     list_lag_s: float
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What one controller's process may use."""
+    """Resources that one controller's process may use."""
 
     cores: float = 1.0
     memory_mb: float = 256.0
-    # Connections that it may have open, both ways together.
+    # The maximum number of open connections, incoming and outgoing together.
     sockets: int = 1000
 
 
 class PlatformSettings(msgspec.Struct, frozen=True):
-    """What holds for the whole deployment: fixed by the platform, the same for all members."""
+    """Settings of the whole deployment, fixed by the platform and the same for all members."""
 
     workers: WorkerSettings
     state: StateServiceLimits
     cloud: CloudLimits
-    # Controllers of the deployment.
+    # The number of controllers in the deployment.
     nodes: int = 1
     zones: list[str] = []
-    # How far the wall clocks of two machines may be apart.
+    # The maximum difference between the wall clocks of two machines.
     skew_ms: float = 0.0
     teams: list[Team] = []
     objectives: list[Objective] = []
     limits: Limits = Limits()
 
     def start_within(self, job_class: str) -> float:
-        """The seconds in which the class's tasks should start; 0 where no objective says so."""
+        """Return the seconds within which the class's tasks should start; 0 without an objective."""
         found = [
             objective.within_s
             for objective in self.objectives
@@ -153,33 +153,34 @@
     """The settings file of one controller."""
 
     member: str
-    # HOST:PORT to serve users and workers on, and to serve peers on.
+    # HOST:PORT at which users and workers are served, and at which peers are served.
     public_addr: str
     peer_bind: str
     services: Services
     platform: PlatformSettings
-    # The zone that this controller runs in; empty where the settings do not say.
+    # The zone that this controller runs in; empty if the settings don't name it.
     site: str = ""
     peers: list[PeerSettings] = []
 
 
 class OperatorSettings(msgspec.Struct, frozen=True):
-    """What operators may set by flag or environment variable (see `cli`)."""
+    """Settings that operators may change by flag or environment variable (see `cli`)."""
 
-    # Machines of a shard; 0: from the fleet's size and the state service's limits.
+    # Machines per shard; 0 derives it from the fleet's size and the state service's limits.
     block_size: int = 0
-    # The registration lease as a share of the longest that is safe.
+    # The duration of the registration lease, as a share of the longest safe one.
     lease_share: float = 1.0
-    # Free capacity to keep, as a share of each class's tasks.
+    # Free capacity that is kept in reserve, as a share of each class's tasks.
     headroom: float = 0.2
-    # Members follow the leader's decisions, so that one of them takes over within seconds.
+    # Whether members replicate the leader's decisions, so that one of them can replace it within
+    # seconds.
     standby: bool = False
-    # Shards of machines move by load, on request and when a controller leaves.
+    # Whether shards of machines move by load, on request and when a controller leaves.
     sharing: bool = False
 
 
 def load(path: str) -> Settings:
-    """Read and check the settings file; unknown fields are ignored. Raises SettingsError."""
+    """Read and validate the settings file, ignoring unknown fields. Raises SettingsError."""
     settings = _read(path)
     _check_addresses(settings)
     _check_limits(settings.platform)
