--- a/src/beamspar/settings.py
+++ b/src/beamspar/settings.py
@@ -140,7 +140,7 @@
     limits: Limits = Limits()
 
     def start_within(self, job_class: str) -> float:
-        """Return the seconds within which the class's tasks should start; 0 without an objective."""
+        """Return the seconds within which tasks of the class should start; 0 if not limited."""
         found = [
             objective.within_s
             for objective in self.objectives
