--- a/tests/kill_leader.py
+++ b/tests/kill_leader.py
@@ -1,9 +1,11 @@
-"""Kills the leader of a loopback deployment repeatedly, and measures when a successor decides.
+"""Kill the leader of a loopback deployment repeatedly and measure the failover times.
+
+A failover ends when a successor is ready to make decisions. Usage:
 
     PYTHONPATH=src:. python -m tests.kill_leader --kills 50 --report target/takeovers
 
 Prints a line for each kill and one JSON object at the end. With `--report`, writes the distribution
-(an HDR histogram) as a page with a plot.
+of the times (an HDR histogram) as a page with a plot.
 """
 
 from __future__ import annotations
@@ -27,19 +29,19 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 POLL_S = 0.05
-# How long a deployment may take until a leader decides, at the start and after a kill.
+# The time limit for a leader to be ready to make decisions, at the start and after a kill.
 DECISION_TIMEOUT_S = 60.0
 HAND_OVER_TRIES = 5
-# How long all controllers may take to follow again after a kill.
+# The time limit for all controllers to follow the leader again after a kill.
 SETTLING_TIMEOUT_S = 25.0
-# How long the deployment runs on without new jobs, for the arrays to finish.
+# How long the deployment runs without new jobs, so that the job arrays can finish.
 FINISHING_S = 40.0
 PERCENTILES = [10, 25, 50, 75, 90, 95, 99, 100]
 ZONES = ["east", "west", "south"]
 
 
 class Takeover(msgspec.Struct):
-    """One kill of the leader, and who decided next."""
+    """One kill of the leader, and its successor."""
 
     killed: str
     successor: str
@@ -49,7 +51,7 @@
 
 
 class CommandRun(msgspec.Struct):
-    """A call of the operators' command: its exit status and what it printed."""
+    """One run of the operators' command: its arguments, exit status and output."""
 
     words: list[str]
     status: int
@@ -57,7 +59,7 @@
 
 
 class Result(msgspec.Struct):
-    """The outcome of a run; the stand-ins' checker says which rules were broken."""
+    """The outcome of a run; `broken` lists the violations found by the stand-ins' checker."""
 
     takeovers: list[Takeover]
     broken: list[str]
@@ -69,7 +71,7 @@
 
 
 async def run_command(world: Any, *words: str) -> CommandRun:
-    """Run the operators' command beside the deployment, which goes on meanwhile."""
+    """Run the operators' command in a thread, so that the deployment keeps running."""
     config = str(world.settings_file(world.names[0]))
     line = [sys.executable, "beamsparctl.py", "--config", config, *words]
     done = await deferToThread(
@@ -79,7 +81,7 @@
 
 
 class LeaderKiller:
-    """Drives one run on a deployment."""
+    """Drives one run against a deployment."""
 
     def __init__(self, world: Any, kills: int, rng: random.Random) -> None:
         self.world = world
@@ -89,7 +91,7 @@
         self.submitting = True
 
     async def status(self, name: str) -> dict[str, Any] | None:
-        """The status of the controller's standby; None when it does not answer."""
+        """Return the status of the controller's standby; None if it does not respond."""
         try:
             answer = await self.world.network.request(
                 "tool", "POST", f"{name}:81", "/peer/standby", b"{}", 0.5
@@ -99,21 +101,21 @@
         found: dict[str, Any] | None = orjson.loads(answer.body) if answer.status == 200 else None
         return found
 
-    async def wait_for_decider(self, term: int = 0) -> dict[str, Any]:
-        """Wait for a controller that decides in a later term, and return its status."""
+    async def wait_for_deciding_leader(self, term: int = 0) -> dict[str, Any]:
+        """Wait for a controller that makes decisions in a term after `term`; return its status."""
         clock = self.world.clock
         since = clock.seconds()
         while clock.seconds() - since < DECISION_TIMEOUT_S:
-            asked = [ensureDeferred(self.status(name)) for name in self.world.names]
-            for waiting in asked:
-                status = await waiting
+            requests = [ensureDeferred(self.status(name)) for name in self.world.names]
+            for request in requests:
+                status = await request
                 if status is not None and status["deciding"] and status["term"] > term:
                     return status
             await sleep(clock, POLL_S)
-        raise TimeoutError(f"nobody decides after term {term}")
+        raise TimeoutError(f"no controller makes decisions in a term after {term}")
 
     def submit(self) -> None:
-        """Steady submissions, and cancellations of some."""
+        """Submit a random job, possibly schedule its cancellation, and schedule the next one."""
         if not self.submitting:
             return
         job = f"j-{self.jobs}"
@@ -126,27 +128,27 @@
         self.world.clock.callLater(self.rng.uniform(0.3, 1.2), self.submit)
 
     async def kill_once(self) -> Takeover:
-        """Kill the leader at a random moment, and wait for its successor."""
+        """Kill the leader at a random time, and wait for its successor."""
         clock = self.world.clock
         await sleep(clock, self.rng.uniform(0.0, 2.0))
-        status = await self.wait_for_decider()
+        status = await self.wait_for_deciding_leader()
         name = status["member"]
         followers = status["succession"]
         paused = followers[0] if followers and self.rng.random() < 0.25 else ""
         if paused:
-            # It falls behind, and resumes as the leader is gone.
+            # The preferred follower falls behind, and resumes once the leader is killed.
             self.world.hold(paused, True)
             await sleep(clock, 1.0)
         killed_at = clock.seconds()
         self.world.crash(name, self.rng.choice([0.5, 3.0, 6.0]))
         if paused:
             self.world.hold(paused, False)
-        after = await self.wait_for_decider(status["term"])
+        after = await self.wait_for_deciding_leader(status["term"])
         seconds = clock.seconds() - killed_at
         return Takeover(name, after["member"], seconds, bool(paused), after["lag"])
 
     async def wait_until_settled(self) -> None:
-        """Wait until all controllers answer and follow again, at most one and a half leases."""
+        """Wait until all controllers respond and follow again, at most one and a half leases."""
         since = self.world.clock.seconds()
         while self.world.clock.seconds() - since < SETTLING_TIMEOUT_S:
             statuses = [await self.status(name) for name in self.world.names]
@@ -156,11 +158,11 @@
             await sleep(self.world.clock, 0.2)
 
     async def command(self, *words: str) -> CommandRun:
-        """Run the operators' command beside the deployment."""
+        """Run the operators' command against the deployment."""
         return await run_command(self.world, *words)
 
     async def hand_over(self) -> CommandRun:
-        """Hand the lead over; on a busy machine no follower may be complete at first."""
+        """Hand the lead over, with retries: on a busy machine all followers may lag at first."""
         for _ in range(HAND_OVER_TRIES):
             done = await self.command("hand-over")
             if done.status == 0:
@@ -169,10 +171,10 @@
         return done
 
     async def run(self) -> Result:
-        """The whole run: kills, then commands, then time for the arrays to finish."""
+        """Kill the leader repeatedly, run the commands, then let the job arrays finish."""
         load_before = os.getloadavg()[0]
         takeovers = []
-        await self.wait_for_decider()
+        await self.wait_for_deciding_leader()
         self.submit()
         for number in range(self.kills):
             await self.wait_until_settled()
@@ -234,7 +236,7 @@
 @click.option("--seed", default=1, show_default=True, type=int)
 @click.option("--report", default=None, type=click.Path(path_type=Path))
 def main(kills: int, seed: int, report: Path | None) -> None:
-    """Kill the leader again and again."""
+    """Kill the leader repeatedly."""
     reactor: Any = steady_reactor()
     from tests.standins.loopback import LoopbackWorld, deploy_line, drive
 
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -1,9 +1,11 @@
-"""Every form that leaves the process, byte by byte: messages, stored records, orders and calls.
-
-`fixtures/forms.json` holds the bytes as the code wrote them before it was restructured. Names of
-examples say what is on the wire, never what the code calls it. An ordinary run only reads the
-file; `BEAMSPAR_WRITE_FORMS=1 python -m tests.test_forms` writes it anew, which is right only when
-a form is meant to change. Objects are made by position, so that a new field name changes nothing.
+"""Every encoding that leaves the process, byte by byte: messages, records, commands and calls.
+
+A renamed or reordered field would break controllers of another release, stored records, workers
+and users. `fixtures/forms.json` holds the bytes as the code wrote them before it was restructured.
+Examples are named after what is on the wire, not after names in the code. A test run only reads
+the file; `BEAMSPAR_WRITE_FORMS=1 python -m tests.test_forms` rewrites it, which is right only if an
+encoding is meant to change. Objects are constructed by position, so that renaming a field in the
+code changes nothing here.
 """
 
 from __future__ import annotations
@@ -236,7 +238,8 @@
     return record.with_allocation("rig-1.3", waiting).with_allocation("rig-3.1", unserved).raw
 
 
-# Sent between controllers: encoded as JSON. "-least" marks all that may be left out left out.
+# Messages between controllers, encoded as JSON. In those named "-least", all optional fields are
+# left out.
 PEER: dict[str, Callable[[], Any]] = {
     "wants": lambda: [
         messages.DesiredStateUpdate("rig-1", "rig-1.3", 412, 3, 9, [desired_attempt()], ["host-7"])
@@ -341,7 +344,8 @@
     "shares": shares_reply,
     "shares-least": lambda: sharing.SharesReply("rig-1", None, False, "left"),
 }
-# Stored, or exchanged with users, workers, the cloud and the state service: MessagePack.
+# Stored records, and messages to and from users, workers, the cloud and the state service, encoded
+# as MessagePack.
 OUTER: dict[str, Callable[[], Any]] = {
     "job-record": job_record,
     "job-record-least": lambda: records.JobRecord({}, "rig-1.3"),
@@ -390,7 +394,7 @@
 
 
 class Recorder:
-    """A network that writes down each call and gives the answers that it was made with."""
+    """A network that records each call and returns the given responses in order."""
 
     def __init__(self, *answers: Any) -> None:
         self.answers = list(answers)
@@ -406,7 +410,7 @@
 
 
 def deployment() -> settings.Settings:
-    """Settings of one of two controllers."""
+    """Return the settings of one of two controllers."""
     facts = settings.PlatformSettings(
         settings.WorkerSettings(3.0, 15.0, 45.0),
         settings.StateServiceLimits(100.0, 100.0, 32.0, 64),
@@ -419,13 +423,13 @@
 
 
 def state_client(net: Recorder) -> state.StateClient:
-    """A client of the state service."""
+    """Return a client of the state service."""
     durations = timeouts.Timeouts(deployment(), settings.OperatorSettings())
     return state.StateClient(SimClock(), net, deployment(), durations)  # type: ignore[arg-type]
 
 
 def cloud_client(net: Recorder) -> cloud.CloudClient:
-    """A client of the cloud."""
+    """Return a client of the cloud."""
     return cloud.CloudClient(net, "cloud:1", 1.0)  # type: ignore[arg-type]
 
 
@@ -499,11 +503,11 @@
 
 
 def stored_row(key: str, data: Any, version: int) -> dict[str, Any]:
-    """A row as the state service gives it."""
+    """Return a row as the state service sends it."""
     return {"key": key, "data": data, "entry_rev": version}
 
 
-# What makes the calls and checks what is read of the answers; and the answers.
+# By example: the function that makes the calls and checks the decoded responses, and the responses.
 CALLS: dict[str, tuple[Callable[[Recorder], Awaitable[None]], list[Any]]] = {
     "read-a-key": (get_key, [{**stored_row("a/b", {"n": 1}, 412), "permit": 7}]),
     "read-below-a-prefix": (
@@ -544,20 +548,20 @@
 
 
 def calls_of(name: str) -> list[list[str]]:
-    """The calls that an example makes: method, address, path, body in hex."""
+    """Return the calls that an example makes: method, address, path, body in hex."""
     work, answers = CALLS[name]
     net = Recorder(*answers)
     done: list[Any] = []
     ensureDeferred(work(net)).addBoth(done.append)  # type: ignore[arg-type]
     assert done == [None], done
-    assert not net.answers, "every answer is asked for"
+    assert not net.answers, "some responses were not requested"
     return net.calls
 
 
 def deployment_with_failures() -> tuple[SharingWorld, set[str]]:
-    """A simulated deployment and the paths of its controllers' own messages to each other.
+    """Run a simulated deployment; return it and the paths of messages between its controllers.
 
-    One job is cancelled, the lead is handed over, one controller leaves and the leader fails.
+    One job is cancelled, the lead is handed over and one controller leaves.
     """
     world = SharingWorld(11, tuning={"standby": True})
     paths: set[str] = set()
@@ -580,7 +584,7 @@
     world.run(20)
     world.cancel("j-long")
     world.run(20.5)
-    assert cancellation_records == {"{'t': 1}"}, "the mark of a cancelled job"
+    assert cancellation_records == {"{'t': 1}"}, "the cancellation record of the job"
     for path in ("shares", "standby"):
         assert world.say("rig-0", path, {})[0] == 200
     assert world.say(world.leader(), "hand-over", {"to": ""})[0] == 200
@@ -591,7 +595,10 @@
 
 
 def deployment_forms() -> dict[str, Any]:
-    """Paths and stored records of that day; who leads may differ, so one name stands for all."""
+    """Return the paths and stored records of a deployment whose leader also fails.
+
+    The controllers' names are replaced by a single one, because different ones may lead.
+    """
     world, paths = deployment_with_failures()
     found: dict[str, str] = {}
 
@@ -613,12 +620,12 @@
 
 
 def outer_form(value: Any) -> str:
-    """A MessagePack form, in hex."""
+    """Return the MessagePack encoding in hex."""
     return codec.pack(msgspec.to_builtins(value)).hex()
 
 
 def current_forms() -> dict[str, Any]:
-    """All forms, as the present code makes them."""
+    """Return all encodings as written by the present code."""
     return {
         "peer": {name: messages.encode(build()).decode() for name, build in PEER.items()},
         "outer": {name: outer_form(build()) for name, build in OUTER.items()},
@@ -628,13 +635,13 @@
 
 
 def recorded_forms() -> dict[str, Any]:
-    """All forms, as they were written once."""
+    """Return all encodings from the fixture."""
     found: dict[str, Any] = json.loads(FIXTURE.read_text())
     return found
 
 
 def type_of(value: Any) -> Any:
-    """The type to read an example's bytes as."""
+    """Return the type as which an example's bytes are decoded."""
     if isinstance(value, list) and value:
         kinds = dict.fromkeys(type(part) for part in value)
         return list[functools.reduce(operator.or_, kinds)]  # type: ignore[misc]
@@ -642,7 +649,7 @@
 
 
 def structs_in(value: Any) -> Iterator[Any]:
-    """All structs that an example is made of."""
+    """Yield all structs that an example contains."""
     if isinstance(value, msgspec.Struct):
         yield value
         for name in value.__struct_fields__:
@@ -653,7 +660,7 @@
         yield from (found for part in value for found in structs_in(part))
 
 
-def test_the_same_examples_are_here_and_in_the_file() -> None:
+def test_examples_here_and_in_the_fixture_are_the_same() -> None:
     forms = recorded_forms()
     assert set(forms.pop("day")) == {"paths", "records"}
     examples: dict[str, Any] = {"peer": PEER, "outer": OUTER, "calls": CALLS}
@@ -668,7 +675,7 @@
 
 
 @pytest.mark.parametrize("name", OUTER)
-def test_what_is_stored_or_sent_elsewhere_keeps_its_bytes(name: str) -> None:
+def test_a_stored_record_or_outside_message_keeps_its_bytes(name: str) -> None:
     example, form = OUTER[name](), recorded_forms()["outer"][name]
     assert outer_form(example) == form
     assert msgspec.convert(codec.unpack(bytes.fromhex(form)), type_of(example)) == example
@@ -683,14 +690,14 @@
     assert deployment_forms() == recorded_forms()["day"]
 
 
-def test_worker_heartbeats_are_read_from_their_bytes() -> None:
+def test_worker_heartbeats_are_decoded_from_their_bytes() -> None:
     assert (
         workers_protocol.parse_worker_heartbeat(bytes.fromhex(recorded_forms()["outer"]["report"]))
         == worker_heartbeat()
     )
 
 
-def test_a_machine_shard_is_read_from_its_record() -> None:
+def test_a_machine_shard_is_decoded_from_its_record() -> None:
     stored = codec.unpack(bytes.fromhex(recorded_forms()["outer"]["block-record"]))
     assert msgspec.convert(stored, control_records.MachineShard) == control_records.MachineShard(
         "rig-1", [machine()], True, 41
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,7 @@
-"""The HTTP layer on real loopback sockets: what keeps a controller within its sockets."""
+"""The HTTP server on real loopback sockets: it stays within its connection limit.
+
+Otherwise a controller with many clients would run out of sockets.
+"""
 
 from __future__ import annotations
 
@@ -13,40 +16,44 @@
 from beamspar.transport.http import Answer, Call
 from beamspar.transport.tcp import TcpNet
 
-MOST = 10
+MAX_CONNECTIONS = 10
 BODY = b"answered"
 
 
-def ask(port: int, kept: socket.socket | None = None) -> tuple[socket.socket, bool]:
-    """One request; the connection, and whether the server ended it with its answer."""
-    sock = kept or socket.create_connection(("127.0.0.1", port), 30)
+def request(port: int, reused: socket.socket | None = None) -> tuple[socket.socket, bool]:
+    """Send a request; return the connection, and whether the server closed it after responding."""
+    sock = reused or socket.create_connection(("127.0.0.1", port), 30)
     sock.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
     answer = b""
     while not answer.endswith(BODY):
         answer += sock.recv(4096)
     assert answer.startswith(b"HTTP/1.1 200")
-    ended = b"connection: close" in answer.lower()
-    if ended:
+    is_closed = b"connection: close" in answer.lower()
+    if is_closed:
         assert sock.recv(1) == b""
-    return sock, ended
+    return sock, is_closed
+
 
+def fill_up(port: int) -> tuple[list[bool], bool]:
+    """Open more connections than the server keeps alive, then more than it accepts.
 
-def visit(port: int) -> tuple[list[bool], bool]:
-    """Come more often than may stay; which were ended, and is one too many turned away?"""
-    came = [ask(port) for _ in range(MOST + 4)]
-    # One that stays open is answered again on the same connection.
-    assert not ask(port, came[0][0])[1]
-    silent = [socket.create_connection(("127.0.0.1", port), 30) for _ in range(MOST)]
+    Return for each of the first ones whether the server closed it after responding, and whether
+    the last one was rejected.
+    """
+    served = [request(port) for _ in range(MAX_CONNECTIONS + 4)]
+    # A connection that is kept alive serves a second request.
+    assert not request(port, served[0][0])[1]
+    silent = [socket.create_connection(("127.0.0.1", port), 30) for _ in range(MAX_CONNECTIONS)]
     try:
-        full = silent[-1].recv(1) == b""
+        is_rejected = silent[-1].recv(1) == b""
     except ConnectionResetError:
-        full = True
-    for sock in (*silent, *(sock for sock, _ in came)):
+        is_rejected = True
+    for sock in (*silent, *(sock for sock, _ in served)):
         sock.close()
-    return [ended for _, ended in came], full
+    return [is_closed for _, is_closed in served], is_rejected
 
 
-def test_connections_beyond_the_share_that_stays_open_end_with_their_answer() -> None:
+def test_connections_beyond_the_kept_open_share_are_closed_after_their_response() -> None:
     loop: Any = installed
     found: list[tuple[list[bool], bool]] = []
     failed: list[object] = []
@@ -59,15 +66,15 @@
             probe.bind(("127.0.0.1", 0))
             port = probe.getsockname()[1]
         net = TcpNet(loop, 5.0, 60.0, Sockets.of(100, 3))
-        spawn(net.listen(f"127.0.0.1:{port}", handler, MOST, 1024), "listening")
-        work = deferToThread(visit, port)
+        spawn(net.listen(f"127.0.0.1:{port}", handler, MAX_CONNECTIONS, 1024), "listening")
+        work = deferToThread(fill_up, port)
         work.addCallbacks(found.append, lambda f: failed.append(f.getTraceback()))
         work.addBoth(lambda _: loop.stop())
 
     loop.callWhenRunning(start)
     loop.run(installSignalHandlers=False)
     assert not failed, failed
-    ended, full = found[0]
-    last = int(MOST * KEPT_OPEN_SHARE)
-    assert ended == [False] * last + [True] * (MOST + 4 - last)
-    assert full
+    closed, is_rejected = found[0]
+    last = int(MAX_CONNECTIONS * KEPT_OPEN_SHARE)
+    assert closed == [False] * last + [True] * (MAX_CONNECTIONS + 4 - last)
+    assert is_rejected
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -1,4 +1,8 @@
-"""The HTTP client's protocol, byte by byte: what ends a response, and what becomes of others."""
+"""The HTTP client, byte by byte: which bytes complete a response, and how other input fails.
+
+A response that is cut off or malformed must fail its call, and no call may get another one's
+response or be sent on a connection that is closing.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +25,7 @@
 
 
 class Peer:
-    """The far end of everything that the client opens."""
+    """The remote end of all connections that the client opens."""
 
     def __init__(self) -> None:
         self.reactor = MemoryReactorClock()
@@ -29,13 +33,13 @@
         self.opened: list[tuple[Any, StringTransport]] = []
 
     def call(self, path: str = "/multi") -> list[Any]:
-        """Start a call; its answer or failure comes to the list."""
+        """Start a call; its response or failure is appended to the returned list."""
         result: list[Any] = []
         self.net.request("POST", ADDRESS, path, b"data", LIMIT_S).addBoth(result.append)
         return result
 
     def open(self) -> tuple[Any, StringTransport]:
-        """Let the latest connection open."""
+        """Complete the opening of the latest connection."""
         *_, factory, _, _ = self.reactor.tcpClients[-1]
         protocol, transport = factory.buildProtocol(None), StringTransport()
         protocol.makeConnection(transport)
@@ -47,7 +51,7 @@
     return len(result) == 1 and result[0].check(CallFailedError) is not None
 
 
-def test_a_request_is_sent_whole_and_answered() -> None:
+def test_a_request_is_sent_and_its_response_returned() -> None:
     peer = Peer()
     result = peer.call()
     protocol, transport = peer.open()
@@ -70,7 +74,7 @@
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n",
     ],
 )
-def test_a_connection_is_used_again(response: bytes) -> None:
+def test_a_connection_is_reused(response: bytes) -> None:
     peer = Peer()
     first = peer.call()
     protocol, transport = peer.open()
@@ -91,7 +95,7 @@
         (b"HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n", b""),
     ],
 )
-def test_answers_without_a_body_end_with_their_head(response: bytes, body: bytes) -> None:
+def test_responses_without_a_body_end_with_their_head(response: bytes, body: bytes) -> None:
     peer = Peer()
     result = peer.call()
     protocol, _ = peer.open()
@@ -121,7 +125,7 @@
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nbody\r\n",
     ],
 )
-def test_what_is_cut_off_is_no_answer(part: bytes) -> None:
+def test_a_response_that_is_cut_off_fails_the_call(part: bytes) -> None:
     peer = Peer()
     result = peer.call()
     protocol, _ = peer.open()
@@ -130,7 +134,7 @@
     assert failed(result)
 
 
-def test_a_reset_ends_no_body() -> None:
+def test_a_reset_does_not_complete_a_body_without_a_length() -> None:
     peer = Peer()
     result = peer.call()
     protocol, _ = peer.open()
@@ -150,7 +154,7 @@
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n",
     ],
 )
-def test_what_is_no_response_fails_the_call_and_ends_the_connection(response: bytes) -> None:
+def test_a_malformed_response_fails_the_call_and_closes_the_connection(response: bytes) -> None:
     peer = Peer()
     result = peer.call()
     protocol, transport = peer.open()
@@ -161,7 +165,7 @@
     assert len(peer.reactor.tcpClients) == 2
 
 
-def test_more_than_the_answer_is_not_taken_for_the_next_one() -> None:
+def test_excess_data_is_not_taken_for_the_next_response() -> None:
     peer = Peer()
     first = peer.call()
     protocol, transport = peer.open()
@@ -173,19 +177,19 @@
     assert not second
 
 
-def test_a_call_out_of_time_ends_its_connection() -> None:
+def test_a_call_that_times_out_closes_its_connection() -> None:
     peer = Peer()
     result = peer.call()
     protocol, transport = peer.open()
     peer.reactor.advance(LIMIT_S + 0.1)
     assert failed(result)
     assert transport.disconnecting or transport.disconnected
-    # A late answer is nobody's.
+    # A late response is ignored.
     protocol.dataReceived(OK)
     assert len(result) == 1
 
 
-def test_a_call_out_of_time_before_its_connection_opened_sends_nothing() -> None:
+def test_a_call_that_times_out_before_its_connection_opens_sends_nothing() -> None:
     peer = Peer()
     result = peer.call()
     peer.reactor.advance(LIMIT_S + 0.1)
@@ -194,7 +198,7 @@
     assert transport.value() == b""
 
 
-def test_a_refused_connection_is_told_apart() -> None:
+def test_a_refused_connection_is_distinguished() -> None:
     peer = Peer()
     result = peer.call()
     *_, factory, _, _ = peer.reactor.tcpClients[-1]
@@ -203,7 +207,7 @@
     assert result[0].value.refused
 
 
-def test_connections_for_orders_are_not_kept() -> None:
+def test_connections_for_direct_commands_are_not_kept_open() -> None:
     peer = Peer()
     for _ in range(2):
         result = peer.call("/orders")
@@ -215,7 +219,7 @@
     assert len(peer.reactor.tcpClients) == 2
 
 
-def test_few_idle_connections_are_kept_and_not_for_ever() -> None:
+def test_idle_connections_are_limited_in_number_and_time() -> None:
     peer = Peer()
     calls = []
     for _ in range(MAX_IDLE_PER_ADDRESS + 2):
@@ -229,7 +233,7 @@
     assert all(t.disconnecting for _, t in peer.opened)
 
 
-def test_an_idle_connection_that_ends_is_not_used() -> None:
+def test_an_idle_connection_that_ends_is_not_reused() -> None:
     peer = Peer()
     peer.call()
     protocol, _ = peer.open()
@@ -239,13 +243,13 @@
     assert len(peer.reactor.tcpClients) == 2
 
 
-def test_a_connection_that_is_being_closed_serves_no_call() -> None:
+def test_a_connection_that_is_being_closed_is_not_reused() -> None:
     peer = Peer()
     peer.call()
     protocol, transport = peer.open()
     protocol.dataReceived(OK)
     peer.reactor.advance(IDLE_S * 2)
     assert transport.disconnecting
-    # Its end is told a moment later.
+    # The end of the connection is reported only later.
     peer.call()
     assert len(peer.reactor.tcpClients) == 2
--- a/tests/test_log_lines.py
+++ b/tests/test_log_lines.py
@@ -1,4 +1,4 @@
-"""Each placeholder of a log line is given a value, or the line would say `{machine}`."""
+"""Every placeholder of a log line has a keyword argument; otherwise the line can't be formatted."""
 
 from __future__ import annotations
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -1,6 +1,6 @@
 """Real processes on loopback: the leader is killed, and the lead is handed over by command.
 
-Judged by rules and order only, for how long things take depends on the machine. The measurement is
+The test checks rules and order only, because durations depend on the machine. They are measured by
 `python -m tests.kill_leader --kills 50 --report target/takeovers`.
 """
 
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -1,4 +1,8 @@
-"""The warm standby: which failovers happen, how soon, and with what knowledge."""
+"""The warm standby: when a failover happens, how long it takes, and what state survives it.
+
+A failed leader must be replaced within seconds. A slow or reachable leader must keep the lead, and
+a successor must not repeat or lose its predecessor's decisions.
+"""
 
 from __future__ import annotations
 
@@ -26,32 +30,32 @@
 
 
 def deployment(seed: int = 1, **options: object) -> World:
-    """Three controllers with the standby on, one leads and the others follow it."""
+    """Return three controllers with the standby on, of which two follow the third."""
     world = World(seed, **{"tuning": {"standby": True}, **options})
     world.run(12.0)
-    assert deciding(world) is not None
+    assert deciding_leader(world) is not None
     return world
 
 
-def deciding(world: World) -> str | None:
-    """The controller that leads by the record and may make decisions."""
+def deciding_leader(world: World) -> str | None:
+    """Return the controller that leads by the record and may make decisions."""
     name = world.leader()
     node = world.nodes.get(name)
     ready = name in world.network.alive and node and node.leader and node.leader.ready
     return name if ready else None
 
 
-def failovers(world: World) -> int:
-    """How often one leader replaced another, as the controllers saw it."""
+def failover_count(world: World) -> int:
+    """Return the number of failovers that the controllers observed."""
     return max(len(node.standby.failovers.times) for node in world.nodes.values())
 
 
-def failover_s(world: World, old: str, limit_s: float = 30.0) -> float:
-    """How long until another than this one decides."""
+def run_until_failover(world: World, old: str, limit_s: float = 30.0) -> float:
+    """Run until a controller other than `old` may make decisions; return the time it took."""
     since = world.clock.seconds()
     while world.clock.seconds() - since < limit_s:
         world.run(world.clock.seconds() + 0.05)
-        if deciding(world) not in (None, old):
+        if deciding_leader(world) not in (None, old):
             return world.clock.seconds() - since
     raise AssertionError(f"no successor of {old} within {limit_s} s")
 
@@ -60,28 +64,28 @@
     world = deployment()
     old = world.leader()
     world.crash(old, None)
-    assert failover_s(world, old) < FAILOVER_S
+    assert run_until_failover(world, old) < FAILOVER_S
     world.submit("j-after", parcels=2)
     world.run(world.clock.seconds() + 5)
     assert world.running("j-after") == 2
     assert world.checker.broken == []
 
 
-def test_without_the_standby_it_takes_longer() -> None:
-    """So it is the standby that keeps the bound above."""
+def test_without_the_standby_failover_takes_longer() -> None:
+    """Shows that the bound above is met because of the standby."""
     world = deployment(tuning={})
     old = world.leader()
     world.crash(old, None)
-    assert failover_s(world, old) > FAILOVER_S
+    assert run_until_failover(world, old) > FAILOVER_S
 
 
 def test_a_leader_that_stands_still_is_replaced_and_fenced() -> None:
     world = deployment()
     old = world.leader()
     world.network.frozen[old] = world.clock.seconds() + 12.0
-    assert failover_s(world, old) < FAILOVER_S
+    assert run_until_failover(world, old) < FAILOVER_S
     new = world.leader()
-    # It goes on, believes that it leads, and finds that it does not.
+    # Once it continues, it first takes itself for the leader, and then finds that it was replaced.
     world.run(world.clock.seconds() + 20.0)
     assert world.leader() == new
     assert not world.nodes[old].leader.leading
@@ -93,7 +97,7 @@
     old = world.leader()
     world.network.cost_s[old] = 0.06
     world.run(world.clock.seconds() + 60.0)
-    assert world.leader() == old and failovers(world) == 0
+    assert world.leader() == old and failover_count(world) == 0
 
 
 @pytest.mark.parametrize("mode", ["drop", "hold"])
@@ -103,11 +107,11 @@
     follower = next(name for name in world.names if name != old)
     world.network.cut(follower, old, mode)
     world.run(world.clock.seconds() + 40.0)
-    assert world.leader() == old and failovers(world) == 0
+    assert world.leader() == old and failover_count(world) == 0
 
 
 def test_an_isolated_member_does_not_take_the_lead() -> None:
-    """Each side suspects the other; the one that nobody confirms does not act."""
+    """Each side suspects the other; the suspicion that no member confirms has no effect."""
     world = deployment()
     old = world.leader()
     alone = next(name for name in world.names if name != old)
@@ -115,11 +119,11 @@
         if other != alone:
             world.network.cut(alone, other, "drop")
     world.run(world.clock.seconds() + 40.0)
-    assert world.leader() == old and failovers(world) == 0
+    assert world.leader() == old and failover_count(world) == 0
 
 
 def test_the_last_two_of_three_replace_each_other() -> None:
-    """With nobody else registered, the probes of the one that is left decide."""
+    """If no other member is registered, the remaining one's own probes decide."""
     world = deployment()
     old = world.leader()
     third = next(name for name in world.names if name != old)
@@ -127,14 +131,14 @@
     world.run(world.clock.seconds() + 40.0)
     assert world.leader() == old
     world.crash(old, None)
-    assert failover_s(world, old) < FAILOVER_S
+    assert run_until_failover(world, old) < FAILOVER_S
 
 
 def test_a_returning_leader_follows_the_new_one() -> None:
     world = deployment()
     old = world.leader()
     world.crash(old, 6.0)
-    failover_s(world, old)
+    run_until_failover(world, old)
     new = world.leader()
     world.run(world.clock.seconds() + 20.0)
     assert world.leader() == new
@@ -143,7 +147,7 @@
     assert status.term == world.nodes[new].standby.log.term
 
 
-def test_followers_hold_what_the_leader_decided() -> None:
+def test_followers_replicate_the_leaders_decisions() -> None:
     world = deployment(
         capacity=[{"kind": "big", "zone": zone, "count": 4} for zone in ZONES],
         machines=[{"kind": "small", "zone": zone} for zone in ZONES],
@@ -160,8 +164,8 @@
         }
 
 
-def test_what_was_rented_is_not_rented_again_by_the_successor() -> None:
-    """The cloud's list lags by eight seconds; the log does not."""
+def test_a_successor_does_not_repeat_a_completed_rental() -> None:
+    """The cloud's instance list is stale by eight seconds, but the replicated log is not."""
     world = deployment(
         capacity=[{"kind": "big", "zone": zone, "count": 9} for zone in ZONES],
         machines=[{"kind": "small", "zone": zone} for zone in ZONES],
@@ -176,40 +180,40 @@
     rented = len(world.cloud.machines)
     first = set(world.cloud.instances_by_request)
     world.crash(old, None)
-    failover_s(world, old)
+    run_until_failover(world, old)
     world.run(world.clock.seconds() + 6.0)
-    # What is kept free beside the job may be rented still, but not its machines once more.
+    # Machines for the headroom may still be rented, but not the job's machines a second time.
     more = len(world.cloud.machines) - rented
     assert more <= 2, (rented, more, set(world.cloud.instances_by_request) - first)
 
 
 def test_an_indeterminate_rental_is_repeated_under_its_name() -> None:
-    """The leader dies before it hears the answer: the successor asks for the same."""
+    """The leader fails before it receives the response; its successor repeats the same request."""
     world = deployment(
         capacity=[{"kind": "big", "zone": zone, "count": 9} for zone in ZONES],
         machines=[{"kind": "small", "zone": zone} for zone in ZONES],
     )
     old = world.leader()
-    # Requests reach the cloud, its answers do not come back.
+    # Requests reach the cloud, but its responses are dropped.
     world.network.cut("cloud", old, "drop", both=False)
     world.submit("j-1", parcels=4, cpus=8.0, accelerators=2.0, memory_gb=30.0, shape="sweep")
     for _ in range(200):
         world.run(world.clock.seconds() + 0.05)
         if world.cloud.instances_by_request:
             break
-    asked = set(world.cloud.instances_by_request)
-    assert len(asked) == 1
+    pending = set(world.cloud.instances_by_request)
+    assert len(pending) == 1
     world.run(world.clock.seconds() + 0.6)
     world.crash(old, None)
     new_requests: list[str] = []
     rent = world.cloud._scale_out
     world.cloud._scale_out = lambda body: (new_requests.append(body["hire"]), rent(body))[1]  # type: ignore
-    failover_s(world, old)
+    run_until_failover(world, old)
     world.run(world.clock.seconds() + 3.0)
-    assert new_requests[:1] == sorted(asked)
+    assert new_requests[:1] == sorted(pending)
 
 
-def test_failovers_that_follow_each_other_wait() -> None:
+def test_failovers_in_quick_succession_are_delayed() -> None:
     world = deployment()
     node = next(n for name, n in world.nodes.items() if name != world.leader())
     now = node.clock.seconds()
@@ -226,9 +230,12 @@
 
 
 def test_fifty_kills_of_the_leader_break_no_rule() -> None:
-    """Under steady submissions and cancellations, at random moments, also of one just back."""
+    """The kills come at random times during steady submissions and cancellations.
+
+    Some hit a leader that has only just returned.
+    """
     with watched() as history:
-        world = kill_fifty_times()
+        world = run_with_fifty_kills()
     history.stored(world.state.history)
     assert history.faults == [] and history.entries
     assert world.checker.broken == []
@@ -240,7 +247,7 @@
     assert unfinished == []
 
 
-def kill_fifty_times() -> World:
+def run_with_fifty_kills() -> World:
     world = deployment(
         capacity=[{"kind": "small", "zone": zone, "count": 8} for zone in ZONES],
         machines=[{"kind": "small", "zone": z, "count": 4} for z in ZONES]
@@ -256,11 +263,11 @@
             if shape == "standing" or rng.random() < 0.3:
                 world.clock.callLater(rng.uniform(1.0, 25.0), world.cancel, job)
         world.run(world.clock.seconds() + rng.uniform(0.0, 1.0))
-        while deciding(world) is None:
+        while deciding_leader(world) is None:
             world.run(world.clock.seconds() + 0.05)
         old = world.leader()
         world.crash(old, rng.choice([0.5, 3.0, 6.0]))
-        durations.append(failover_s(world, ""))
+        durations.append(run_until_failover(world, ""))
         world.run(world.clock.seconds() + rng.uniform(14.0, 30.0))
     world.run(world.clock.seconds() + 60.0)
     assert max(durations) < FAILOVER_S, sorted(durations)[-5:]
@@ -268,30 +275,30 @@
 
 
 def hand_over(world: World, to: str = "") -> HandOverReply:
-    """Ask the leader to hand over, and wait for its answer."""
-    got: list[HandOverReply] = []
+    """Send the leader a hand-over request and return its reply."""
+    replies: list[HandOverReply] = []
     standby = world.nodes[world.leader()].standby
-    ensureDeferred(standby.hand_over(HandOverRequest(to))).addCallback(got.append)
+    ensureDeferred(standby.hand_over(HandOverRequest(to))).addCallback(replies.append)
     world.run(world.clock.seconds() + 4.0)
-    return got[0]
+    return replies[0]
 
 
-def test_the_lead_is_handed_over_in_order_and_back() -> None:
+def test_the_lead_is_handed_over_and_back() -> None:
     world = deployment()
     old = world.leader()
     other = next(name for name in world.names if name != old)
     reply = hand_over(world, other)
     assert reply == HandOverReply(True, other)
-    assert deciding(world) == other and not world.nodes[old].leader.leading
+    assert deciding_leader(world) == other and not world.nodes[old].leader.leading
     world.run(world.clock.seconds() + 5.0)
     assert hand_over(world, old) == HandOverReply(True, old)
-    assert deciding(world) == old
+    assert deciding_leader(world) == old
     world.submit("j-after", parcels=2)
     world.run(world.clock.seconds() + 5)
     assert world.running("j-after") == 2 and world.checker.broken == []
 
 
-def test_a_former_leader_confirms_before_the_first_decision() -> None:
+def test_a_former_leader_is_confirmed_before_the_first_decision() -> None:
     world = deployment()
     old = world.leader()
     reply = hand_over(world)
@@ -300,11 +307,11 @@
     assert new.fleet_view.members[old].heard_at >= new.leadership.leading_since
 
 
-def test_without_a_complete_follower_the_lead_stays() -> None:
+def test_without_a_complete_follower_the_lead_is_not_handed_over() -> None:
     world = deployment()
     old = world.leader()
     assert not hand_over(world, "rig-9").is_done
-    # Decisions come faster than the followers fetch them, and are there as it begins.
+    # A decision is made while no follower can fetch it, and the hand-over begins after it.
     log = world.nodes[old].standby.log
     for name in world.names:
         if name != old:
@@ -316,22 +323,22 @@
     assert world.leader() == old
 
 
-def test_a_follower_that_lags_a_little_is_waited_for() -> None:
+def test_a_hand_over_waits_for_a_follower_that_lags_a_little() -> None:
     world = deployment()
     old = world.leader()
     world.nodes[old].standby.log.decide(MachinesStarted(["host-none"]))
     reply = hand_over(world)
-    assert reply.is_done and deciding(world) == reply.leader
+    assert reply.is_done and deciding_leader(world) == reply.leader
     assert world.nodes[reply.leader].standby.replica.index >= 1
 
 
-def test_a_follower_that_does_not_answer_leaves_the_lead_where_it_is() -> None:
+def test_a_hand_over_fails_if_the_follower_does_not_respond() -> None:
     world = deployment()
     old = world.leader()
     first = world.nodes[old].standby.status().succession[0]
     world.network.frozen[first] = world.clock.seconds() + 6.0
     assert not hand_over(world).is_done
-    assert deciding(world) == old
+    assert deciding_leader(world) == old
 
 
 def test_a_follower_that_lacks_decisions_takes_nothing() -> None:
@@ -340,67 +347,70 @@
     follower = next(name for name in world.names if name != old)
     standby = world.nodes[follower].standby
     ahead = TakeLeadRequest(old, standby.replica.term, standby.replica.index + 1)
-    got: list[TakeLeadReply] = []
-    ensureDeferred(standby.take_lead(ahead)).addCallback(got.append)
+    replies: list[TakeLeadReply] = []
+    ensureDeferred(standby.take_lead(ahead)).addCallback(replies.append)
     world.run(world.clock.seconds() + 2.0)
-    assert got == [TakeLeadReply(False)] and world.leader() == old
+    assert replies == [TakeLeadReply(False)] and world.leader() == old
 
 
-def test_a_leader_of_the_release_in_production_is_left_alone() -> None:
-    """It answers that it has no log: so it is alive, and nobody else is asked to probe it."""
+def test_a_leader_of_the_production_release_is_not_replaced() -> None:
+    """It responds that it has no log, so it is alive, and no other member is asked to probe it."""
     world = World(1, old=["rig-1", "rig-2"], tuning={"standby": True})
     world.run(1.0)
     world.crash("rig-0", 20.0)
     world.run(25.0)
     old = world.leader()
     assert old in ("rig-1", "rig-2")
-    asked: list[str] = []
+    requested_paths: list[str] = []
     request = world.network.request
 
-    def counted(source: str, method: str, address: str, path: str, *rest: Any) -> Any:
-        asked.append(path)
+    def recording(source: str, method: str, address: str, path: str, *rest: Any) -> Any:
+        requested_paths.append(path)
         return request(source, method, address, path, *rest)
 
-    world.network.request = counted  # type: ignore[method-assign]
+    world.network.request = recording  # type: ignore[method-assign]
     world.run(60.0)
     standby = world.nodes["rig-0"].standby
     assert world.leader() == old and not standby.failovers.times
     assert (standby.replica.term, standby.replica.index) == (0, 0)
-    assert "/peer/follow" in asked and "/peer/probe" not in asked
-    # Once all are upgraded the leader's log is followed, and its failure is noticed.
+    assert "/peer/follow" in requested_paths and "/peer/probe" not in requested_paths
+    # Once all are upgraded, the leader's log is followed and its failure is detected.
     for name in ("rig-1", "rig-2"):
         world.upgrade(name, 1.0)
         world.run(world.clock.seconds() + 15.0)
     world.run(world.clock.seconds() + 10.0)
     leader = world.leader()
     world.crash(leader, None)
-    assert failover_s(world, leader) < FAILOVER_S
+    assert run_until_failover(world, leader) < FAILOVER_S
     assert world.checker.broken == []
 
 
-def test_a_member_whose_mirror_is_late_is_asked_by_the_new_leader() -> None:
-    """Its mirror still names the old leader, so it sends the new one no heartbeat by itself."""
+def test_a_new_leader_requests_the_heartbeat_of_a_member_whose_mirror_is_late() -> None:
+    """Its mirror still names the old leader, so it sends the new one no heartbeat by itself.
+
+    Without the new leader's request, the failover would take longer than the limit below.
+    """
     world = deployment()
     old = world.leader()
     followers = world.nodes[old].standby.status().succession
-    # Watches of the other one come late: the lead's record is in them.
+    # The other follower's watch, which delivers the leader's record, is delayed.
     world.state.late_watches[followers[1]] = 2.5
     world.crash(old, None)
-    assert failover_s(world, old) < 2.0
+    assert run_until_failover(world, old) < 2.0
     new = world.nodes[followers[0]]
     assert world.leader() == followers[0]
     assert followers[1] in new.leader.confirmed()
     assert world.nodes[followers[1]].registration.mirror.leader == old
 
 
-def test_capacity_is_offered_in_a_confirmed_zone_before_the_others() -> None:
+def test_capacity_is_offered_in_confirmed_zones_before_the_others() -> None:
     world = deployment(machines=[{"kind": "small", "zone": z, "count": 3} for z in ZONES])
     old = world.leader()
     first, third = world.nodes[old].standby.status().succession
     committed = world.state.on_commit
 
     def freeze_third(keys: list[str], writer: Writer | None) -> None:
-        """The third hangs from the failover on: its zone stays unconfirmed."""
+        """Freeze the third controller at the failover, so that its zone stays unconfirmed."""
         committed(keys, writer)
         if "c/leader" in keys and world.leader() == first and third not in world.network.frozen:
             world.network.frozen[third] = world.clock.seconds() + 8.0
@@ -425,21 +435,22 @@
     ).offers
     zones = {world.checker.machines[offer.machine][1] for offer in offers}
     assert offers and zones <= leader.confirmed_zones()
-    # Once the time to confirm is over, or the third is back, capacity is offered everywhere.
+    # Once the time limit for confirmation is over or the third responds again, capacity is offered
+    # in all zones.
     world.run(world.clock.seconds() + 10.0)
     assert leader.ready and world.checker.broken == []
 
 
-def test_after_many_failovers_the_next_one_waits_for_the_lease() -> None:
+def test_after_many_failovers_the_next_one_is_delayed_until_the_lease_expires() -> None:
     world = deployment()
     old = world.leader()
     for node in world.nodes.values():
         node.standby.failovers.times = [node.clock.seconds()] * 5
     world.crash(old, None)
-    assert failover_s(world, old) > FAILOVER_S
+    assert run_until_failover(world, old) > FAILOVER_S
 
 
-def test_of_two_that_take_the_lead_at_once_one_gets_it() -> None:
+def test_of_two_simultaneous_candidates_one_is_elected() -> None:
     world = deployment()
     old = world.leader()
     world.crash(old, None)
--- a/tests/test_standby_command.py
+++ b/tests/test_standby_command.py
@@ -1,4 +1,4 @@
-"""What the operators' command prints of the controllers' standby, and its exit statuses."""
+"""The operators' standby command: its output and its exit statuses."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Controllers:
-    """Answers calls by address and path; an address without answers raises NoAnswerError."""
+    """Fake controllers: fixed responses by address and path; NoAnswerError where there is none."""
 
     def __init__(self) -> None:
         self.answers: dict[tuple[str, str], Any] = {}
@@ -55,7 +55,7 @@
     return result.exit_code, result.output
 
 
-def test_status_tells_who_leads_who_follows_and_who_does_not_answer(
+def test_status_shows_the_leader_the_followers_and_missing_responses(
     controllers: Controllers,
 ) -> None:
     controllers.answers = {("rig-0:81", "standby"): LEADING, ("rig-1:81", "standby"): FOLLOWING}
@@ -67,7 +67,7 @@
     )
 
 
-def test_a_leader_that_does_not_decide_yet_is_told_by_the_status(controllers: Controllers) -> None:
+def test_status_shows_a_leader_that_is_still_confirming_members(controllers: Controllers) -> None:
     confirming = {**LEADING, "deciding": False, "succession": []}
     controllers.answers = {("rig-0:81", "standby"): confirming}
     status, printed = run("status")
@@ -75,7 +75,7 @@
     assert "rig-0: leads, and confirms who is alive, term 412, 9 decisions; next: nobody" in printed
 
 
-def test_status_as_json_is_what_the_controllers_answer(controllers: Controllers) -> None:
+def test_status_as_json_contains_the_controllers_responses(controllers: Controllers) -> None:
     controllers.answers = {("rig-0:81", "standby"): LEADING, ("rig-1:81", "standby"): FOLLOWING}
     status, printed = run("status", "--json")
     assert status == 0
@@ -86,7 +86,7 @@
     }
 
 
-def test_a_hand_over_is_asked_of_the_leader(controllers: Controllers) -> None:
+def test_a_hand_over_request_goes_to_the_leader(controllers: Controllers) -> None:
     controllers.answers = {
         ("rig-0:81", "standby"): LEADING,
         ("rig-1:81", "standby"): FOLLOWING,
@@ -96,7 +96,7 @@
     assert controllers.calls[-1] == ("rig-0:81", "hand-over", {"to": "rig-1"})
 
 
-def test_a_hand_over_that_fails_tells_why(controllers: Controllers) -> None:
+def test_a_failed_hand_over_prints_the_reason(controllers: Controllers) -> None:
     assert run("hand-over") == (NOT_DONE, "nobody decides\n")
     controllers.answers = {("rig-0:81", "standby"): LEADING}
     assert run("hand-over") == (NOT_DONE, "rig-0: does not answer: refused\n")
