--- a/src/beamspar/protocol/jobs.py
+++ b/src/beamspar/protocol/jobs.py
@@ -20,7 +20,7 @@
 # The maximum length of a job's class, team and image name, in characters.
 MAX_NAME_LENGTH = 200
 # The maximum number of machine types in a job's list of allowed ones.
-MAX_KINDS = 64
+MAX_MACHINE_TYPES = 64
 
 
 class JobShape(StrEnum):
@@ -169,7 +169,7 @@
     for name, text in (("lane", spec.job_class), ("owner", spec.team), ("crate", spec.image)):
         if not text or len(text) > MAX_NAME_LENGTH:
             raise InvalidInputError(f"{name} is empty or too long")
-    if spec.kinds is not None and len(spec.kinds) > MAX_KINDS:
+    if spec.kinds is not None and len(spec.kinds) > MAX_MACHINE_TYPES:
         raise InvalidInputError("rig_kinds is too long")
 
 
--- a/src/beamspar/settings.py
+++ b/src/beamspar/settings.py
@@ -12,7 +12,7 @@
 # The kind of the objectives that limit the time until a task starts.
 WAIT_OBJECTIVE = "wait"
 # The fewest changes per transaction of the state service with which a controller can work.
-SMALLEST_TXN_OPS = 4
+MIN_TXN_OPS = 4
 
 
 class SettingsError(Exception):
@@ -224,5 +224,5 @@
         raise SettingsError("settings: facts.workers.cancel_s must exceed lease_s")
     for limits in (platform.state, platform.state.smallest):
         smallest_rate_or_size = min(limits.rps, limits.write_rps, limits.value_kb)
-        if limits.txn_ops < SMALLEST_TXN_OPS or smallest_rate_or_size <= 0:
+        if limits.txn_ops < MIN_TXN_OPS or smallest_rate_or_size <= 0:
             raise SettingsError("settings: facts.state limits are too small to work with")
--- a/src/beamspar/standby/command.py
+++ b/src/beamspar/standby/command.py
@@ -20,21 +20,21 @@
 
 NOT_DONE, BAD_SETTINGS = 1, 2
 # Timeouts of a call: a hand-over includes an election, other calls only read state.
-ANSWER_S, HAND_OVER_S = 2.0, 10.0
+STATUS_TIMEOUT_S, HAND_OVER_TIMEOUT_S = 2.0, 10.0
 
 
 class NoAnswerError(Exception):
     """The controller sent no usable response."""
 
 
-def call(address: str, path: str, message: Any, limit_s: float) -> Any:
+def call(address: str, path: str, message: Any, timeout_s: float) -> Any:
     """Send a message to a controller and return its response. Raises NoAnswerError."""
     request = urllib.request.Request(
         f"http://{address}/peer/{path}", data=orjson.dumps(message), method="POST"
     )
     try:
-        with urllib.request.urlopen(request, timeout=limit_s) as answer:
-            return orjson.loads(answer.read())
+        with urllib.request.urlopen(request, timeout=timeout_s) as response:
+            return orjson.loads(response.read())
     except urllib.error.HTTPError as error:
         raise NoAnswerError(f"answers {error.code}: is it turned on there?") from error
     except (OSError, orjson.JSONDecodeError) as error:
@@ -53,8 +53,8 @@
     found: dict[str, StandbyStatus | str] = {}
     for member, address in addresses(settings).items():
         try:
-            answer = call(address, StandbyPath.STATUS, {}, ANSWER_S)
-            found[member] = msgspec.convert(answer, StandbyStatus)
+            response = call(address, StandbyPath.STATUS, {}, STATUS_TIMEOUT_S)
+            found[member] = msgspec.convert(response, StandbyStatus)
         except (NoAnswerError, msgspec.ValidationError) as error:
             found[member] = str(error)
     return found
@@ -63,9 +63,9 @@
 def describe(status: StandbyStatus) -> str:
     """Return the status as one line of text."""
     if status.is_leading:
-        doing = "decides" if status.is_deciding else "leads, and confirms who is alive"
+        state = "decides" if status.is_deciding else "leads, and confirms who is alive"
         order = ", ".join(status.succession) or "nobody"
-        return f"{doing}, term {status.term}, {status.index} decisions; next: {order}"
+        return f"{state}, term {status.term}, {status.index} decisions; next: {order}"
     copied = f"copied up to {status.index} of term {status.term}, lag {status.lag}"
     return f"follows {status.leader or 'nobody'}, {copied}"
 
@@ -116,8 +116,8 @@
         sys.exit(NOT_DONE)
     address = addresses(settings)[leaders[0].member]
     try:
-        raw = call(address, StandbyPath.HAND_OVER, {"to": to}, HAND_OVER_S)
-        reply = msgspec.convert(raw, HandOverReply)
+        response = call(address, StandbyPath.HAND_OVER, {"to": to}, HAND_OVER_TIMEOUT_S)
+        reply = msgspec.convert(response, HandOverReply)
     except (NoAnswerError, msgspec.ValidationError) as error:
         click.echo(f"{leaders[0].member}: {error}", err=True)
         sys.exit(NOT_DONE)
--- a/src/beamspar/transport/connection_limits.py
+++ b/src/beamspar/transport/connection_limits.py
@@ -19,7 +19,7 @@
 # The share of a server's connection limit up to which connections are kept alive between requests.
 # Each further one is closed with its first response, so that a controller that is the only one
 # left, with more workers than sockets, can still respond to every worker.
-KEPT_OPEN_SHARE = 0.8
+KEEP_ALIVE_SHARE = 0.8
 # The path of direct commands to a worker, and the prefix of the paths of calls to peers.
 WORKER_COMMANDS_PATH = "/orders"
 PEER_PATH_PREFIX = "/peer/"
@@ -27,7 +27,7 @@
 
 def may_stay_open(open_connections: int, max_connections: int) -> bool:
     """Return whether a connection is kept alive, given how many were open when it was accepted."""
-    return open_connections < max_connections * KEPT_OPEN_SHARE
+    return open_connections < max_connections * KEEP_ALIVE_SHARE
 
 
 class Sockets(NamedTuple):
--- a/src/beamspar/transport/http_client.py
+++ b/src/beamspar/transport/http_client.py
@@ -20,7 +20,7 @@
 from beamspar.transport.http import Answer
 
 # Maximum number of idle connections that are kept open to one address.
-MAX_IDLE_PER_ADDRESS = 4
+MAX_IDLE_CONNECTIONS_PER_ADDRESS = 4
 # Statuses whose responses have no body, regardless of their headers.
 STATUSES_WITHOUT_BODY = (204, 304)
 
@@ -271,7 +271,7 @@
     def release(self, connection: _Connection) -> None:
         """Keep a connection whose call is complete for the next one, or close it."""
         idle = self._idle.setdefault(connection.address, [])
-        if len(idle) >= MAX_IDLE_PER_ADDRESS:
+        if len(idle) >= MAX_IDLE_CONNECTIONS_PER_ADDRESS:
             connection.transport.loseConnection()
             return
         connection.idle_since = self._clock.seconds()
--- a/src/beamspar/transport/http_server.py
+++ b/src/beamspar/transport/http_server.py
@@ -116,7 +116,7 @@
         self.open_connections = 0
         # Connections rejected since the start, and the clock time of the last warning about them.
         self.rejected_connections = 0
-        self.warned_at = NEVER
+        self.last_warning_at = NEVER
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802
         """Return the protocol of an incoming connection; None rejects it."""
@@ -140,8 +140,8 @@
         """Count a rejected connection; log a warning at most once per `idle_s`."""
         self.rejected_connections += 1
         now = self.clock.seconds()
-        if now - self.warned_at > self.idle_s:
-            self.warned_at = now
+        if now - self.last_warning_at > self.idle_s:
+            self.last_warning_at = now
             log.warn(
                 "connection limit reached with {n} open, {m} connections rejected since the start",
                 n=self.open_connections,
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -12,7 +12,7 @@
 from twisted.internet.threads import deferToThread
 
 from beamspar.transport.clock import spawn
-from beamspar.transport.connection_limits import KEPT_OPEN_SHARE, Sockets
+from beamspar.transport.connection_limits import KEEP_ALIVE_SHARE, Sockets
 from beamspar.transport.http import Answer, Call
 from beamspar.transport.tcp import TcpNet
 
@@ -53,7 +53,7 @@
     return [is_closed for _, is_closed in served], is_rejected
 
 
-def test_connections_beyond_the_kept_open_share_are_closed_after_their_response() -> None:
+def test_connections_beyond_the_keep_alive_share_are_closed_after_their_response() -> None:
     loop: Any = installed
     found: list[tuple[list[bool], bool]] = []
     failed: list[object] = []
@@ -75,6 +75,6 @@
     loop.run(installSignalHandlers=False)
     assert not failed, failed
     closed, is_rejected = found[0]
-    last = int(MAX_CONNECTIONS * KEPT_OPEN_SHARE)
+    last = int(MAX_CONNECTIONS * KEEP_ALIVE_SHARE)
     assert closed == [False] * last + [True] * (MAX_CONNECTIONS + 4 - last)
     assert is_rejected
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -15,7 +15,7 @@
 
 from beamspar.transport.connection_limits import Sockets
 from beamspar.transport.http import Answer, CallFailedError
-from beamspar.transport.http_client import MAX_IDLE_PER_ADDRESS
+from beamspar.transport.http_client import MAX_IDLE_CONNECTIONS_PER_ADDRESS
 from beamspar.transport.tcp import TcpNet
 
 ADDRESS = "10.0.0.1:80"
@@ -222,13 +222,15 @@
 def test_idle_connections_are_limited_in_number_and_time() -> None:
     peer = Peer()
     calls = []
-    for _ in range(MAX_IDLE_PER_ADDRESS + 2):
+    for _ in range(MAX_IDLE_CONNECTIONS_PER_ADDRESS + 2):
         calls.append(peer.call())
         peer.open()
     for protocol, _ in peer.opened:
         protocol.dataReceived(OK)
     assert all(result == [Answer(200, b"body")] for result in calls)
-    assert [t.disconnecting for _, t in peer.opened] == [False] * MAX_IDLE_PER_ADDRESS + [True] * 2
+    assert [t.disconnecting for _, t in peer.opened] == [
+        False
+    ] * MAX_IDLE_CONNECTIONS_PER_ADDRESS + [True] * 2
     peer.reactor.advance(IDLE_S * 2)
     assert all(t.disconnecting for _, t in peer.opened)
 
