--- a/src/beamspar/standby/probes.py
+++ b/src/beamspar/standby/probes.py
@@ -30,7 +30,7 @@
             body = await self._context.send(member, HEALTH_PROBE_PATH, {}, timeout_s)
             decode(body, HealthProbeResponse)
         except (CallFailedError, ValueError) as error:
-            log.debug("health probe of {member} failed: {error}", member=member, error=error)
+            log.debug("{member} did not respond to a probe: {error}", member=member, error=error)
             return False
         return True
 
