--- a/src/beamspar/standby/command.py
+++ b/src/beamspar/standby/command.py
@@ -1,7 +1,7 @@
-"""The operators' command: who leads, who follows, and handing the lead over.
+"""The operators' command: show which controller leads or follows, and hand the lead over.
 
-It calls the controllers at their addresses for peers, which the settings file names. Exit statuses:
-0 done, 1 nobody leads or the lead was not handed over, 2 bad settings or usage.
+It calls the controllers at their peer addresses, which the settings file lists. Exit statuses:
+0 done, 1 no controller leads or the lead was not handed over, 2 invalid settings or usage.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 from beamspar.standby.messages import HandOverReply, StandbyPath, StandbyStatus
 
 NOT_DONE, BAD_SETTINGS = 1, 2
-# Limits of a call: a hand-over has an election in it, the answer to a question much less.
-ANSWER_S, HAND_OVER_S = 2.0, 10.0
+# Timeouts of a call: a hand-over includes an election, other calls only read state.
+STATUS_TIMEOUT_S, HAND_OVER_TIMEOUT_S = 2.0, 10.0
 
 
 class NoAnswerError(Exception):
-    """The controller gave no usable answer."""
+    """The controller sent no usable response."""
 
 
-def call(address: str, path: str, message: Any, limit_s: float) -> Any:
-    """Send a message to a controller and return its answer. Raises NoAnswerError."""
+def call(address: str, path: str, message: Any, timeout_s: float) -> Any:
+    """Send a message to a controller and return its response. Raises NoAnswerError."""
     request = urllib.request.Request(
         f"http://{address}/peer/{path}", data=orjson.dumps(message), method="POST"
     )
     try:
-        with urllib.request.urlopen(request, timeout=limit_s) as answer:
-            return orjson.loads(answer.read())
+        with urllib.request.urlopen(request, timeout=timeout_s) as response:
+            return orjson.loads(response.read())
     except urllib.error.HTTPError as error:
         raise NoAnswerError(f"answers {error.code}: is it turned on there?") from error
     except (OSError, orjson.JSONDecodeError) as error:
@@ -42,30 +42,30 @@
 
 
 def addresses(settings: Settings) -> dict[str, str]:
-    """Every controller's address for peers."""
+    """Return the peer address of every controller."""
     found = {settings.member: settings.peer_bind}
     found.update({peer.member: peer.peer_addr for peer in settings.peers})
     return dict(sorted(found.items()))
 
 
 def statuses(settings: Settings) -> dict[str, StandbyStatus | str]:
-    """Each controller's status, or why it has not answered."""
+    """Return each controller's status, or the reason why it sent none."""
     found: dict[str, StandbyStatus | str] = {}
     for member, address in addresses(settings).items():
         try:
-            answer = call(address, StandbyPath.STATUS, {}, ANSWER_S)
-            found[member] = msgspec.convert(answer, StandbyStatus)
+            response = call(address, StandbyPath.STATUS, {}, STATUS_TIMEOUT_S)
+            found[member] = msgspec.convert(response, StandbyStatus)
         except (NoAnswerError, msgspec.ValidationError) as error:
             found[member] = str(error)
     return found
 
 
 def describe(status: StandbyStatus) -> str:
-    """One line for people."""
+    """Return the status as one line of text."""
     if status.is_leading:
-        doing = "decides" if status.is_deciding else "leads, and confirms who is alive"
+        state = "decides" if status.is_deciding else "leads, and confirms who is alive"
         order = ", ".join(status.succession) or "nobody"
-        return f"{doing}, term {status.term}, {status.index} decisions; next: {order}"
+        return f"{state}, term {status.term}, {status.index} decisions; next: {order}"
     copied = f"copied up to {status.index} of term {status.term}, lag {status.lag}"
     return f"follows {status.leader or 'nobody'}, {copied}"
 
@@ -116,8 +116,8 @@
         sys.exit(NOT_DONE)
     address = addresses(settings)[leaders[0].member]
     try:
-        raw = call(address, StandbyPath.HAND_OVER, {"to": to}, HAND_OVER_S)
-        reply = msgspec.convert(raw, HandOverReply)
+        response = call(address, StandbyPath.HAND_OVER, {"to": to}, HAND_OVER_TIMEOUT_S)
+        reply = msgspec.convert(response, HandOverReply)
     except (NoAnswerError, msgspec.ValidationError) as error:
         click.echo(f"{leaders[0].member}: {error}", err=True)
         sys.exit(NOT_DONE)
