--- a/src/beamspar/quota/__init__.py
+++ b/src/beamspar/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Team quotas: allocations by partition, their use, and preemption at the quota."""
+"""Team quotas: allocations by partition, their usage, and preemption at the quota."""
--- a/src/beamspar/quota/allocation_planner.py
+++ b/src/beamspar/quota/allocation_planner.py
@@ -1,4 +1,7 @@
-"""Which allocations of our partitions should be written. It reads only: no clock, no writes."""
+"""Determines which allocations of this controller's partitions should be written.
+
+It only reads: no clock, no writes.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 
 
 class AllocationPlanner:
-    """Compares the records with what our partitions use and request."""
+    """Compares the records with what this controller's partitions use and request."""
 
     def __init__(
         self,
@@ -39,45 +42,48 @@
         self._owns = owns
 
     def needs_write(self, team: str) -> bool:
-        """Is the team's record to be written, and may it be?"""
+        """Return whether the team's record should be written, and may be."""
         quota = self._records.read(team)
         if not self._is_writable(quota):
             return False
         return self.is_indeterminate(team) or any(
-            self.differs(team, partition, quota) for partition in self.partitions_of(team)
+            self.needs_update(team, partition, quota) for partition in self.partitions_of(team)
         )
 
     def partitions_of(self, team: str) -> list[str]:
-        """Our partitions that have or want an allocation of the team's quota."""
+        """Return this controller's partitions that have or request an allocation of the team."""
         allocated = self._records.read(team).raw
         partitions = {*allocated, *self._requests.partitions_of(team)}
         return sorted(partition for partition in partitions if self._owns(partition))
 
-    def differs(self, team: str, partition: str, quota: TeamQuota) -> bool:
-        """Should our partition's entry be another than it is?"""
+    def needs_update(self, team: str, partition: str, quota: TeamQuota) -> bool:
+        """Return whether the stored entry of the partition differs from the desired one."""
         allocation = self.desired(team, partition, quota)
         if partition in quota.unreadable:
             return True
         return allocation != quota.allocations.get(partition)
 
     def desired(self, team: str, partition: str, quota: TeamQuota) -> Allocation | None:
-        """What our partition's entry should be; None for no entry."""
+        """Return the entry that the partition should have; None for no entry."""
         key = AllocationKey(partition, team)
         used = self._usage.used_by(key)
         requests = self._requests.requests_of(key)
         is_former = partition != self._registration.partition
         if is_former and not requests and max(used) <= EPS:
-            # An earlier incarnation's partition accepts no new jobs: when nothing of it uses
-            # anything its entry goes, or one more would stay with every restart.
+            # The partition of an earlier incarnation accepts no new jobs. Its entry is removed once
+            # its usage is zero, or each restart would leave one more entry behind.
             return None
         return desired_allocation(
             self._teams[team], partition, quota, used, requests, self._controllers
         )
 
     def is_indeterminate(self, team: str) -> bool:
-        """Is there a write without an answer that only another one will settle?"""
+        """Return whether there is an indeterminate write that only another write can resolve."""
         return self._indeterminate_writes.is_indeterminate(team, self._owns)
 
     def _is_writable(self, quota: TeamQuota) -> bool:
-        """Is it known what all others have? Each owner mends its own entries."""
+        """Return whether the allocations of all other owners are known.
+
+        Each owner rewrites malformed entries of its own partitions.
+        """
         return quota.is_readable and all(self._owns(name) for name in quota.unreadable)
--- a/src/beamspar/quota/allocation_requests.py
+++ b/src/beamspar/quota/allocation_requests.py
@@ -1,4 +1,4 @@
-"""Requests for allocations: which tasks of our jobs wait for more of their team's quota."""
+"""Requests for allocations: the tasks of this controller's jobs that wait for more quota."""
 
 from __future__ import annotations
 
@@ -7,43 +7,43 @@
 from beamspar.quota.allocations import AllocationKey
 from beamspar.quota.fair_share import AllocationRequest
 
-# Below every rank of work.
+# Lower than every rank of work.
 LOWEST_RANK = 99
 
 
 class AllocationRequests:
-    """Owns the requests of our jobs, by partition and team.
+    """Owns the requests of this controller's jobs, by partition and team.
 
     A partition whose last request was served stays listed until the next `expire`.
     """
 
     def __init__(self) -> None:
         self._requests: dict[AllocationKey, dict[str, AllocationRequest]] = {}
-        # The highest rank (from 0) among the requests, where it is known.
+        # Cache of the highest rank (from 0) among the requests.
         self._highest_rank: dict[AllocationKey, int] = {}
 
     def request_of(self, key: AllocationKey, job: str) -> AllocationRequest | None:
-        """The job's request, if it has one."""
+        """Return the job's request, if it has one."""
         return self._requests.get(key, {}).get(job)
 
     def requests_of(self, key: AllocationKey) -> list[AllocationRequest]:
-        """All requests of the partition for this team's quota."""
+        """Return all requests of the partition for this team's quota."""
         return list(self._requests.get(key, {}).values())
 
     def partitions_of(self, team: str) -> Iterator[str]:
-        """Partitions that are listed for the team's quota."""
+        """Return the partitions that are listed for the team's quota."""
         return (key.partition for key in self._requests if key.team == team)
 
     def is_listed(self, team: str) -> bool:
-        """Is any partition listed for the team's quota?"""
+        """Return whether any partition is listed for the team's quota."""
         return any(key.team == team for key in self._requests)
 
     def is_waiting(self, key: AllocationKey) -> bool:
-        """Does work of the partition wait for more of the team's quota?"""
+        """Return whether work of the partition waits for more of the team's quota."""
         return bool(self._requests.get(key))
 
     def other_job_waits(self, team: str, job: str) -> bool:
-        """Does another job than this one wait for more of the team's quota?"""
+        """Return whether a job other than this one waits for more of the team's quota."""
         return any(
             other != job
             for key, requests in self._requests.items()
@@ -52,20 +52,20 @@
         )
 
     def highest_rank(self, key: AllocationKey) -> int:
-        """The highest rank (from 0) among the requests of a partition."""
-        known = self._highest_rank.get(key)
-        if known is None:
+        """Return the highest rank (from 0) among the requests of a partition."""
+        highest = self._highest_rank.get(key)
+        if highest is None:
             ranks = [request.rank for request in self._requests.get(key, {}).values()]
-            known = self._highest_rank[key] = min(ranks, default=LOWEST_RANK)
-        return known
+            highest = self._highest_rank[key] = min(ranks, default=LOWEST_RANK)
+        return highest
 
     def put(self, key: AllocationKey, job: str, request: AllocationRequest) -> None:
-        """Note the job's request, in place of an earlier one."""
+        """Store the job's request, replacing an earlier one."""
         self._requests.setdefault(key, {})[job] = request
         self._highest_rank[key] = min(request.rank, self.highest_rank(key))
 
-    def served(self, key: AllocationKey, job: str, tasks: int) -> None:
-        """So many tasks of the job were bound: its request, if it has one, is less by them."""
+    def reduce(self, key: AllocationKey, job: str, tasks: int) -> None:
+        """Reduce the job's request, if it has one, by this many tasks that were bound."""
         requests = self._requests.get(key, {})
         if job not in requests:
             return
@@ -85,7 +85,7 @@
                 del self._requests[key]
 
     def forget(self, partition: str) -> None:
-        """The partition has another owner now."""
+        """Drop the requests of a partition that has another owner now."""
         for key in [key for key in self._requests if key.partition == partition]:
             del self._requests[key]
             self._highest_rank.pop(key, None)
--- a/src/beamspar/quota/allocation_writer.py
+++ b/src/beamspar/quota/allocation_writer.py
@@ -1,4 +1,4 @@
-"""Writes the allocations of our partitions into the teams' records."""
+"""Writes the allocations of this controller's partitions into the teams' records."""
 
 from __future__ import annotations
 
@@ -29,22 +29,22 @@
 
 
 class ProposedWrite(msgspec.Struct, frozen=True):
-    """One compare-and-swap of a team's record."""
+    """A compare-and-swap of a team's record."""
 
     team: str
     conditions: dict[str, int]
     record: dict[str, Any]
-    # Is there anything to write?
+    # Whether there is anything to write.
     is_change: bool
-    # What it leaves our partitions if it is applied.
+    # The allocations of this controller's partitions if the write is applied.
     allocations: list[tuple[AllocationKey, IndeterminateWrite]]
 
 
 class AllocationWriter:
-    """Checks and writes the teams' records, one write of a record at a time.
+    """Checks and writes the teams' records, with at most one write of each record in flight.
 
-    Every change of a record is a compare-and-swap on its version, on the fence of our incarnation
-    and on our ownership of the partitions: so the allocations never exceed the quota.
+    Every change of a record is a compare-and-swap on its version, on the fence of this incarnation
+    and on the ownership of the partitions, so the allocations never exceed the quota.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
     ) -> None:
         self._registration = registration
         self._state = state
-        # Partitions of one transaction: each is a condition.
+        # Limit of partitions in one transaction, as each adds a condition.
         self._max_partitions = max_partitions
         self._records = records
         self._planner = planner
@@ -70,16 +70,16 @@
         self._scheduled: set[str] = set()
 
     def schedule_check(self, team: str) -> None:
-        """Check a team's record once for all requests of this turn of the event loop.
+        """Check a team's record once for all requests of this iteration of the event loop.
 
-        Each check goes through all of them, and after a restart hundreds of jobs request at once.
+        Each check reads all requests, and after a restart hundreds of jobs request at once.
         """
         if team not in self._scheduled:
             self._scheduled.add(team)
             self._registration.clock.callLater(0, self._check_scheduled, team)
 
     def check(self, team: str) -> None:
-        """Write the team's record if it is to be written."""
+        """Start a write of the team's record if it is needed."""
         if self._planner.needs_write(team):
             self._start_write(team)
 
@@ -93,17 +93,26 @@
             spawn(self._write(team), f"quota of {team}")
 
     async def _write(self, team: str) -> None:
-        """One compare-and-swap: our allocations down or up to what we need."""
+        """Lower or raise this controller's allocations to what it needs, in one transaction."""
         write = self._propose(team)
         try:
             if write.is_change:
                 await self._store(write)
         except OutcomeUnknownError as error:
-            # It may still be applied: its allocations are indeterminate until the record moves on.
-            log.info("quota of {team}: write is indeterminate: {error}", team=team, error=error)
+            # The write may still be applied: until the record has a newer version it counts as
+            # indeterminate.
+            log.info(
+                "quota of {team}: outcome of a write is unknown, will write again: {error}",
+                team=team,
+                error=error,
+            )
             return
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
-            log.info("quota of {team}: write failed: {error}", team=team, error=error)
+            log.info(
+                "quota of {team}: write failed, will retry if still needed: {error}",
+                team=team,
+                error=error,
+            )
         finally:
             self._writing.discard(team)
         for key, allocation in write.allocations:
@@ -115,32 +124,32 @@
         before = after = self._records.read(team)
         registration = self._registration
         conditions = {**registration.fence_condition(), keys.team_quota(team): before.version}
-        must_settle = self._planner.is_indeterminate(team)
+        must_resolve = self._planner.is_indeterminate(team)
         allocations: list[tuple[AllocationKey, IndeterminateWrite]] = []
         for partition in self._partitions_to_write(team, before):
             desired = self._planner.desired(team, partition, after)
             conditions.update(registration.mirror.partition_condition(partition))
             after = after.with_allocation(partition, desired)
-            # Until the outcome is known, the lower of both allocations holds, and of all before
-            # whose outcome is not known yet.
+            # Until the outcome is known, only the lowest of the stored allocation, this one and
+            # those of all earlier indeterminate writes may be used.
             key = AllocationKey(partition, team)
             pending = IndeterminateWrite(before.version, (desired or Allocation()).amounts)
             allocations.append((key, pending))
             self._indeterminate_writes.add(key, pending)
-        is_change = must_settle or after.raw != before.raw
+        is_change = must_resolve or after.raw != before.raw
         return ProposedWrite(team, conditions, after.raw, is_change, allocations)
 
     def _partitions_to_write(self, team: str, quota: TeamQuota) -> list[str]:
-        """As many of our partitions as one transaction has conditions for, sorted.
+        """Return as many partitions as one transaction has conditions for, sorted by name.
 
-        Those that change go first, the others wait for the next write.
+        Those whose entries change are taken first; the others are left to the next write.
         """
         partitions = self._planner.partitions_of(team)
-        partitions.sort(key=lambda name: (not self._planner.differs(team, name, quota), name))
+        partitions.sort(key=lambda name: (not self._planner.needs_update(team, name, quota), name))
         return sorted(partitions[: self._max_partitions])
 
     async def _store(self, write: ProposedWrite) -> None:
-        """Raises what `transact` raises."""
+        """Send the write and apply it to the mirror; raises what `transact` raises."""
         key = keys.team_quota(write.team)
         revision = await self._state.transact(
             write.conditions, [put(key, write.record)], RequestPriority.PLACEMENT
--- a/src/beamspar/quota/allocations.py
+++ b/src/beamspar/quota/allocations.py
@@ -1,8 +1,8 @@
 """The stored record of a team's quota: its allocations to the job partitions.
 
-`c/budget/<team>` maps partitions to lists of numbers: CPUs and accelerators of the allocation;
-while work of the partition waits for more, also its rank (from 1), the CPUs and accelerators that
-it lacks, and the revision at which it was served last, which the first release does not write.
+`c/budget/<team>` maps partitions to lists of numbers: the CPUs and accelerators of the allocation
+and, while work of the partition waits for more, its rank (from 1), the CPUs and accelerators that
+it lacks, and the revision at which it was served last. The first release does not write the last.
 """
 
 from __future__ import annotations
@@ -13,41 +13,42 @@
 from beamspar.quota.amounts import EPS, Amounts, quota_of
 from beamspar.settings import Team
 
-# Lengths of a stored entry: the allocation alone, with what lacks, and with when it was served.
+# Lengths of a stored entry: the allocation alone, with rank and lacking amounts of pending work,
+# and with the revision at which that work was served last.
 ALLOCATION_LENGTH, LACKING_LENGTH, SERVED_LENGTH = 2, 5, 6
 
 
 class AllocationKey(NamedTuple):
-    """Names one allocation: the partition that has it, of this team's quota."""
+    """Identifies an allocation: the partition that holds it, and the team whose quota it is of."""
 
     partition: str
     team: str
 
 
 class Allocation(NamedTuple):
-    """What one partition may use, and what work of it waits for."""
+    """What one partition may use, and what its pending work lacks."""
 
     cpus: float = 0.0
     gpus: float = 0.0
-    # The rank (from 1) of the highest work that waits; 0 when none does.
+    # The highest rank (from 1) of pending work; 0 when none waits.
     waiting_rank: int = 0
     lacking_cpus: float = 0.0
     lacking_gpus: float = 0.0
-    # None where an entry of the first release does not tell.
+    # None in entries of the first release, which does not store it.
     served_revision: int | None = None
 
     @property
     def amounts(self) -> Amounts:
-        """What the partition may use."""
+        """The amounts that the partition may use."""
         return Amounts(self.cpus, self.gpus)
 
     @property
     def lacking(self) -> Amounts:
-        """What the waiting work lacks."""
+        """The amounts that the pending work lacks."""
         return Amounts(self.lacking_cpus, self.lacking_gpus)
 
     def to_stored(self) -> list[float | int]:
-        """The entry in its stored form."""
+        """Return the entry in its stored form."""
         if not self.waiting_rank:
             return [*self.amounts]
         served = [] if self.served_revision is None else [self.served_revision]
@@ -55,7 +56,7 @@
 
 
 def parse_allocation(value: Any) -> Allocation | None:
-    """A stored entry; None when it is not one."""
+    """Parse a stored entry; return None if it is malformed."""
     if not isinstance(value, list | tuple):
         return None
     if len(value) < ALLOCATION_LENGTH or not all(_is_amount(part) for part in value):
@@ -80,15 +81,15 @@
 
 
 class TeamQuota:
-    """A team's record, read at one version; it is not changed after that."""
+    """A team's record at one version; instances are not changed."""
 
     def __init__(self, value: Any, version: int) -> None:
         self.version = version
-        # What the record holds, entries that can't be read included.
+        # The entries as they are stored, including malformed ones.
         self.raw: dict[str, Any] = dict(value) if isinstance(value, dict) else {}
         self.is_readable = isinstance(value, dict)
         self.allocations: dict[str, Allocation] = {}
-        # Partitions whose entries can't be read.
+        # Partitions whose entries are malformed.
         self.unreadable: set[str] = set()
         for partition, entry in self.raw.items():
             allocation = parse_allocation(entry)
@@ -102,11 +103,11 @@
         )
 
     def allocation_of(self, partition: str) -> Allocation:
-        """The partition's allocation; nothing when it has none."""
+        """Return the partition's allocation; an empty one if it has no entry."""
         return self.allocations.get(partition, Allocation())
 
     def available_to(self, partition: str, team: Team) -> Amounts:
-        """What the other partitions leave of the quota; infinite where there is none."""
+        """Return what the other partitions leave of the quota; infinite where it has no limit."""
         own = self.allocation_of(partition).amounts
         cpus, gpus = (
             limit - (total - part) if limit else math.inf
@@ -115,14 +116,14 @@
         return Amounts(cpus, gpus)
 
     def exceeds_quota(self, team: Team) -> bool:
-        """Do the allocations sum up to more than the team's quota?"""
+        """Return whether the allocations add up to more than the team's quota."""
         return any(
             limit and total > limit + EPS
             for limit, total in zip(quota_of(team), self.total, strict=True)
         )
 
     def waiting_elsewhere(self, partition: str) -> list[tuple[str, Allocation]]:
-        """Other partitions whose work waits for more, and their allocations."""
+        """Return the other partitions that have pending work, and their allocations."""
         return [
             (name, allocation)
             for name, allocation in self.allocations.items()
@@ -130,7 +131,7 @@
         ]
 
     def with_allocation(self, partition: str, allocation: Allocation | None) -> TeamQuota:
-        """The record with another entry for the partition, or with none."""
+        """Return a copy of the record in which the partition has this entry, or none."""
         raw = {name: entry for name, entry in self.raw.items() if name != partition}
         if allocation is not None:
             raw[partition] = allocation.to_stored()
--- a/src/beamspar/quota/amounts.py
+++ b/src/beamspar/quota/amounts.py
@@ -1,4 +1,4 @@
-"""Amounts of CPUs and accelerators: what a quota limits."""
+"""Amounts of CPUs and accelerators, the resources that a quota limits."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from beamspar.settings import Team
 
-# Sums of fractions of CPUs are equal up to this.
+# Tolerance when sums of fractional CPUs are compared.
 EPS = 1e-6
 
 
@@ -17,16 +17,16 @@
     gpus: float
 
     def plus_tasks(self, tasks: int, cpus: float, gpus: float) -> Amounts:
-        """These amounts and those of so many tasks of this size."""
+        """Return these amounts plus those of this many tasks of this size."""
         return Amounts(self.cpus + tasks * cpus, self.gpus + tasks * gpus)
 
     def __str__(self) -> str:
         return f"({self.cpus}, {self.gpus})"
 
 
-NOTHING = Amounts(0.0, 0.0)
+NO_AMOUNTS = Amounts(0.0, 0.0)
 
 
 def quota_of(team: Team) -> Amounts:
-    """The most that the team may use; 0 where it is not limited."""
+    """Return the most that the team may use; 0 where it is not limited."""
     return Amounts(team.cpus_max, team.gpus_max)
--- a/src/beamspar/quota/fair_share.py
+++ b/src/beamspar/quota/fair_share.py
@@ -1,6 +1,6 @@
-"""What a partition's allocation of its team's quota should be.
+"""Computes the allocation of its team's quota that a partition should have.
 
-Decisions only: no clock, no writes.
+Pure functions: they read no clock and write nothing.
 """
 
 from __future__ import annotations
@@ -10,54 +10,55 @@
 from typing import NamedTuple
 
 from beamspar.quota.allocations import Allocation, TeamQuota
-from beamspar.quota.amounts import EPS, NOTHING, Amounts, quota_of
+from beamspar.quota.amounts import EPS, NO_AMOUNTS, Amounts, quota_of
 from beamspar.settings import Team
 
-# Digits after the point in stored amounts, and in what the highest rank lacks.
+# Decimal places of stored allocations, and of the amounts that work of the highest rank lacks.
 ALLOCATION_DIGITS, LACKING_DIGITS = 6, 3
-# The part of what is left that a partition is allocated ahead of need, per controller.
+# Share of the unallocated quota that a partition is allocated ahead of need, divided by the number
+# of controllers.
 SLACK = 0.5
-# The highest rank, as `waiting_rank` counts them.
+# The highest rank as a `waiting_rank`, which counts from 1.
 HIGHEST_WAITING_RANK = 1
 
 
 class AllocationRequest(NamedTuple):
-    """Tasks of one job that wait for an allocation. Requests sort by who is served first."""
+    """Tasks of one job that wait for an allocation; requests sort in the order of service."""
 
     rank: int
-    # The revision at which the job was served last: at its rank the lowest is first.
+    # The revision at which the job was served last; within a rank the lowest is served first.
     served_revision: int
     cpus: float
     gpus: float
     tasks: int
-    # It expires unless repeated: a stale one would keep an allocation unused.
+    # It expires unless it is repeated, as a stale request would keep an allocation unused.
     expires_at: float
-    # All of these tasks start together, so less than all is of no use.
+    # All of these tasks start together, so an allocation for only some is of no use.
     is_all_or_nothing: bool
 
 
 class WaitingOrder(NamedTuple):
-    """Where waiting work stands: the lowest is served first."""
+    """Position of pending work in the order of service: the lowest is served first."""
 
-    # From 0.
+    # Counted from 0.
     rank: int
     served_revision: int
     partition: str
 
 
 class AllocationDecision(NamedTuple):
-    """What a partition is to have for its use and its requests."""
+    """What a partition needs for its usage and its requests."""
 
     needed: Amounts
-    # Of the highest work that waits: its rank (from 1; 0 when none waits), what it lacks, and
-    # when it was served.
+    # The highest rank of pending work (from 1; 0 when none waits), and of the work of that rank
+    # what it lacks and the revision at which it was served last.
     waiting_rank: int
     lacking: Amounts
     served_revision: int
 
     @property
-    def is_met(self) -> bool:
-        """Is there enough for all requests?"""
+    def is_satisfied(self) -> bool:
+        """Whether the available quota covers all requests."""
         return not self.waiting_rank
 
 
@@ -69,31 +70,31 @@
     requests: list[AllocationRequest],
     controllers: int,
 ) -> Allocation | None:
-    """The partition's entry in the team's record; None for no entry.
+    """Return the entry that the partition should have in the team's record; None for no entry.
 
-    Nothing is given back while nobody asks for it, and all that lies unused as soon as somebody
-    does. An allocation is never raised above what the others leave of the quota.
+    An unused allocation is kept while no other partition waits for quota, and released as soon as
+    one does. An allocation is never raised above what the other partitions leave of the quota.
     """
     current = quota.allocation_of(partition).amounts
     available = quota.available_to(partition, team)
     decision = _decide(partition, quota, used, requests, available)
     needed = decision.needed
-    if decision.is_met and not quota.waiting_elsewhere(partition):
+    if decision.is_satisfied and not quota.waiting_elsewhere(partition):
         needed = _with_slack(team, needed, available, current, controllers if requests else 0)
     cpus, gpus = (
         round(min(max(wanted, have), max(left, old)), ALLOCATION_DIGITS)
         for wanted, have, left, old in zip(needed, used, available, current, strict=True)
     )
-    if decision.is_met:
+    if decision.is_satisfied:
         return Allocation(cpus, gpus) if cpus or gpus else None
     lacking = _stored_lacking(decision)
     return Allocation(cpus, gpus, decision.waiting_rank, *lacking, decision.served_revision)
 
 
-def waits_before(partition: str, allocation: Allocation, other: WaitingOrder) -> bool:
-    """Has the partition's waiting work waited longer than other work of its rank, or of a lower?
+def has_precedence(partition: str, allocation: Allocation, other: WaitingOrder) -> bool:
+    """Return whether the partition's pending work is served before the other work.
 
-    The first release does not tell when its work was served; that never comes first.
+    The first release does not store when its work was served last; such work never goes first.
     """
     if allocation.served_revision is None or not allocation.waiting_rank:
         return False
@@ -107,17 +108,17 @@
     requests: Iterable[AllocationRequest],
     available: Amounts,
 ) -> AllocationDecision:
-    """The use and as much of the requests as the quota has left.
+    """Return the usage plus as much of the requests as the available quota covers.
 
-    A request that can't be met whole gets whole tasks: a part of a task is of no use here, and
-    may be elsewhere.
+    A request that can't be met in full gets a whole number of tasks: quota for part of a task is
+    of no use here, but may be in another partition.
     """
-    needed, lacking = used, NOTHING
+    needed, lacking = used, NO_AMOUNTS
     waiting_rank = served_revision = 0
     for request in sorted(requests):
-        # What preempted lower work has left is not for other lower work to use again, nor what
-        # others have left for those that wait longer.
-        is_deferred = _is_after_others(request, partition, quota) or (
+        # Quota that was freed by preempting work of a lower rank must not go to other work of a
+        # lower rank, nor quota that others released for work that has waited longer.
+        is_deferred = _is_preceded_by_others(request, partition, quota) or (
             waiting_rank > 0 and request.is_all_or_nothing
         )
         fitting = 0 if is_deferred else _fitting_tasks(request, needed, available)
@@ -131,11 +132,11 @@
     return AllocationDecision(needed, waiting_rank, lacking, served_revision)
 
 
-def _is_after_others(request: AllocationRequest, partition: str, quota: TeamQuota) -> bool:
-    """Does another partition's work come before this request?"""
+def _is_preceded_by_others(request: AllocationRequest, partition: str, quota: TeamQuota) -> bool:
+    """Return whether pending work of another partition is served before this request."""
     order = WaitingOrder(request.rank, request.served_revision, partition)
     return any(
-        allocation.waiting_rank <= request.rank or waits_before(name, allocation, order)
+        allocation.waiting_rank <= request.rank or has_precedence(name, allocation, order)
         for name, allocation in quota.waiting_elsewhere(partition)
     )
 
@@ -152,9 +153,10 @@
 def _with_slack(
     team: Team, needed: Amounts, available: Amounts, current: Amounts, controllers: int
 ) -> Amounts:
-    """What is needed, and while there is plenty more than that.
+    """Return the needed amounts plus a part of the quota that is left.
 
-    What is allocated already is kept then, and some more saves a write per task.
+    The present allocation is kept as far as it is available, and the slack avoids a write of the
+    record for each task.
     """
     found = list(needed)
     for i, limit in enumerate(quota_of(team)):
@@ -166,9 +168,10 @@
 
 
 def _stored_lacking(decision: AllocationDecision) -> Amounts:
-    """What the waiting work lacks, as the record says it: exact for the highest rank only.
+    """Return what the pending work lacks as it is stored: exact for the highest rank only.
 
-    Arrays start and end tasks all the time: a write for each would be too many.
+    Other amounts are rounded up to a power of two: arrays start and end tasks all the time, and a
+    write for each task would be too many.
     """
     is_exact = decision.waiting_rank == HIGHEST_WAITING_RANK
     cpus, gpus = (
--- a/src/beamspar/quota/indeterminate_writes.py
+++ b/src/beamspar/quota/indeterminate_writes.py
@@ -1,4 +1,4 @@
-"""Writes of allocations whose outcome is unknown, and what is certain in spite of them."""
+"""Writes of allocations whose outcome is unknown, and what may be used despite them."""
 
 from __future__ import annotations
 
@@ -10,35 +10,36 @@
 
 
 class IndeterminateWrite(NamedTuple):
-    """An allocation that a write without an answer may have left us, on top of this version."""
+    """An allocation that a write without a reply may have stored, on top of this version."""
 
     base_version: int
     amounts: Amounts
 
 
 class IndeterminateWrites:
-    """Owns the writes whose outcome is not known, by partition and team.
+    """Owns the writes whose outcome is unknown, by partition and team.
 
-    The lowest of these allocations holds until the record has moved on: then each write that was
-    made on top of an older version is in the mirror or can't be applied any more.
+    Only the lowest of these allocations may be used until the mirror has a newer version of the
+    record: then each write on top of an older version is in the mirror or can't be applied any
+    more.
     """
 
     def __init__(self) -> None:
         self._writes: dict[AllocationKey, list[IndeterminateWrite]] = {}
 
     def add(self, key: AllocationKey, write: IndeterminateWrite) -> None:
-        """A write is about to be sent."""
+        """Add a write that is about to be sent."""
         self._writes.setdefault(key, []).append(write)
 
     def resolve(self, key: AllocationKey, write: IndeterminateWrite) -> None:
-        """The outcome of the write is known."""
+        """Remove a write whose outcome is known."""
         if write in self._writes.get(key, ()):
             self._writes[key].remove(write)
             if not self._writes[key]:
                 del self._writes[key]
 
     def resolve_older(self, team: str, version: int) -> None:
-        """The team's record has moved on to this version."""
+        """Remove the writes on top of versions of the team's record older than this one."""
         for key, writes in list(self._writes.items()):
             if key.team == team:
                 writes[:] = [write for write in writes if write.base_version >= version]
@@ -46,7 +47,7 @@
                     del self._writes[key]
 
     def certain_amounts(self, key: AllocationKey, quota: TeamQuota) -> Amounts:
-        """What the partition may use for certain, whatever became of these writes."""
+        """Return what the partition may use whichever of these writes were applied."""
         amounts = quota.allocation_of(key.partition).amounts
         for write in self._writes.get(key, ()):
             if write.base_version == quota.version:
@@ -56,10 +57,10 @@
         return amounts
 
     def is_indeterminate(self, team: str, owns: Callable[[str], bool]) -> bool:
-        """Is there a write, of a partition that we own, that only another one will settle?"""
+        """Return whether a write of an owned partition is left that only another can resolve."""
         return any(key.team == team and owns(key.partition) for key in self._writes)
 
     def forget(self, partition: str) -> None:
-        """The partition has another owner now."""
+        """Drop the writes of a partition that has another owner now."""
         for key in [key for key in self._writes if key.partition == partition]:
             del self._writes[key]
--- a/src/beamspar/quota/quota_manager.py
+++ b/src/beamspar/quota/quota_manager.py
@@ -1,9 +1,9 @@
-"""Team quotas across all controllers: each partition's allocation of them, and its use.
+"""Team quotas across all controllers: the allocation of each job partition, and its usage.
 
-The allocations in a team's record never sum up to more than the quota, whoever fails or lags,
-because every change of the record is a compare-and-swap. An allocation moves with its partition.
-What a partition uses is what its stored job records may bind (`quota_usage`), so a new
-owner finds nothing bound beyond the allocation.
+The allocations in a team's record never add up to more than the quota, whichever controllers fail
+or lag, because every change of the record is a compare-and-swap. An allocation moves with its
+partition. The usage of a partition is what its stored job records may bind (`quota_usage`), so a
+new owner finds nothing bound beyond the allocation.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from beamspar.quota.allocation_requests import AllocationRequests
 from beamspar.quota.allocation_writer import AllocationWriter
 from beamspar.quota.allocations import AllocationKey, TeamQuota
-from beamspar.quota.amounts import EPS, NOTHING, Amounts, quota_of
-from beamspar.quota.fair_share import AllocationRequest, WaitingOrder, waits_before
+from beamspar.quota.amounts import EPS, NO_AMOUNTS, Amounts, quota_of
+from beamspar.quota.fair_share import AllocationRequest, WaitingOrder, has_precedence
 from beamspar.quota.indeterminate_writes import IndeterminateWrites
 from beamspar.quota.quota_records import QuotaRecords
 from beamspar.quota.usage_counter import UsageCounter
@@ -25,27 +25,29 @@
 from beamspar.state.client import StateClient
 from beamspar.workload.job import Job
 
-# Heartbeats that a request lasts unless it is repeated.
+# Lifetime of an allocation request that is not repeated, in heartbeats.
 REQUEST_HEARTBEATS = 3
-# Conditions of one transaction for each of its operations.
+# Conditions that a transaction may have for each of its operations.
 CONDITIONS_PER_OPERATION = 4
-# Conditions of a write besides those on partitions: on our fence and on the record.
+# Conditions of a write besides those on partitions: the fence and the version of the record.
 FIXED_CONDITIONS = 2
 
 
 class QuotaManager:
-    """Answers whether work of our partitions fits its allocation, and asks for more where not.
+    """Checks work of this controller's partitions against their allocations, and requests more.
 
-    It owns the parts that count the use, keep the requests and write the records. All methods
-    take partitions of any owner: only our own, with all jobs in memory, are allowed anything.
+    It owns the objects that count the usage, hold the requests and write the records. All methods
+    accept partitions of any owner, but only partitions that this controller owns and whose jobs
+    are all in memory are granted anything.
     """
 
     def __init__(self, registration: Registration, state: StateClient, settings: Settings) -> None:
         platform = settings.platform
         # Teams with a quota, by name.
         self.teams = {team.name: team for team in platform.teams if any(quota_of(team))}
-        # Set from outside: the partitions whose jobs are all in memory, and what to call when a
-        # write of a record that our jobs wait for has been applied or has failed.
+        # Set by the owner of this object: `loaded` returns the partitions whose jobs are all in
+        # memory; `on_share` is called when a write of a record that has requests of this
+        # controller was applied or has failed.
         self.loaded: Callable[[], set[str]] = set
         self.on_share: Callable[[], None] = lambda: None
         self._registration = registration
@@ -77,47 +79,48 @@
         )
         registration.mirror.listeners.append(self._record_changed)
 
-    # -- what is stored
+    # -- stored allocations
 
     def certain_allocation(self, partition: str, team: str) -> Amounts:
-        """What the partition may use for certain, whatever became of indeterminate writes."""
+        """Return what the partition may use whichever indeterminate writes were applied."""
         key = AllocationKey(partition, team)
         return self._indeterminate_writes.certain_amounts(key, self._records.read(team))
 
     def holds_none(self, partition: str) -> bool:
-        """Is the partition in no team's record, so that it may be forgotten?"""
+        """Return whether no team's record has an entry of the partition, so it may be deleted."""
         return not any(partition in self._records.read(team).raw for team in self.teams)
 
-    # -- use
+    # -- usage
 
     @property
     def used(self) -> dict[AllocationKey, Amounts]:
-        """What the jobs of our partitions use, by partition and team."""
+        """Usage of the jobs of this controller's partitions, by partition and team."""
         return self._usage.used
 
     def recount(self, job: Job) -> int:
-        """Count what the job's tasks use now; returns how many more count than before."""
+        """Update the usage of the job; return by how many its counted tasks have grown."""
         return self._usage.recount(job)
 
     def release(self, job: Job) -> None:
-        """The job is over, another's, or was never stored: nothing of it counts."""
+        """Stop counting a job that has ended, has another owner, or was never stored."""
         self._usage.release(job)
 
     def forget(self, partition: str) -> None:
-        """The partition has another owner now."""
+        """Drop all state of a partition that has another owner now."""
         self._usage.forget(partition)
         self._requests.forget(partition)
         self._indeterminate_writes.forget(partition)
 
     def excess(self, partition: str, team: str) -> Amounts:
-        """By how much what is bound exceeds the allocation.
+        """Return by how much the usage of the partition exceeds its allocation.
 
-        It never should: every write that binds is covered. Old records of a release that freed
-        allocations too early may do it; then nothing of them is started that does not run yet.
+        This should be nothing, as every write that binds a task is covered by the allocation. Old
+        records of a release that freed allocations too early may cause an excess; then no task
+        of them is started that does not run yet.
         """
         settings = self.teams.get(team)
         if settings is None or not self._owns(partition):
-            return NOTHING
+            return NO_AMOUNTS
         key = AllocationKey(partition, team)
         used = self._usage.used_by(key)
         allocated = self._indeterminate_writes.certain_amounts(key, self._records.read(team))
@@ -128,20 +131,21 @@
         is_over = max(excess) > EPS
         fault = f"jobs of {partition} use {used} of an allocation of {allocated}" if is_over else ""
         self._records.report_fault(key, fault)
-        return excess if is_over else NOTHING
+        return excess if is_over else NO_AMOUNTS
 
     def may_start(self, partition: str, team: str) -> bool:
-        """May what is bound there be started, or started once more?"""
+        """Return whether tasks bound in the partition may be started, or started again."""
         if team not in self.teams:
             return True
-        return not self._records.blocks_starts(team) and self.excess(partition, team) == NOTHING
+        return not self._records.blocks_starts(team) and self.excess(partition, team) == NO_AMOUNTS
 
     # -- requests
 
     def is_covered(self, job: Job, indexes: Sequence[int], is_all_or_nothing: bool = False) -> bool:
-        """Does the allocation cover the first of these tasks, or all that start together?
+        """Return whether the allocation covers the first of these tasks.
 
-        If not, an allocation for all of them is requested.
+        With `is_all_or_nothing` it must cover all of them. If it doesn't, an allocation for all of
+        them is requested.
         """
         team = self.teams.get(job.spec.team)
         if team is None:
@@ -157,43 +161,46 @@
         return False
 
     def _fits(self, job: Job, team: Team, quota: TeamQuota, tasks: int) -> bool:
-        """Does the allocation cover so many more tasks of the job, and is it their turn?"""
+        """Return whether the allocation covers this many more tasks, and no others go first."""
         spec, key = job.spec, AllocationKey(job.partition, team.name)
         allocated = self._indeterminate_writes.certain_amounts(key, quota)
         needed = self._usage.used_by(key).plus_tasks(tasks, spec.cpus, spec.gpus)
         return (
             _is_within(needed.cpus, allocated.cpus, team.cpus_max)
             and _is_within(needed.gpus, allocated.gpus, team.gpus_max)
-            # What is freed for waiting higher work is not for lower work that asks first.
+            # Quota that is freed for pending work of a higher rank must not go to work of a lower
+            # rank that happens to be checked first.
             and self._requests.highest_rank(key) >= spec.rank
-            and not self._others_come_first(quota, job)
+            and not self._others_have_precedence(quota, job)
         )
 
-    def _others_come_first(self, quota: TeamQuota, job: Job) -> bool:
-        """Does higher work wait in some partition, or work of the same rank that waited longer?
+    def _others_have_precedence(self, quota: TeamQuota, job: Job) -> bool:
+        """Return whether pending work elsewhere has precedence over the job.
 
-        What ends here is for that then. Our own partition may have the latter.
+        That is work of a higher rank in another partition, or work of the same rank in any
+        partition that was served less recently. Quota that is freed here then goes to that work.
         """
         order = WaitingOrder(job.spec.rank, job.quota_served_revision, job.partition)
         elsewhere = quota.waiting_elsewhere(job.partition)
         if any(allocation.waiting_rank <= job.spec.rank for _, allocation in elsewhere):
             return True
         return any(
-            waits_before(partition, allocation, order)
+            has_precedence(partition, allocation, order)
             for partition, allocation in quota.allocations.items()
         )
 
     def _request(self, job: Job, tasks: int, is_all_or_nothing: bool) -> None:
-        """Request an allocation for so many more tasks of the job."""
+        """Request an allocation for this many more tasks of the job."""
         if not tasks:
-            # It has what it needs, and only waits its turn.
+            # The allocation suffices; the job only waits for work with precedence.
             return
         spec, key = job.spec, AllocationKey(job.partition, job.spec.team)
         heartbeat, now = self._registration.timeouts.heartbeat, self._registration.clock.seconds()
         expires_at = now + heartbeat * REQUEST_HEARTBEATS
-        known = self._requests.request_of(key, job.id)
-        if known and known.tasks >= tasks and known.expires_at > expires_at - heartbeat / 2:
-            # Each round of placing requests again for all that waits.
+        earlier = self._requests.request_of(key, job.id)
+        if earlier and earlier.tasks >= tasks and earlier.expires_at > expires_at - heartbeat / 2:
+            # Each placement round repeats the requests of all pending work, so a request that is
+            # large enough and not close to its expiry is kept.
             self._writer.schedule_check(spec.team)
             return
         request = AllocationRequest(
@@ -201,7 +208,7 @@
             served_revision=job.quota_served_revision,
             cpus=spec.cpus,
             gpus=spec.gpus,
-            tasks=max(tasks, known.tasks) if known else tasks,
+            tasks=max(tasks, earlier.tasks) if earlier else tasks,
             expires_at=expires_at,
             is_all_or_nothing=is_all_or_nothing,
         )
@@ -209,23 +216,23 @@
         self._writer.schedule_check(spec.team)
 
     def reserve(self, job: Job, indexes: Sequence[int]) -> bool:
-        """May all of these tasks be bound now? Then the job's request is less by so many."""
+        """Return whether all of these tasks may be bound now; if so, reduce the job's request."""
         if not self.is_covered(job, indexes, is_all_or_nothing=True):
             return False
         now = self._registration.clock.seconds()
         if now - job.quota_served_at >= self._registration.timeouts.report:
-            # Not for each task: every step is written into the team's record.
+            # Limited to one update per heartbeat, as each one is written into the team's record.
             job.quota_served_revision, job.quota_served_at = self._mirror.revision, now
         key = AllocationKey(job.partition, job.spec.team)
-        self._requests.served(key, job.id, len(indexes))
+        self._requests.reduce(key, job.id, len(indexes))
         return True
 
     def has_waiting_work(self, partition: str, team: str) -> bool:
-        """Does work of the partition wait for more of the team's quota?"""
+        """Return whether work of the partition waits for more of the team's quota."""
         return self._requests.is_waiting(AllocationKey(partition, team))
 
     def others_wait(self, job: Job) -> bool:
-        """Does other work wait for more of the quota of the job's team?"""
+        """Return whether other work waits for more of the quota of the job's team."""
         team = job.spec.team
         if team not in self.teams:
             return False
@@ -234,37 +241,37 @@
         return self._requests.other_job_waits(team, job.id)
 
     def amount_to_preempt(self, name: str, rank: int) -> Amounts:
-        """What work of this rank should give up now, for higher work.
+        """Return how much work of this rank should release now for work of a higher rank.
 
-        That is work of the team, here or elsewhere, that the quota keeps waiting. Each controller
-        preempts its part, round by round.
+        The latter is work of the team, in any partition, that waits for quota. Each controller
+        preempts its part of the total in each round.
         """
         team = self.teams.get(name)
         if team is None:
-            return NOTHING
+            return NO_AMOUNTS
         quota = self._records.read(name)
         lacking = [0.0, 0.0]
         for allocation in quota.allocations.values():
             if allocation.waiting_rank and allocation.waiting_rank - 1 < rank:
                 lacking[0] += allocation.lacking_cpus
                 lacking[1] += allocation.lacking_gpus
-        # What is not allocated yet will do for some of it.
+        # The part of the quota that is not allocated yet covers some of it.
         for i, limit in enumerate(quota_of(team)):
             left = max(limit - quota.total[i], 0.0)
             lacking[i] = max(lacking[i] - left, 0.0) if limit else 0.0
         return Amounts(lacking[0] / self._controllers, lacking[1] / self._controllers)
 
-    # -- when a record is checked
+    # -- checks of the records
 
     def tick(self) -> None:
-        """Request again what is short, and give back what others wait for."""
+        """Drop expired requests, and check each team's record and write it where needed."""
         self._requests.expire(self._registration.clock.seconds())
         for team in self.teams:
             self._records.check_health(team)
             self._writer.check(team)
 
     def _record_changed(self, key: str) -> None:
-        """Another controller wrote: what we lack may be there, or others may wait for ours."""
+        """Check a record that was changed, as quota may be available or requested by others."""
         team = key.removeprefix(keys.TEAM_QUOTA_PREFIX)
         if key != team and team in self.teams:
             version = self._records.read(team).version
@@ -276,12 +283,13 @@
             self.on_share()
 
     def _owns(self, partition: str) -> bool:
-        """Is it ours, with all its jobs in memory, and with a mirror at least as new as that?
+        """Return whether this controller owns the partition and has its jobs and records.
 
-        Before its jobs are read its use looks like none, and its allocation would be given away
-        under tasks that still run. And an older mirror may show an allocation that the former
-        owner has given back since: what we wrote ourselves is known before the watch tells the
-        rest.
+        Until all jobs of the partition are in memory its usage looks like none, and its allocation
+        would be released while its tasks still run. The mirror must be at least as new as the
+        change of ownership: this controller's own writes are in it before the watch delivers what
+        came earlier, so an older mirror may show an allocation that the former owner has released
+        since.
         """
         record = self._mirror.partitions.get(partition)
         if record is None or record.owner != self._registration.me:
--- a/src/beamspar/quota/quota_preemption.py
+++ b/src/beamspar/quota/quota_preemption.py
@@ -1,8 +1,8 @@
-"""Which work of a team is preempted at the team's quota. Decisions only: no clock, no writes.
+"""Chooses the work of a team that is preempted when the team is at its quota.
 
-Lower work stops when higher work of the team waits for its quota. What is bound beyond an
-allocation, which only records of an earlier release can cause, is stopped as far as it does not
-run.
+Work of a lower rank is stopped when work of a higher rank of the team waits for quota. Tasks that
+are bound beyond an allocation, which only records of an earlier release can cause, are unbound if
+they do not run. Pure functions: they read no clock and write nothing.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 
 class BoundTask(NamedTuple):
-    """A task that a stored record binds, with its index in the job."""
+    """A task that a stored record binds to a machine, with its index in the job."""
 
     task_index: int
     task: Task
 
 
 class PreemptionOrder(NamedTuple):
-    """What is preempted before what: the lowest goes first.
+    """Sort key of preemption: the unit with the lowest key is preempted first.
 
-    That is the lowest rank, then what is on ordinary machines, where higher work can take its
-    place, what keeps checkpoints, and the newest.
+    That is work of the lowest rank, then work on ordinary machines, where work of a higher rank can
+    take its place, then work that saves checkpoints, and then the newest.
     """
 
     negative_rank: int
@@ -40,7 +40,7 @@
 
 
 class PreemptionUnit(NamedTuple):
-    """Tasks of a job that are stopped together, and what that frees."""
+    """Tasks of a job that are stopped together, and the CPUs and accelerators that this frees."""
 
     order: PreemptionOrder
     rank: int
@@ -55,7 +55,7 @@
     spot: Collection[str],
     lacking: Callable[[int], tuple[float, float]],
 ) -> list[PreemptionUnit]:
-    """The units to stop: as many as free what is lacking for work above their rank.
+    """Return the units to stop: as many as free what work above their rank lacks.
 
     `spot` has the names of all spot machines.
     """
@@ -72,7 +72,7 @@
 def choose_unstarted(
     jobs: Iterable[Job], spot: Collection[str], excess: tuple[float, float]
 ) -> list[PreemptionUnit]:
-    """Units of which nothing was ever seen on a machine, as many as free the excess."""
+    """Return units whose tasks were never observed on a machine, as many as free the excess."""
     units = [
         unit
         for job in jobs
@@ -85,7 +85,7 @@
 
 
 def units_of(job: Job, spot: Collection[str]) -> list[PreemptionUnit]:
-    """What may be stopped of a job at a time: a task, or a gang as a whole."""
+    """Return the units of a job that may be stopped: single tasks, or a gang as a whole."""
     tasks = [
         BoundTask(index, task)
         for index, task in job.tasks.items()
@@ -98,7 +98,7 @@
 def _until_freed(
     units: Iterable[PreemptionUnit], to_free: Callable[[PreemptionUnit], Amounts]
 ) -> list[PreemptionUnit]:
-    """The first units in order, up to the one for which enough is free already."""
+    """Return the first units in order, up to the first for which enough is freed already."""
     chosen: list[PreemptionUnit] = []
     cpus = gpus = 0.0
     for unit in sorted(units, key=lambda unit: unit.order):
--- a/src/beamspar/quota/quota_records.py
+++ b/src/beamspar/quota/quota_records.py
@@ -1,4 +1,4 @@
-"""The teams' quota records as the mirror has them, and their health check."""
+"""The teams' quota records in the state mirror, and the check of their validity."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class QuotaRecords:
-    """Reads each version of a team's record once, and reports what is wrong with it."""
+    """Parses each version of a team's record once, and logs faults in it."""
 
     def __init__(self, mirror: StateMirror, teams: dict[str, Team]) -> None:
-        # Teams whose record as it was read last lets nothing more start.
+        # Teams whose record, as it was read last, is invalid, so that nothing more may start.
         self.blocked_teams: set[str] = set()
         self._mirror = mirror
         self._teams = teams
         self._newest: dict[str, TeamQuota] = {}
-        # What was reported last of each record, and of use above each allocation.
+        # The fault that was logged last of each record, and of usage above each allocation.
         self._reported: dict[AllocationKey, str] = {}
 
     def read(self, team: str) -> TeamQuota:
-        """The team's record as the mirror has it."""
+        """Return the team's record in the mirror."""
         value, version = self._mirror.values.get(keys.team_quota(team), ({}, 0))
         known = self._newest.get(team)
         if known is None or known.version != version:
@@ -38,17 +38,17 @@
         return known
 
     def blocks_starts(self, team: str) -> bool:
-        """Does the present record let nothing more of the team start?"""
+        """Return whether the present record is invalid, so that nothing of the team may start."""
         self.read(team)
         return team in self.blocked_teams
 
     def check_health(self, team: str) -> None:
-        """Log what is wrong with the team's record."""
+        """Log the faults of the team's record."""
         quota = self.read(team)
         unknown = sorted(quota.allocations.keys() - self._mirror.partitions.keys())
         fault = ""
         if unknown or self._is_invalid(quota, team):
-            # An unknown partition's allocation counts: its tasks can't be proven gone.
+            # The allocation of an unknown partition still counts, as its tasks may still run.
             limits = quota_of(self._teams[team])
             fault = (
                 f"allocations {quota.raw if quota.is_readable else 'unreadable'}, quota {limits},"
@@ -57,13 +57,13 @@
         self.report_fault(AllocationKey("", team), fault)
 
     def report_fault(self, key: AllocationKey, fault: str) -> None:
-        """Log an error for each fault, not for each time that it is met; empty for none."""
+        """Log an error when the fault of the key changes; an empty text stands for no fault."""
         if self._reported.get(key, "") != fault:
             self._reported[key] = fault
             if fault:
                 log.error("team {team}: {fault}", team=key.team, fault=fault)
 
     def _is_invalid(self, quota: TeamQuota, team: str) -> bool:
-        """Is the team's record such that nothing more of the team may start?"""
+        """Return whether the team's record is malformed or exceeds the quota."""
         is_unreadable = not quota.is_readable or bool(quota.unreadable)
         return is_unreadable or quota.exceeds_quota(self._teams[team])
--- a/src/beamspar/quota/usage_counter.py
+++ b/src/beamspar/quota/usage_counter.py
@@ -1,30 +1,30 @@
-"""What the tasks of our partitions use of their teams' quotas."""
+"""What the tasks of this controller's partitions use of their teams' quotas."""
 
 from __future__ import annotations
 
 from collections.abc import Collection
 
 from beamspar.quota.allocations import AllocationKey
-from beamspar.quota.amounts import NOTHING, Amounts
+from beamspar.quota.amounts import NO_AMOUNTS, Amounts
 from beamspar.workload.job import Job
 
 
 class UsageCounter:
-    """Owns the sums of what the jobs in memory use, by partition and team."""
+    """Owns the total usage of the jobs in memory, by partition and team."""
 
     def __init__(self, teams: Collection[str]) -> None:
         self.used: dict[AllocationKey, Amounts] = {}
         # Only teams with a quota are counted.
         self._teams = teams
-        # Tasks of each job that are in `used`.
+        # Number of tasks of each job that are counted in `used`.
         self._counted_tasks: dict[Job, int] = {}
 
     def used_by(self, key: AllocationKey) -> Amounts:
-        """What the partition's jobs of the team use."""
-        return self.used.get(key, NOTHING)
+        """Return what the partition's jobs of the team use."""
+        return self.used.get(key, NO_AMOUNTS)
 
     def recount(self, job: Job) -> int:
-        """Count what the job's tasks use now; returns how many more count than before."""
+        """Update the usage of the job; return by how many its counted tasks have grown."""
         if job.spec.team not in self._teams:
             return 0
         tasks = job.quota_usage.tasks
@@ -35,13 +35,13 @@
         return more
 
     def release(self, job: Job) -> None:
-        """The job is over, another's, or was never stored: nothing of it counts."""
+        """Stop counting a job that has ended, has another owner, or was never stored."""
         tasks = self._counted_tasks.pop(job, 0)
         if tasks:
             self._add(job, -tasks)
 
     def forget(self, partition: str) -> None:
-        """The partition has another owner now."""
+        """Drop the usage of a partition that has another owner now."""
         for job in [job for job in self._counted_tasks if job.partition == partition]:
             del self._counted_tasks[job]
         for key in [key for key in self.used if key.partition == partition]:
