--- a/src/beamspar/quota/quota_manager.py
+++ b/src/beamspar/quota/quota_manager.py
@@ -192,7 +192,7 @@
     def _request(self, job: Job, tasks: int, is_all_or_nothing: bool) -> None:
         """Request an allocation for this many more tasks of the job."""
         if not tasks:
-            # The allocation suffices; the job only waits for work with precedence.
+            # The job needs no further quota and only waits for work that has precedence.
             return
         spec, key = job.spec, AllocationKey(job.partition, job.spec.team)
         heartbeat, now = self._registration.timeouts.heartbeat, self._registration.clock.seconds()
--- a/src/beamspar/sharing/__init__.py
+++ b/src/beamspar/sharing/__init__.py
@@ -1,1 +1,1 @@
-"""Machines shared among controllers: shards move by load, on request, and as one leaves."""
+"""Sharing of machines among controllers: shards move by load, on request, or on a leave."""
--- a/src/beamspar/sharing/command.py
+++ b/src/beamspar/sharing/command.py
@@ -1,9 +1,7 @@
-"""The operators' commands on shares: who holds what, moving a shard, leaving the service.
+"""The operators' commands on shares: list holders, move a shard, leave the service.
 
-Their texts call a shard a block.
-
-They join those of the standby in `beamsparctl`. Exit statuses: 0 done, 1 refused or nobody answers,
-2 bad settings or usage.
+In their texts a shard is called a block. They are subcommands of `beamsparctl`, like those of the
+standby. Exit statuses: 0 done, 1 refused or no reply, 2 invalid settings or usage.
 """
 
 from __future__ import annotations
@@ -26,31 +24,31 @@
 )
 from beamspar.standby.command import NOT_DONE, NoAnswerError, addresses, call, main
 
-# How long a question, and a command that stores something, may take.
-ANSWER_S, LEAVE_S = 2.0, 10.0
+# Timeouts of a query, and of a command whose receiver may write to the state service.
+QUERY_TIMEOUT_S, COMMAND_TIMEOUT_S = 2.0, 10.0
 
 
-def ask_shares(settings: Settings) -> dict[str, SharesReply | str]:
-    """What each controller says of shares, or why it says nothing."""
-    found: dict[str, SharesReply | str] = {}
+def request_shares(settings: Settings) -> dict[str, SharesReply | str]:
+    """Return the reply of each controller, or the error text if there is no valid one."""
+    replies: dict[str, SharesReply | str] = {}
     for member, address in addresses(settings).items():
         try:
-            found[member] = msgspec.convert(
-                call(address, SharingPath.SHARES, {}, ANSWER_S), SharesReply
+            replies[member] = msgspec.convert(
+                call(address, SharingPath.SHARES, {}, QUERY_TIMEOUT_S), SharesReply
             )
         except (NoAnswerError, msgspec.ValidationError) as error:
-            found[member] = str(error)
-    return found
+            replies[member] = str(error)
+    return replies
 
 
-def leading(found: dict[str, SharesReply | str]) -> SharesReply | None:
-    """The answer of the controller that leads and decides."""
-    replies = [reply for reply in found.values() if isinstance(reply, SharesReply)]
-    return next((reply for reply in replies if reply.leading), None)
+def leading(replies: dict[str, SharesReply | str]) -> SharesReply | None:
+    """Return the reply of the controller that leads and decides; None if no controller does."""
+    valid = [reply for reply in replies.values() if isinstance(reply, SharesReply)]
+    return next((reply for reply in valid if reply.leading), None)
 
 
 def describe_member(reply: SharesReply, share: MemberShare | None) -> str:
-    """One line for people on one controller."""
+    """Return a line of text that describes a controller."""
     standing = "left: may be stopped" if reply.standing == Standing.LEFT else reply.standing
     lead = ", leads" if reply.leading else ""
     if share is None:
@@ -62,7 +60,7 @@
 
 
 def describe_move(move: MoveShown) -> str:
-    """One line for people on one move."""
+    """Return a line of text that describes a move."""
     return f"{move.stage}: {move.shard} from {move.source} to {move.target} ({move.reason})"
 
 
@@ -71,17 +69,17 @@
 @click.pass_obj
 def shares(settings: Settings, as_json: bool) -> None:
     """Each controller's machines, demand and load, and the moves; 1 if nobody decides."""
-    found = ask_shares(settings)
-    leader = leading(found)
+    replies = request_shares(settings)
+    leader = leading(replies)
     if as_json:
-        plain: dict[str, Any] = {
+        output: dict[str, Any] = {
             member: {"error": reply} if isinstance(reply, str) else msgspec.to_builtins(reply)
-            for member, reply in found.items()
+            for member, reply in replies.items()
         }
-        click.echo(orjson.dumps(plain).decode())
+        click.echo(orjson.dumps(output).decode())
     else:
         by_member = {share.member: share for share in leader.shares} if leader else {}
-        for member, reply in found.items():
+        for member, reply in replies.items():
             if isinstance(reply, SharesReply):
                 reply = describe_member(reply, by_member.get(member))
             click.echo(f"{member}: {reply}")
@@ -91,14 +89,14 @@
         sys.exit(NOT_DONE)
 
 
-def carry_out(settings: Settings, member: str, path: SharingPath, message: Any) -> None:
-    """Send a command to a controller; ends with 1 and one line if it is not taken."""
+def send_command(settings: Settings, member: str, path: SharingPath, message: Any) -> None:
+    """Send a command to a controller; exit with status 1 and one line if it is not accepted."""
     address = addresses(settings).get(member)
     if address is None:
         click.echo(f"no controller {member}", err=True)
         sys.exit(NOT_DONE)
     try:
-        reply = msgspec.convert(call(address, path, message, LEAVE_S), CommandReply)
+        reply = msgspec.convert(call(address, path, message, COMMAND_TIMEOUT_S), CommandReply)
     except (NoAnswerError, msgspec.ValidationError) as error:
         click.echo(f"{member}: {error}", err=True)
         sys.exit(NOT_DONE)
@@ -114,7 +112,7 @@
 @click.pass_obj
 def leave(settings: Settings, member: str, undo: bool) -> None:
     """Let a controller hand over all that it has; `shares` tells when it may be stopped."""
-    carry_out(settings, member, SharingPath.LEAVE, {"undo": undo})
+    send_command(settings, member, SharingPath.LEAVE, {"undo": undo})
 
 
 @main.command()
@@ -123,8 +121,8 @@
 @click.pass_obj
 def move(settings: Settings, shard: str, to: str) -> None:
     """Move a block to another controller; `shares` tells what becomes of it."""
-    leader = leading(ask_shares(settings))
+    leader = leading(request_shares(settings))
     if leader is None:
         click.echo("nobody decides", err=True)
         sys.exit(NOT_DONE)
-    carry_out(settings, leader.member, SharingPath.MOVE, {"block": shard, "to": to})
+    send_command(settings, leader.member, SharingPath.MOVE, {"block": shard, "to": to})
--- a/src/beamspar/sharing/handover.py
+++ b/src/beamspar/sharing/handover.py
@@ -1,7 +1,8 @@
-"""The leader's side of a handover: the sources prepare, then the shards' records move them.
+"""The leader's side of a handover: it has the sources prepare, then writes the shards' records.
 
-Each step ends in time. Until the record is written a shard is its source's, which goes on with it
-by itself; from then on it is the target's, whatever becomes of the leader or the source.
+Each step has a time limit. Until its record is written a shard belongs to its source, which resumes
+work on it without a further message; from then on it belongs to the target, even if the leader or
+the source fails.
 """
 
 from __future__ import annotations
@@ -32,17 +33,17 @@
 
 log = Logger(namespace="sharing")
 
-# How long a shard is not moved again after a move, in workers' leases.
+# How long a shard is not moved again after a move, in worker leases.
 COOLDOWN_LEASES = 4
-# Moves that are shown after they were completed.
+# Completed moves that are kept to be shown to operators.
 MAX_COMPLETED_SHOWN = 50
 
-# Asks a member to prepare; raises CallFailedError or ValueError.
+# Sends a prepare request to a member; raises CallFailedError or ValueError.
 Prepare = Callable[[str, PrepareRequest], Awaitable[PrepareReply]]
 
 
 class Handover:
-    """Owns the moves under way while this controller leads."""
+    """Owns the moves in progress while this controller leads."""
 
     def __init__(
         self,
@@ -59,27 +60,27 @@
         self.shard_leasing = shard_leasing
         self.timeouts = timeouts
         self.prepare = prepare
-        # Is the deletion of one of the shard's machines under way?
+        # Returns whether the deletion of one of the shard's machines is in progress.
         self.is_pinned = is_pinned
         self.moved_at: dict[str, float] = {}
         self.in_progress: dict[str, MoveShown] = {}
         self.completed: deque[MoveShown] = deque(maxlen=MAX_COMPLETED_SHOWN)
 
     def is_in_cooldown(self, shard: str) -> bool:
-        """Did the shard move a short while ago?"""
+        """Return whether the shard has moved recently."""
         moved_at = self.moved_at.get(shard)
         cooldown_s = self.timeouts.worker_lease * COOLDOWN_LEASES
         return moved_at is not None and self.clock.seconds() - moved_at < cooldown_s
 
-    def forget_dropped(self) -> None:
-        """Shards that are gone need no cooldown."""
+    def remove_stale_cooldowns(self) -> None:
+        """Remove the cooldowns of shards that no longer exist."""
         for name in [name for name in self.moved_at if name not in self.mirror.shards]:
             del self.moved_at[name]
 
     async def carry_out(self, moves: list[Move]) -> None:
-        """Make these moves; what can't be prepared in time stays, unless it is forced.
+        """Make these moves, except those that can't be prepared in time and are not forced.
 
-        Raises what `ShardWriter.write` raises: a move whose write failed is planned anew.
+        Raises what `ShardWriter.write` raises; a move whose write failed is planned again.
         """
         before = {move.shard: self.mirror.shards.get(move.shard) for move in moves}
         moves = [move for move in moves if self._is_still_valid(move, before[move.shard])]
@@ -99,7 +100,7 @@
             self.in_progress = {}
 
     def _is_still_valid(self, move: Move, shard: MachineShard | None) -> bool:
-        """Is the shard still its source's, and the target there to take it?"""
+        """Return whether the source still holds the shard and the target is reachable."""
         present = self.mirror.shards.get(move.shard)
         return (
             shard is not None
@@ -113,7 +114,10 @@
     async def _prepare_all(
         self, moves: list[Move], shards: dict[str, MachineShard | None]
     ) -> set[str]:
-        """Ask all sources at once; the shards that are ready when all answered or time is up."""
+        """Send prepare requests to all sources concurrently.
+
+        Return the shards that are ready once every request has been answered or has failed.
+        """
         fencing_tokens: dict[str, dict[str, int]] = {}
         for move in moves:
             fencing_tokens.setdefault(move.source, {})[move.shard] = _fencing_token(
@@ -129,24 +133,33 @@
         return ready
 
     async def _prepare(self, source: str, shards: dict[str, int], ready: set[str]) -> None:
-        # Twice the time that the call may take: a source goes on by itself when it is over.
+        # Twice the time for which a source waits for its starts; it resumes by itself after it.
         for_s = self.timeouts.heartbeat * 2
         try:
             reply = await self.prepare(source, PrepareRequest(self.registration.me, shards, for_s))
         except (CallFailedError, ValueError) as error:
-            log.info("{source} does not prepare: {error}", source=source, error=error)
+            log.info(
+                "{source} failed to prepare, only forced moves of its shards go on: {error}",
+                source=source,
+                error=error,
+            )
         else:
             ready.update(reply.ready)
 
     async def _commit(self, moves: list[Move]) -> None:
-        """The write that transfers ownership: only while source, target and token are the same."""
+        """Write the records that transfer ownership.
+
+        The write fails if the record of a shard (its holder or fencing token) or the registration
+        of a target has changed.
+        """
         changes: list[RecordChange] = []
         conditions: dict[str, int] = {}
         for move in moves:
             shard = self.mirror.shards[move.shard]
             record = shard_record(move.target, shard.machines, previous_holder_may_act=True)
             changes.append(RecordChange(keys.shard(move.shard), record))
-            # A target that ended meanwhile would leave the shard without a holder for its lease.
+            # A target that has ended in the meantime would leave the shard without a working holder
+            # until its registration lease expires.
             key = keys.member(move.target)
             conditions[key] = self.mirror.version(key)
             self.in_progress[move.shard] = _shown(move, MoveStage.COMMITTING)
@@ -155,7 +168,7 @@
         await self.shard_leasing.shard_writer.write(changes, conditions)
         for move in moves:
             log.info(
-                "moved {shard} from {source} to {target} ({reason})",
+                "moved shard {shard} from {source} to {target} (reason: {reason})",
                 shard=move.shard,
                 source=move.source,
                 target=move.target,
@@ -165,7 +178,7 @@
             self.completed.append(_shown(move, MoveStage.MOVED))
 
     def list_moves(self, wanted: Iterable[Move]) -> list[MoveShown]:
-        """Moves that are completed, in progress and wanted, the newest last."""
+        """Return the moves that are completed, in progress and wanted, the newest last."""
         return [
             *self.completed,
             *self.in_progress.values(),
@@ -177,12 +190,12 @@
         ]
 
 
-async def ask_to_prepare(
+async def send_prepare(
     send: Callable[[str, str, Any, float], Awaitable[bytes]],
     source: str,
     request: PrepareRequest,
 ) -> PrepareReply:
-    """Ask another controller; raises CallFailedError or ValueError."""
+    """Send a prepare request to another controller; raises CallFailedError or ValueError."""
     body = await send(source, SharingPath.PREPARE, request, request.for_s)
     reply: PrepareReply = decode(body, PrepareReply)
     return reply
--- a/src/beamspar/sharing/leave.py
+++ b/src/beamspar/sharing/leave.py
@@ -1,9 +1,8 @@
-"""Leaving the service in order: leadership and shards are handed over, then the process may be
-stopped.
+"""Orderly leave of a controller: it hands over leadership and shards, then may be stopped.
 
-Who leaves is stored in one record, changed by compare-and-swap: of two controllers that leave at
-once, the second one sees the first, and the last one that serves is refused. An entry names the
-incarnation that leaves, so a controller that is started again takes part again.
+The leaving controllers are stored in one record that is changed by compare-and-swap, so of two
+controllers that leave at the same time the second observes the first, and the last one that serves
+is refused. An entry names the incarnation that leaves, so a restarted controller serves again.
 """
 
 from __future__ import annotations
@@ -31,32 +30,32 @@
 
 log = Logger(namespace="sharing")
 
-# How often a change of the record is attempted where others change it, too.
+# Attempts to change the record when other controllers change it at the same time.
 MAX_ATTEMPTS = 3
-# How long a leaving controller says that it is not healthy before it ends its registration, in
-# heartbeats of workers: the load balancer needs some of them to turn users away.
+# How long a leaving controller reports itself unhealthy before it ends its registration, in worker
+# heartbeats: the load balancer needs some time to stop sending users to it.
 MIN_UNHEALTHY_HEARTBEATS = 3
 
 
 def leaving_members(registration: Registration) -> set[str]:
-    """Controllers that are leaving, by the mirror; nobody if then no one would serve."""
+    """Return the controllers that are leaving by the mirror; none if no other would serve."""
     leaving = set(_entries(registration)) & registration.mirror.members
     return leaving if registration.mirror.members - leaving else set()
 
 
 def _entries(registration: Registration) -> dict[str, int]:
-    """The entries of the record that name a present incarnation."""
+    """Return the entries of the record that name the present incarnation of a controller."""
     value, _ = registration.mirror.values.get(keys.LEAVING_MEMBERS, ({}, 0))
-    found = {}
+    entries = {}
     for member, incarnation in (_decode(value) or {}).items():
         fence, _ = registration.mirror.values.get(keys.fence(member), ({}, 0))
         if fence.get("inc") == incarnation:
-            found[member] = incarnation
-    return found
+            entries[member] = incarnation
+    return entries
 
 
 def _decode(value: object) -> dict[str, int] | None:
-    """The record's entries; None if it is malformed."""
+    """Return the record's entries; None if it is malformed."""
     try:
         return msgspec.convert(value, dict[str, int])
     except msgspec.ValidationError:
@@ -88,14 +87,18 @@
     def _record_changed(self, key: str) -> None:
         value, _ = self.mirror.values.get(keys.LEAVING_MEMBERS, ({}, 0))
         if key == keys.LEAVING_MEMBERS and _decode(value) is None:
-            log.error("malformed record {key}: {value}", key=keys.LEAVING_MEMBERS, value=value)
+            log.error(
+                "malformed record {key}, taken as empty: {value}",
+                key=keys.LEAVING_MEMBERS,
+                value=value,
+            )
 
     def is_leaving(self) -> bool:
-        """Does this controller hand everything over?"""
+        """Return whether this controller is leaving."""
         return self.registration.me in leaving_members(self.registration)
 
     async def request(self, undo: bool) -> CommandReply:
-        """Begin to leave, or serve on."""
+        """Begin to leave, or with `undo` serve again."""
         for _ in range(MAX_ATTEMPTS):
             if not self.registration.lease_is_valid():
                 return CommandReply(False, "this controller is not registered at present")
@@ -108,7 +111,10 @@
             try:
                 await self._store(entries, undo, others)
             except ConflictError as error:
-                log.info("leave is retried: {failed}", failed=error.failed)
+                log.info(
+                    "conflict in the record of leaving controllers, reading it again: {failed}",
+                    failed=error.failed,
+                )
                 await self._refresh_record()
             except OutcomeUnknownError as error:
                 return CommandReply(False, f"not known yet, see `shares`: {error}")
@@ -126,7 +132,7 @@
             del entries[self.registration.me]
         else:
             entries[self.registration.me] = self.registration.incarnation
-            # One that serves is registered at the moment of the write.
+            # Ensures that a controller that keeps serving is registered when the write is applied.
             key = keys.member(min(others))
             conditions[key] = self.mirror.values.get(key, (None, 0))[1]
         revision = await self.state.transact(
@@ -135,15 +141,16 @@
         self.mirror.observe(keys.LEAVING_MEMBERS, entries, revision)
 
     async def _refresh_record(self) -> None:
-        """Read the record that another controller changed; the mirror may be late."""
+        """Read the record again after a conflict, as the mirror may lag behind."""
         item = await self.state.get(keys.LEAVING_MEMBERS, RequestPriority.URGENT)
         if item is not None:
             self.mirror.observe(keys.LEAVING_MEMBERS, item.value, item.version)
 
     async def step(self) -> None:
-        """Do what is next: give up leadership, wait for the shards to go, end the registration.
+        """Take the next step of a leave.
 
-        Raises what `resign` raises.
+        The steps are: give up leadership, wait until the shards have moved away, and end the
+        registration. Raises what `resign` raises.
         """
         if not self.is_leaving():
             self.leaving_since = None
@@ -154,7 +161,7 @@
             try:
                 await self.leader.give_up()
             except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
-                log.info("leadership is not given up yet: {error}", error=error)
+                log.info("failed to give up leadership, will retry: {error}", error=error)
             return
         if any(shard.holder == self.registration.me for shard in self.mirror.shards.values()):
             return
@@ -163,7 +170,8 @@
             or not self.registration.lease_is_valid()
         ):
             return
-        # Registered is not enough: others that ended a moment ago are so until their leases end.
+        # A registration is not enough: a controller that has just ended stays registered until its
+        # lease expires.
         serving = self.mirror.members - leaving_members(self.registration)
         if any(self.leader.shard_leasing.unreachable_since(member) is None for member in serving):
             await self.resign()
--- a/src/beamspar/sharing/messages.py
+++ b/src/beamspar/sharing/messages.py
@@ -1,7 +1,7 @@
-"""What controllers, and the operators' command, say to each other about moves of shards.
+"""Messages about moves of shards, between controllers and from the operators' command.
 
-Names that are stored or sent differ where `msgspec.field` says so: what they call a block is a
-shard.
+Some fields are sent under another name, given by `msgspec.field`: on the wire a shard is called a
+block.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class SharingPath(StrEnum):
-    """The paths, below the peers' one, of messages about sharing."""
+    """Paths of messages about sharing, below the prefix of peer messages."""
 
     PREPARE = "prepare"
     RELEASE = "release"
@@ -22,7 +22,7 @@
 
 
 class Standing(StrEnum):
-    """A controller's part in the service, as operators are shown it."""
+    """Whether a controller takes part in the service, as operators see it."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -31,7 +31,7 @@
 
 
 class MoveStage(StrEnum):
-    """How far a move is, as operators are shown it."""
+    """The stage of a move, as operators see it."""
 
     WANTED = "wanted"
     PREPARING = "preparing"
@@ -40,54 +40,55 @@
 
 
 class PrepareRequest(msgspec.Struct, frozen=True):
-    """The leader is about to move these shards (name: fencing token): start nothing new there."""
+    """Announces moves of these shards (name: fencing token): the holder pauses starts there."""
 
     member: str
     shards: dict[str, int] = msgspec.field(name="blocks")
-    # For how long; a holder that sees no move until then goes on as before.
+    # How long starts are paused; a holder that observes no move by then resumes them.
     for_s: float
 
 
 class PrepareReply(msgspec.Struct, frozen=True):
-    """The shards on which no start order of the holder's is under way any more."""
+    """The shards on which no start command of the holder is in flight any more."""
 
     ready: list[str]
 
 
 class MachineState(msgspec.Struct, frozen=True, array_like=True):
-    """What a former holder knew of one machine. Times are ages: clocks are not related.
+    """The state of one machine at its former holder.
 
-    It speeds things up; commands and heartbeats are judged by fencing token, lease and fresh
-    heartbeats as after any other move.
+    Times are sent as ages, as the clocks of controllers are unrelated. The state only saves time:
+    commands and heartbeats are checked by fencing token, lease and fresh heartbeats as after any
+    other move.
     """
 
     machine: str
-    # The new holder's fencing token, and the one that the sender had.
+    # The fencing tokens of the new holder and of the sender.
     fencing_token: int
     former_fencing_token: int
-    # Nobody before the sender can still answer this machine's worker.
+    # No holder before the sender can still answer the machine's worker.
     sole: bool
-    # How long ago somebody entitled may have answered the worker last.
+    # How long ago a holder with a valid lease may have answered the worker last.
     answered_ago_s: float
-    # The newest message of the worker, and its newest own heartbeat.
+    # Epoch and sequence number of the newest message of the worker, and of its newest heartbeat.
     agent_epoch: int
     sequence: int
     report_agent_epoch: int
     report_sequence: int
-    # Tasks of earlier epochs are proven to be gone.
+    # Tasks of earlier epochs are proven to have ended.
     min_agent_epoch: int
     silent_s: float
     idle_s: float
-    # For how long it is still in quarantine, and whether it is to be replaced.
+    # How much longer the machine is quarantined, and whether it is to be replaced.
     set_aside_s: float
     is_degraded: bool
-    # It is deleted as soon as it is empty.
+    # The machine is deleted as soon as it has no tasks.
     draining: bool
     images: dict[str, float] = {}
 
 
 class ReleaseRequest(msgspec.Struct, frozen=True):
-    """A former holder has observed that these machines are another's, and acts on none of them."""
+    """Sent by a former holder that has observed the move and no longer acts on these machines."""
 
     member: str
     incarnation: int
@@ -95,39 +96,39 @@
 
 
 class ReleaseReply(msgspec.Struct, frozen=True):
-    """What became of them; those that the receiver's mirror does not name yet are sent again."""
+    """The accepted machines, and those to send again as the receiver's mirror lags behind."""
 
     accepted: list[str]
     unknown_yet: list[str] = []
 
 
 class MoveRequest(msgspec.Struct, frozen=True):
-    """An operator wants a shard to go to a controller."""
+    """An operator's request to move a shard to a controller."""
 
     shard: str = msgspec.field(name="block")
     to: str
 
 
 class LeaveRequest(msgspec.Struct, frozen=True):
-    """An operator wants the receiver to hand everything over, or (undo) to serve on."""
+    """An operator's request that the receiver leaves the service, or with `undo` serves again."""
 
     undo: bool = False
 
 
 class CommandReply(msgspec.Struct, frozen=True):
-    """Whether a command was accepted, and why not."""
+    """Whether a command was accepted, and the reason if not."""
 
     done: bool
     reason: str = ""
 
 
 class MemberShare(msgspec.Struct, frozen=True):
-    """One controller's share of the machines, as the leader sees it."""
+    """One controller's share of the machines, as computed by the leader."""
 
     member: str
     machines: int
     shards: int = msgspec.field(name="blocks")
-    # Tasks that are bound or waiting, averaged; how late its timers fire.
+    # The average number of tasks that are bound or pending, and how late its timers fire.
     demand: float
     late_s: float
     target: float
@@ -135,23 +136,23 @@
 
 
 class MoveShown(msgspec.Struct, frozen=True):
-    """A move that is wanted, under way, or was made of late."""
+    """A move that is requested, in progress or recently completed."""
 
     shard: str = msgspec.field(name="block")
     source: str
     target: str
     reason: str
-    # A `MoveStage`; a string, for other releases may send further ones.
+    # A `MoveStage`; a string, as other releases may send further ones.
     stage: str
 
 
 class SharesReply(msgspec.Struct, frozen=True):
-    """What `beamsparctl shares` shows of one controller."""
+    """The data that `beamsparctl shares` shows of one controller."""
 
     member: str
     leader: str | None
     leading: bool
-    # A `Standing`; a string, for other releases may send further ones.
+    # A `Standing`; a string, as other releases may send further ones.
     standing: str
     shares: list[MemberShare] = []
     moves: list[MoveShown] = []
--- a/src/beamspar/sharing/move_requests.py
+++ b/src/beamspar/sharing/move_requests.py
@@ -1,4 +1,4 @@
-"""Moves that operators asked for and that are not made yet."""
+"""Moves that operators requested and that are not made yet."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from beamspar.sharing.planner import Move, MoveReason
 from beamspar.sharing.planner_inputs import ScaleInView
 
-# Moves that operators may have waiting.
-MAX_REQUESTED = 200
+# Limit of requested moves that are not made yet.
+MAX_PENDING_MOVES = 200
 
 
 class MoveRequests:
-    """Owns the requested moves, at most one for each shard; they end with this process."""
+    """Owns the requested moves, at most one for each shard; they are lost with this process."""
 
     def __init__(self, registration: Registration, leader: Leader, scale_in: ScaleInView) -> None:
         self.registration = registration
@@ -26,9 +26,9 @@
         self.moves: dict[str, Move] = {}
 
     def accept(self, request: MoveRequest) -> CommandReply:
-        """Accept a move, if it can be made; it is made with the next pass of the leader.
+        """Accept a move if it can be made; the leader makes it in its next pass.
 
-        Operators are shown the reasons: these texts call a shard a block.
+        The replies are shown to operators, for whom a shard is called a block.
         """
         shard = self.mirror.shards.get(request.shard)
         if not self.leader.ready:
@@ -41,7 +41,7 @@
             return CommandReply(False, f"{request.to} is leaving")
         if request.to == shard.holder:
             return CommandReply(True, "it is there already")
-        if len(self.moves) >= MAX_REQUESTED:
+        if len(self.moves) >= MAX_PENDING_MOVES:
             return CommandReply(False, "too many moves are waiting")
         self.moves[request.shard] = Move(
             request.shard, shard.holder, request.to, MoveReason.REQUESTED
@@ -49,11 +49,11 @@
         return CommandReply(True)
 
     def due(self) -> list[Move]:
-        """Those that can be made now: a shard with a machine that drains waits for it."""
+        """Return the moves that can be made now; a shard with a draining machine has to wait."""
         return [move for move in self.moves.values() if not self.scale_in.is_draining(move.shard)]
 
     def discard(self, moves: Iterable[Move]) -> None:
-        """Forget these, but for shards whose move was requested anew meanwhile."""
+        """Remove these moves, unless a shard's move was replaced by a newer request."""
         for move in moves:
             if self.moves.get(move.shard) is move:
                 del self.moves[move.shard]
--- a/src/beamspar/sharing/planner.py
+++ b/src/beamspar/sharing/planner.py
@@ -1,8 +1,8 @@
-"""Which shards should move, from what each controller has to do; pure, without clock or calls.
+"""Plans which shards should move, from the load of each controller.
 
-Shares follow demand within bounds, so that a controller without work of its own still carries its
-part of the heartbeats. A shard leaves its zone's controllers only when one of them leaves the
-service.
+The planner is pure: it reads no clock and makes no calls. Shares follow demand within bounds, so
+that a controller without work of its own still handles its part of the heartbeats. A shard is moved
+away from the controllers of its zone only when its holder leaves the service.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 import msgspec
 
-# How far demand moves a share away from an even one, as parts of that.
+# Bounds of a controller's share by demand, relative to an even share.
 MIN_SHARE, MAX_SHARE = 0.5, 1.5
-# How much of its share a controller loses whose timers fire late by a heartbeat or more.
+# Part of its share that a controller loses when its timers fire late by a heartbeat or more.
 MAX_LATENESS_CUT = 0.5
-# What an imbalance must come to before a shard moves: so much of the even share...
-CLEAR_IMBALANCE = 0.25
-# ...and so many times the shard, for each move costs its machines a moment without new work.
-MOVE_COST = 3.0
+# Smallest imbalance at which a shard moves, as a share of the even share...
+MIN_IMBALANCE = 0.25
+# ...and as a multiple of the shard's size, as its machines get no new work during a move.
+MIN_IMBALANCE_SHARDS = 3.0
 
 
 class MoveReason(StrEnum):
-    """Why a shard moves, as operators are shown it."""
+    """The reason of a move, as operators see it."""
 
     LEAVE = "leave"
     ZONE = "zone"
@@ -33,11 +33,11 @@
 
 
 class Load(msgspec.Struct, frozen=True):
-    """What one controller has to do."""
+    """The load of one controller."""
 
     member: str
     zone: str = ""
-    # Tasks of its jobs that are bound or waiting.
+    # Tasks of its jobs that are bound or pending.
     demand: float = 0.0
     # How late its timers fire, in heartbeats.
     lateness: float = 0.0
@@ -51,25 +51,26 @@
     holder: str
     zone: str
     machines: int
-    # It moved a short while ago, or one of its machines drains: only a leave moves it.
+    # It moved recently, or one of its machines is draining: only a leave moves it.
     is_in_cooldown: bool = False
-    # The deletion of one of its machines is under way: nothing moves it.
+    # The deletion of one of its machines is in progress: nothing moves it.
     is_pinned: bool = False
 
 
 class Move(msgspec.Struct, frozen=True):
-    """A shard that should go from one controller to another."""
+    """A planned move of a shard from one controller to another."""
 
     shard: str
     source: str
     target: str
     reason: MoveReason
-    # It is made even if the source can't prepare: by the rules of a move without its help.
+    # The move is made even if the source can't prepare for it; the target then takes the machines
+    # over as from a holder that does not cooperate.
     is_forced: bool = False
 
 
 def target_shares(loads: Sequence[Load], machines: int) -> dict[str, float]:
-    """How many of the machines each controller should hold."""
+    """Return how many of the machines each controller should hold."""
     staying = [load for load in loads if not load.is_leaving]
     if not staying:
         return {}
@@ -85,8 +86,11 @@
 
 
 def plan(loads: Sequence[Load], holdings: Iterable[Holding], max_moves: int) -> list[Move]:
-    """The next moves, at most so many: those off leaving controllers first, then those back to
-    a shard's own zone, then those that even out shares by demand."""
+    """Return the next moves, at most `max_moves`.
+
+    Moves away from leaving controllers come first, then those back to a shard's own zone, then
+    those that adjust shares to demand.
+    """
     shards = sorted(holdings, key=lambda shard: shard.name)
     known = {load.member for load in loads}
     held = dict.fromkeys(known, 0)
@@ -109,7 +113,7 @@
 
 
 class _Plan:
-    """The moves chosen so far, and what each controller would hold after them."""
+    """The moves chosen so far, and the machines each controller would hold after them."""
 
     def __init__(
         self, loads: Sequence[Load], held: dict[str, int], targets: dict[str, float], max_moves: int
@@ -123,32 +127,35 @@
         self.staying = sorted(load.member for load in loads if not load.is_leaving)
 
     def surplus(self, member: str) -> float:
-        """Machines that it holds beyond its share."""
+        """Return how many machines the controller holds beyond its share."""
         return self.held[member] - self.targets[member]
 
     def move_off_leaving(self, shard: Holding) -> None:
-        """Its holder leaves: the shard goes to its zone's controllers, else to anybody."""
-        target = self._neediest(self._candidates(shard.zone))
+        """Move a shard of a leaving holder to a controller of its zone, or else to any other."""
+        target = self._with_least_surplus(self._candidates(shard.zone))
         if target is not None:
             self._add(shard, target, MoveReason.LEAVE, is_forced=True)
 
     def move_to_zone(self, shard: Holding) -> None:
-        """A zone's machines belong to its controllers: a network partition leaves them together."""
+        """Move a shard back to a controller of its zone.
+
+        A network partition between zones then does not separate controllers from their machines.
+        """
         in_zone = self._in_zone(shard.zone)
         if in_zone and shard.holder not in in_zone and shard.holder in self.staying:
-            target = self._neediest(in_zone)
+            target = self._with_least_surplus(in_zone)
             if target is not None:
                 self._add(shard, target, MoveReason.ZONE)
 
     def move_by_load(self, shard: Holding) -> None:
-        """A shard goes where it is needed more, if that is clear enough to be worth a move."""
+        """Move a shard to the candidate with the least surplus if the imbalance is large enough."""
         group = self._candidates(shard.zone)
-        target = self._neediest(group)
+        target = self._with_least_surplus(group)
         if shard.holder not in group or target is None or target == shard.holder:
             return
-        even = sum(self.held.values()) / len(self.staying)
-        threshold = max(even * CLEAR_IMBALANCE, MOVE_COST * shard.machines)
-        # What is left after the move must still be on the better side of the threshold.
+        even_share = sum(self.held.values()) / len(self.staying)
+        # At a multiple of the shard's size, the move can't turn the imbalance round.
+        threshold = max(even_share * MIN_IMBALANCE, MIN_IMBALANCE_SHARDS * shard.machines)
         if self.surplus(shard.holder) - self.surplus(target) > threshold:
             self._add(shard, target, MoveReason.LOAD)
 
@@ -158,7 +165,7 @@
     def _candidates(self, zone: str) -> list[str]:
         return self._in_zone(zone) or self.staying
 
-    def _neediest(self, members: list[str]) -> str | None:
+    def _with_least_surplus(self, members: list[str]) -> str | None:
         return min(members, key=lambda member: (self.surplus(member), member), default=None)
 
     def _add(
@@ -173,22 +180,22 @@
 
 
 class DemandAverage:
-    """An average of each controller's demand that short bursts hardly move.
+    """An exponential moving average of each controller's demand, which smooths short bursts.
 
-    Shares followed the last heartbeat at first, and load that alternates between two controllers
-    made the same shards go back and forth.
+    If shares followed the last heartbeat alone, load that alternates between two controllers would
+    move the same shards back and forth.
     """
 
-    def __init__(self, span_s: float) -> None:
-        self.span_s = span_s
+    def __init__(self, time_constant_s: float) -> None:
+        self.time_constant_s = time_constant_s
         self._values: dict[str, tuple[float, float]] = {}
 
     def observe(self, member: str, demand: float, now: float) -> None:
-        """Take the demand by a heartbeat into the average."""
-        before, at = self._values.get(member, (demand, now))
-        share = 1.0 - math.exp(-max(now - at, 0.0) / self.span_s)
-        self._values[member] = (before + (demand - before) * share, now)
+        """Add the demand reported in a heartbeat to the average."""
+        average, observed_at = self._values.get(member, (demand, now))
+        weight = 1.0 - math.exp(-max(now - observed_at, 0.0) / self.time_constant_s)
+        self._values[member] = (average + (demand - average) * weight, now)
 
     def value(self, member: str) -> float:
-        """The average; 0 for a member that was never observed."""
+        """Return the average; 0 for a member that was never observed."""
         return self._values.get(member, (0.0, 0.0))[0]
--- a/src/beamspar/sharing/planner_inputs.py
+++ b/src/beamspar/sharing/planner_inputs.py
@@ -1,4 +1,4 @@
-"""What the planner decides by: controllers' load, their shards, and machines to be deleted."""
+"""Inputs of the planner: load and shards of the controllers, and machines to be deleted."""
 
 from __future__ import annotations
 
@@ -14,23 +14,26 @@
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock
 
-# Demand is averaged over so many workers' leases.
+# Time constant of the average of demand, in worker leases.
 AVERAGE_LEASES = 4
 
 
 class ScaleInView:
-    """Tells which shards have machines that are to be deleted, by the leader's decisions."""
+    """A view of the shards with machines that are to be deleted by decisions of the leader."""
 
     def __init__(self, registration: Registration, leader: Leader) -> None:
         self.mirror = registration.mirror
         self.leader = leader
 
     def is_draining(self, shard: str) -> bool:
-        """Is one of the shard's machines cordoned, for it is to be deleted?"""
+        """Return whether one of the shard's machines is cordoned because it is to be deleted."""
         return self._has_any_of(shard, self.leader.draining.keys())
 
     def is_pinned(self, shard: str) -> bool:
-        """Is one of them being deleted? A new holder would give it work that is lost with it."""
+        """Return whether the deletion of one of the shard's machines is requested or in progress.
+
+        A new holder would place work on the machine that is lost with it.
+        """
         instance_manager = self.leader.instance_manager
         return self._has_any_of(shard, instance_manager.to_delete) or self._has_any_of(
             shard, instance_manager.deleting
@@ -62,7 +65,7 @@
         self.demand = DemandAverage(timeouts.worker_lease * AVERAGE_LEASES)
 
     def loads(self) -> list[Load]:
-        """What the controllers that can be reached have to do."""
+        """Return the loads of the reachable controllers."""
         now = self.clock.seconds()
         leaving = leaving_members(self.registration)
         reachability = self.shard_leasing.reachability
@@ -71,7 +74,7 @@
             view = self.shard_leasing.members[member]
             self.demand.observe(member, view.demand, now)
             if reachability.was_cut_off(member):
-                # Its workers could not reach it a moment ago: it gets nothing yet.
+                # Its workers could not reach it until recently, so it gets no shards yet.
                 continue
             loads.append(
                 Load(
@@ -85,7 +88,7 @@
         return loads
 
     def holdings(self) -> list[Holding]:
-        """All shards and their holders."""
+        """Return all shards with their holders."""
         shards = self.registration.mirror.shards
         return [self._holding(name, shard) for name, shard in shards.items()]
 
--- a/src/beamspar/sharing/service.py
+++ b/src/beamspar/sharing/service.py
@@ -1,6 +1,6 @@
 """Sharing of machines among controllers: connects planner, handover, transfer and leave.
 
-It also answers the messages about sharing, of peers and of the operators' command.
+It also answers messages about sharing from peers and from the operators' command.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from beamspar.leader.leader import Leader
 from beamspar.machines.machine_controller import MachineController
 from beamspar.protocol.peer_messages import decode, encode
-from beamspar.sharing.handover import Handover, ask_to_prepare
+from beamspar.sharing.handover import Handover, send_prepare
 from beamspar.sharing.leave import Leave, leaving_members
 from beamspar.sharing.messages import (
     LeaveRequest,
@@ -35,14 +35,14 @@
 
 
 class Sharing:
-    """One controller's part in sharing machines; lasts as long as its registration."""
+    """One controller's part in sharing machines; it lives as long as its registration."""
 
     def __init__(
         self,
         clock: Clock,
         registration: Registration,
         state: StateClient,
-        holder: MachineController,
+        machine_controller: MachineController,
         leader: Leader,
         timeouts: Timeouts,
         send: Send,
@@ -55,7 +55,7 @@
         self.shard_leasing = leader.shard_leasing
         self.timeouts = timeouts
         self.send = send
-        self.transfer = Transfer(clock, registration, holder, timeouts, send)
+        self.transfer = Transfer(clock, registration, machine_controller, timeouts, send)
         self.leave = Leave(clock, registration, state, leader, timeouts, resign)
         scale_in = ScaleInView(registration, leader)
         self.handover = Handover(
@@ -63,35 +63,35 @@
         )
         self.inputs = PlannerInputs(clock, registration, leader, timeouts, self.handover, scale_in)
         self.move_requests = MoveRequests(registration, leader, scale_in)
-        self.is_stepping = False
+        self.is_step_in_progress = False
         self.shard_leasing.rebalance = self.balance
         self.shard_leasing.excluded_members = self._excluded
         leader.stands = lambda: not self.leave.is_leaving()
 
     def tick(self) -> None:
-        """Take the next step of an own leave, one at a time."""
-        if not self.is_stepping:
-            self.is_stepping = True
+        """Take the next step if this controller is leaving, unless a step is in progress."""
+        if not self.is_step_in_progress:
+            self.is_step_in_progress = True
             spawn(self._step(), "leaving")
 
     async def _step(self) -> None:
         try:
             await self.leave.step()
         finally:
-            self.is_stepping = False
+            self.is_step_in_progress = False
 
     # -- the leader's side
 
     def _excluded(self) -> set[str]:
-        """Controllers that get no shards while another one can take them."""
+        """Return the controllers that get no shards while another one can take them."""
         return leaving_members(self.registration)
 
     async def balance(self) -> None:
-        """Move what operators asked for, and what the planner finds.
+        """Make the moves that operators requested and those that the planner chooses.
 
         Raises what `ShardWriter.write` raises.
         """
-        self.handover.forget_dropped()
+        self.handover.remove_stale_cooldowns()
         max_moves = self.shard_leasing.max_moves
         holdings = self.inputs.holdings()
         moves = self.move_requests.due()[:max_moves]
@@ -107,12 +107,12 @@
     async def _prepare(self, source: str, request: PrepareRequest) -> PrepareReply:
         if source == self.registration.me:
             return await self.transfer.prepare(request)
-        return await ask_to_prepare(self.send, source, request)
+        return await send_prepare(self.send, source, request)
 
-    # -- what is shown
+    # -- replies to messages
 
     def shares(self) -> SharesReply:
-        """What operators are shown; the leader's answer has the shares and moves."""
+        """Return what operators see; only the leader's reply has the shares and moves."""
         standing = Standing.LEAVING if self.leave.is_leaving() else Standing.SERVING
         reply = SharesReply(self.registration.me, self.mirror.leader, self.leader.ready, standing)
         if not self.leader.ready:
@@ -139,9 +139,9 @@
         return SharesReply(reply.member, reply.leader, reply.leading, standing, shares, moves)
 
     async def answer(self, name: str, body: bytes) -> bytes | None:
-        """Answer a peer's or an operator's message, if it is about sharing.
+        """Answer a message of a peer or operator; return None if it is not about sharing.
 
-        Raises ValidationError or JSONDecodeError for one that is malformed.
+        Raises ValidationError or JSONDecodeError for a malformed message.
         """
         if name == SharingPath.PREPARE:
             return encode(await self.transfer.prepare(decode(body, PrepareRequest)))
@@ -157,5 +157,5 @@
 
 
 def shares_of_one_that_left(member: str) -> SharesReply:
-    """What is shown of a controller that has left: its process may be stopped."""
+    """Return what operators see of a controller that has left and whose process may be stopped."""
     return SharesReply(member, None, False, Standing.LEFT)
--- a/src/beamspar/sharing/transfer.py
+++ b/src/beamspar/sharing/transfer.py
@@ -1,8 +1,9 @@
-"""The holders' side of a handover: prepare for it, pass on what is known, adopt that.
+"""The holders' side of a handover: preparing a shard, and passing on the state of its machines.
 
-The shard's record alone says who holds a machine. What is passed on only makes the new holder
-quicker: it knows when a silent worker was answered last instead of waiting for the longest lease
-that the former holder might have had, and which machines are draining or faulty.
+Only the shard's record determines who holds a machine. The state that is passed on just saves the
+new holder time: it has the time at which a silent worker was answered last, so it need not wait for
+the longest lease that the former holder may have granted, and it knows which machines are draining
+or faulty.
 """
 
 from __future__ import annotations
@@ -30,112 +31,133 @@
 
 log = Logger(namespace="sharing")
 
-# Sends a message to a member's path and returns the body of its answer; raises CallFailedError.
+# Sends a message to a path of a member and returns the body of the reply; raises CallFailedError.
 Send = Callable[[str, str, Any, float], Awaitable[bytes]]
 
 
 class Transfer:
-    """Owns the releases that this controller still has to send; lasts as long as its
-    registration."""
+    """Owns the releases that this controller still has to send.
+
+    It lives as long as the controller's registration.
+    """
 
     def __init__(
         self,
         clock: Clock,
         registration: Registration,
-        holder: MachineController,
+        machine_controller: MachineController,
         timeouts: Timeouts,
         send: Send,
     ) -> None:
         self.clock = clock
         self.registration = registration
         self.mirror = registration.mirror
-        self.machine_controller = holder
+        self.machine_controller = machine_controller
         self.timeouts = timeouts
         self.send = send
-        # Machines that are another's now, by their new holder, with their fencing token there.
-        self.released: dict[str, dict[str, tuple[ManagedMachine, int]]] = {}
-        # How many machines were taken over with what their former holder knew.
+        # Machines that were moved away, by new holder and name, with their new fencing token.
+        self.unsent_releases: dict[str, dict[str, tuple[ManagedMachine, int]]] = {}
+        # How many machines were taken over with the state that their former holder passed on.
         self.taken_over_count = 0
-        holder.on_released = self._released
-        holder.repeats_at_once = True
+        machine_controller.on_released = self._queue_release
+        machine_controller.repeats_at_once = True
 
     # -- before the move
 
     async def prepare(self, request: PrepareRequest) -> PrepareReply:
-        """Start nothing new on the shards, and wait until no start of ours is under way there.
+        """Pause starts on the shards, and wait until no start of this controller is in flight.
 
-        Work goes on and heartbeats are answered: should the leader end now, no lease runs out.
+        Running work continues and heartbeats are still answered, so no lease expires should the
+        leader fail now. The reply names the shards that became ready in time.
         """
         if request.member != self.mirror.leader or not self.registration.lease_is_valid():
-            log.info("{member} does not lead: nothing is prepared", member=request.member)
+            log.info(
+                "ignored a prepare request of {member}: it does not lead, or this controller's"
+                " lease is not valid",
+                member=request.member,
+            )
             return PrepareReply([])
         now = self.clock.seconds()
         for_s = min(max(request.for_s, 0.0), self.timeouts.report)
-        waiting = {}
-        for name, number in request.shards.items():
+        pending = {}
+        for name, fencing_token in request.shards.items():
             shard = self.mirror.shards.get(name)
             if shard is None or (shard.holder, shard.fencing_token) != (
                 self.registration.me,
-                number,
+                fencing_token,
             ):
-                log.info("{name} is not ours under {number}", name=name, number=number)
+                log.info(
+                    "shard {name} is not held here with fencing token {fencing_token},"
+                    " not prepared for a move",
+                    name=name,
+                    fencing_token=fencing_token,
+                )
                 continue
             machines = [
                 self.machine_controller.machines.get(machine.name) for machine in shard.machines
             ]
-            waiting[name] = [machine for machine in machines if machine is not None]
-            for machine in waiting[name]:
+            pending[name] = [machine for machine in machines if machine is not None]
+            for machine in pending[name]:
                 self.machine_controller.pause_starts(machine, now + for_s)
         ready: list[str] = []
-        while waiting:
-            for name in [name for name, held in waiting.items() if not any(map(_starting, held))]:
-                del waiting[name]
+        while pending:
+            for name in [
+                name for name, held in pending.items() if not any(map(_has_start_in_flight, held))
+            ]:
+                del pending[name]
                 ready.append(name)
-            if not waiting or self.clock.seconds() >= now + for_s / 2:
+            if not pending or self.clock.seconds() >= now + for_s / 2:
                 break
             await sleep(self.clock, self.timeouts.heartbeat / 20)
         return PrepareReply(sorted(ready))
 
     # -- after the move, at the former holder
 
-    def _released(self, machine: ManagedMachine, successor: str, number: int) -> None:
-        """The mirror says that the machine is another's: send that one what we know."""
+    def _queue_release(self, machine: ManagedMachine, successor: str, fencing_token: int) -> None:
+        """Queue the state of a machine that has another holder now, to be sent to that holder."""
         if successor not in self.mirror.members:
             return
-        waiting = self.released.setdefault(successor, {})
-        if not waiting:
+        unsent = self.unsent_releases.setdefault(successor, {})
+        if not unsent:
             self.clock.callLater(0, spawn, self._release(successor), f"release to {successor}")
-        waiting[machine.info.name] = (machine, number)
+        unsent[machine.info.name] = (machine, fencing_token)
 
     async def _release(self, successor: str) -> None:
-        """Send it until it is acknowledged; the rules of a move without it hold meanwhile."""
-        # When the longest lease that we may have had is over it gains nothing more.
-        until = self.clock.seconds() + self.timeouts.registration_lease
-        waiting = self.released[successor]
-        while waiting and not self.registration.lost and self.clock.seconds() < until:
+        """Send the queued states until they are acknowledged.
+
+        Until then the successor treats the machines like those of a holder that passes nothing on.
+        """
+        # The state is of no use once the longest lease that this controller may have had is over.
+        give_up_at = self.clock.seconds() + self.timeouts.registration_lease
+        unsent = self.unsent_releases[successor]
+        while unsent and not self.registration.lost and self.clock.seconds() < give_up_at:
             pause_s = self.timeouts.heartbeat / 10
-            part = list(waiting.items())[:MAX_MACHINE_STATUSES]
-            states = [self._state(machine, number) for _, (machine, number) in part]
+            batch = list(unsent.items())[:MAX_MACHINE_STATUSES]
+            states = [self._state(machine, fencing_token) for _, (machine, fencing_token) in batch]
             request = ReleaseRequest(self.registration.me, self.registration.incarnation, states)
             try:
                 body = await self.send(successor, "release", request, self.timeouts.request)
                 reply: ReleaseReply = decode(body, ReleaseReply)
             except (CallFailedError, ValueError) as error:
-                log.info("release to {member} waits: {error}", member=successor, error=error)
+                log.info(
+                    "failed to send a release to {member}, will retry: {error}",
+                    member=successor,
+                    error=error,
+                )
                 pause_s = self.timeouts.retry
             else:
-                again = set(reply.unknown_yet)
-                for name, told in part:
-                    if name not in again and waiting.get(name) is told:
-                        del waiting[name]
+                to_resend = set(reply.unknown_yet)
+                for name, sent in batch:
+                    if name not in to_resend and unsent.get(name) is sent:
+                        del unsent[name]
             await sleep(self.clock, pause_s)
-        self.released.pop(successor, None)
+        self.unsent_releases.pop(successor, None)
 
-    def _state(self, machine: ManagedMachine, number: int) -> MachineState:
+    def _state(self, machine: ManagedMachine, fencing_token: int) -> MachineState:
         now = self.clock.seconds()
         return MachineState(
             machine.info.name,
-            number,
+            fencing_token,
             machine.fencing_token,
             machine.is_exclusive,
             now - machine.last_possible_answer_at,
@@ -154,20 +176,31 @@
     # -- after the move, at the new holder
 
     def accept(self, request: ReleaseRequest) -> ReleaseReply:
-        """Adopt what a former holder knew, of machines that we hold from it under that token."""
+        """Adopt the state that a former holder passes on.
+
+        A state is accepted only if this controller holds the machine with the fencing token in it
+        and took it over from the sender.
+        """
         accepted: list[str] = []
         unknown_yet: list[str] = []
         fence, _ = self.mirror.values.get(keys.fence(request.member), ({}, 0))
         if fence.get("inc") != request.incarnation:
-            log.info("release of a former {member} is refused", member=request.member)
+            log.info(
+                "refused a release of {member}: it is not from its present incarnation",
+                member=request.member,
+            )
             return ReleaseReply([])
         for state in request.machines:
             machine = self.machine_controller.machines.get(state.machine)
             if state.fencing_token > self.mirror.revision:
-                # The sender's mirror is ahead of ours.
+                # The sender's mirror is ahead of this controller's.
                 unknown_yet.append(state.machine)
-            elif machine is None or not self._is_from(request.member, state, machine):
-                log.info("release of {name} is refused", name=state.machine)
+            elif machine is None or not self._matches_move(request.member, state, machine):
+                log.info(
+                    "refused the release of machine {name}: it does not match the move by which"
+                    " the machine came here",
+                    name=state.machine,
+                )
             else:
                 accepted.append(state.machine)
                 if not machine.is_taken_over:
@@ -176,8 +209,8 @@
                     self._take_over(machine, state)
         return ReleaseReply(accepted, unknown_yet)
 
-    def _is_from(self, member: str, state: MachineState, machine: ManagedMachine) -> bool:
-        """Is it about the very move by which we got the machine?"""
+    def _matches_move(self, member: str, state: MachineState, machine: ManagedMachine) -> bool:
+        """Return whether the state is about the move by which this controller got the machine."""
         return (
             machine.fencing_token == state.fencing_token
             and state.former_fencing_token < state.fencing_token
@@ -187,12 +220,13 @@
     def _take_over(self, machine: ManagedMachine, state: MachineState) -> None:
         now = self.clock.seconds()
         if state.sole:
-            # The sender answers no more, and nobody before it can: what it answered last counts.
-            # Without this a machine that died as it moved was lost for a lease and a half.
+            # Neither the sender nor an earlier holder can answer the worker any more, so the
+            # sender's last answer counts. Without it, the loss of a machine that died during its
+            # move was noticed only after one and a half leases.
             answered = min(machine.last_possible_answer_at, now - state.answered_ago_s)
             machine.last_possible_answer_at = max(machine.answered_at, answered)
             machine.is_exclusive = True
-        # Copies of older reports that arrive late are known as such.
+        # Late copies of older heartbeats are recognized by epoch and sequence.
         if (machine.agent_epoch, machine.observed_seq) < (state.agent_epoch, state.sequence):
             machine.agent_epoch, machine.observed_seq = state.agent_epoch, state.sequence
         if machine.last_heartbeat_id == NO_HEARTBEAT:
@@ -210,8 +244,8 @@
         self.machine_controller.reconcile(machine)
 
 
-def _starting(machine: ManagedMachine) -> bool:
-    """Is an order of ours under way there, or a start that may still be carried out?"""
+def _has_start_in_flight(machine: ManagedMachine) -> bool:
+    """Return whether commands are being sent to the machine, or a start may still take effect."""
     return machine.is_sending_commands or any(
         machine.has_indeterminate_start(key) for key in machine.starts
     )
