--- a/src/beamspar/sharing/transfer.py
+++ b/src/beamspar/sharing/transfer.py
@@ -2,8 +2,8 @@
 
 Only the shard's record determines who holds a machine. The state that is passed on just saves the
 new holder time: it has the time at which a silent worker was answered last, so it need not wait for
-the longest lease that the former holder may have granted, and it knows which machines are draining
-or faulty.
+the longest lease that the former holder may have had, and it knows which machines are draining or
+faulty.
 """
 
 from __future__ import annotations
--- a/tests/reshuffle.py
+++ b/tests/reshuffle.py
@@ -1,11 +1,11 @@
-"""Reshuffles shares of a loopback deployment while controllers are killed and paused.
+"""Moves shards of a loopback deployment at random while controllers are killed and paused.
 
     PYTHONPATH=src:. python -m tests.reshuffle --minutes 10 --report target/reshuffle
 
-Five controllers run as real processes under steady batch load. Every few seconds blocks are moved
-to random controllers; some are killed, paused or told to leave, often as moves are under way. Ends
-with one JSON object. With `--report`, writes the history as a columnar file (Parquet) and the
-distributions as a page with plots.
+Five controllers run as real processes under steady batch load. Every few seconds shards are moved
+to random controllers. Now and then controllers are killed, paused or made to leave, often during
+moves. Prints one JSON object at the end. With `--report`, also writes the history as a columnar
+file (Parquet) and the distributions as a page with a plot.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 
 ZONES = ["east", "west", "south"]
 CONTROLLERS = 5
-# How long the deployment may take to decide at the start, and to come to rest at the end.
-START_S, REST_S = 60.0, 60.0
+# Limit of the time until a leader decides at the start, and time to settle at the end.
+START_S, SETTLE_S = 60.0, 60.0
 
 
 class Spread(msgspec.Struct):
@@ -42,7 +42,7 @@
 
     @classmethod
     def of(cls, values: list[float]) -> Spread:
-        """The distribution of these."""
+        """Return the distribution of these values."""
         if not values:
             return cls(0)
         ordered = sorted(values)
@@ -51,7 +51,7 @@
 
 
 class Result(msgspec.Struct):
-    """What a run shows; rules and ownership are judged by the stand-ins' checkers."""
+    """Results of a run; rules and ownership are checked by the stand-ins' checkers."""
 
     minutes: float
     block_moves: int
@@ -63,8 +63,8 @@
     unfinished: list[str]
     accepted: int
     tasks_started_again: int
-    # From the record's write to the first contact under the new number, both sides left alone
-    # meanwhile, and all moves.
+    # Time from the write of a shard's record to the first contact with a machine under the new
+    # fencing token: of moves without a fault in that time, and of all moves.
     gap_undisturbed: Spread
     gap_all: Spread
     submit_quiet: Spread
@@ -76,7 +76,7 @@
 
 
 class Reshuffler:
-    """Drives one run on a deployment."""
+    """Drives a run on a deployment."""
 
     def __init__(self, world: Any, minutes: float, rng: random.Random, faults: bool) -> None:
         self.world = world
@@ -84,17 +84,17 @@
         self.rng = rng
         self.faults = faults
         self.jobs = 0
-        self.going = True
-        self.moving = False
+        self.is_submitting = True
+        self.is_reshuffling = False
         self.counts = {"kill": 0, "pause": 0, "leave": 0}
-        # Until when a controller counts as disturbed.
+        # Until when the controllers count as disturbed by the last fault.
         self.disturbed_until = 0.0
         self.latencies: dict[bool, list[float]] = {False: [], True: []}
-        # Each first contact: when, how long after the write, and whether anybody was disturbed.
+        # Each first contact: its time, the time since the write, and whether a fault disturbed it.
         self.contacts: list[tuple[float, float, bool]] = []
 
     async def ask(self, member: str, path: str, message: Any) -> Any:
-        """A controller's answer to a message; None when there is none."""
+        """Return a controller's reply to a message; None if there is none."""
         try:
             answer = await self.world.network.request(
                 "tool", "POST", f"{member}:81", f"/peer/{path}", orjson.dumps(message), 2.0
@@ -104,8 +104,8 @@
         return orjson.loads(answer.body) if answer.status == 200 else None
 
     def submit(self) -> None:
-        """Steady batch load: arrays of short and of longer tasks, and a few services."""
-        if not self.going:
+        """Submit a job of the steady load: an array of short or longer tasks, or a service."""
+        if not self.is_submitting:
             return
         job = f"j-{self.jobs}"
         self.jobs += 1
@@ -114,23 +114,23 @@
         self.world.submit(job, shape=shape, parcels=self.rng.randint(1, 4), run_s=run_s)
         if shape == "standing":
             self.world.clock.callLater(self.rng.uniform(5.0, 60.0), self.world.cancel, job)
-        since, moving = self.world.clock.seconds(), self.moving
-        self.world.clock.callLater(0.02, self._accepted, job, since, moving)
+        since, is_reshuffling = self.world.clock.seconds(), self.is_reshuffling
+        self.world.clock.callLater(0.02, self._accepted, job, since, is_reshuffling)
         self.world.clock.callLater(self.rng.uniform(0.2, 0.8), self.submit)
 
-    def _accepted(self, job: str, since: float, moving: bool) -> None:
+    def _accepted(self, job: str, since: float, is_reshuffling: bool) -> None:
         at = self.world.checker.accepted.get(job)
         if at is not None:
-            self.latencies[moving].append(at - since)
+            self.latencies[is_reshuffling].append(at - since)
         elif self.world.clock.seconds() - since < 60.0:
-            self.world.clock.callLater(0.02, self._accepted, job, since, moving)
+            self.world.clock.callLater(0.02, self._accepted, job, since, is_reshuffling)
 
     def _contact(self, gap: float) -> None:
         now = self.world.clock.seconds()
         self.contacts.append((now, gap, now - gap < self.disturbed_until))
 
     async def reshuffle(self) -> None:
-        """Move some blocks to random controllers."""
+        """Move some shards to random controllers."""
         shards = sorted(k[8:] for k in self.world.state.items if k.startswith("c/block/"))
         leader = self.world.leader()
         for shard in self.rng.sample(shards, min(len(shards), 4)):
@@ -139,7 +139,7 @@
             )
 
     def disturb(self) -> None:
-        """Kill or pause one or two controllers, or let one leave and come back."""
+        """Kill one or two controllers, pause one, or let one leave and serve again."""
         alive = [n for n in self.world.names if n in self.world.network.alive]
         kind = self.rng.choice(["kill", "kill", "pause", "leave"])
         self.counts[kind] += 1
@@ -150,7 +150,7 @@
         elif kind == "pause":
             name = self.rng.choice(alive)
             self.world.hold(name, True)
-            # The same process, for a killed one is started anew.
+            # Wake this very process, as the controller may have been killed and restarted.
             process = self.world.processes[name]
             for_s = self.rng.choice([0.5, 3.0, 20.0])
             self.world.clock.callLater(for_s, self.world.wake, process)
@@ -163,13 +163,13 @@
             )
 
     async def run(self) -> Result:
-        """The whole run: quiet, then reshuffles and faults, then rest, then judgement."""
+        """Run the phases: quiet load, then moves and faults, then settling, then the results."""
         world, clock = self.world, self.world.clock
         load_before = os.getloadavg()[0]
         gaps = world.ownership.gaps
         while not (await self.ask(world.leader(), "shares", {}) or {}).get("leading"):
             if clock.seconds() > START_S:
-                raise TimeoutError("nobody decides")
+                raise TimeoutError(f"no controller leads after {START_S:.0f} s")
             await sleep(clock, 0.2)
         commands = [
             await run_command(world, "shares"),
@@ -180,12 +180,12 @@
         self.submit()
         await sleep(clock, min(20.0, self.minutes * 15))
         moves, writes = world.ownership.moves, len(world.state.history)
-        self.moving, seen = True, len(gaps)
+        self.is_reshuffling, seen = True, len(gaps)
         until, next_fault = clock.seconds() + self.minutes * 60, clock.seconds() + 5.0
         while clock.seconds() < until:
             await self.reshuffle()
             if self.faults and clock.seconds() > next_fault:
-                # Often in the middle of the moves that were just asked for.
+                # This is often during the moves that were just requested.
                 await sleep(clock, self.rng.uniform(0.0, 0.6))
                 self.disturb()
                 next_fault = clock.seconds() + self.rng.uniform(8.0, 25.0)
@@ -193,12 +193,12 @@
             for gap in gaps[seen:]:
                 self._contact(gap)
             seen = len(gaps)
-        self.going = self.moving = False
+        self.is_submitting = self.is_reshuffling = False
         written = [e.get("put") or e["drop"] for _, e in world.state.history[writes:]]
         await sleep(clock, 20.0)
         for name in world.names:
             await self.ask(name, "leave", {"undo": True})
-        await sleep(clock, REST_S)
+        await sleep(clock, SETTLE_S)
         jobs = world.checker.jobs
         unfinished = [
             job
@@ -232,7 +232,7 @@
 
 
 def write_report(result: Result, contacts: list[tuple[float, float, bool]], folder: Path) -> None:
-    """The history of first contacts as a columnar file, the distributions as a page with a plot."""
+    """Write first contacts as a columnar file, and their distribution as a page with a plot."""
     import pyarrow
     import pygal
     from hdrh.histogram import HdrHistogram
@@ -265,7 +265,7 @@
 @click.option("--faults/--no-faults", default=True, show_default=True)
 @click.option("--report", default=None, type=click.Path(path_type=Path))
 def main(minutes: float, seed: int, faults: bool, report: Path | None) -> None:
-    """Reshuffle shares under load and faults."""
+    """Move shards at random under load and faults."""
     reactor: Any = steady_reactor()
     from tests.standins.loopback import LoopbackWorld, deploy_line, drive
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Controllers that fail while a shard moves from one to another, at each moment of the move."""
+"""Controllers that fail while a shard moves between them, in each phase of the move."""
 
 from __future__ import annotations
 
@@ -12,15 +12,16 @@
 
 FAULTS = ["crash", "crash-quick", "freeze", "freeze-long", "no-state", "no-siblings", "no-workers"]
 VICTIMS = ["source", "target", "leader", "source target", "source leader", "target leader"]
-# Every fifth of 210 unless all are asked for: each two of moment, victims and fault still meet.
+# Every fifth of 210 cases, unless BEAMSPAR_ALL_MOVES is set: each pair of moment, victims and fault
+# still occurs.
 CASES = list(itertools.product(MOMENTS, VICTIMS, FAULTS))[
     :: 1 if os.environ.get("BEAMSPAR_ALL_MOVES") else 5
 ]
-TROUBLE_S = 14.0
+FAULT_DURATION_S = 14.0
 
 
 def fail(world: SharingWorld, victim: str, fault: str) -> None:
-    """The controller ends, stands still, or loses what it needs for a while."""
+    """Crash or freeze the controller, or cut it off from others for a while."""
     now = world.clock.seconds()
     others = {
         "no-state": ["state"],
@@ -33,7 +34,7 @@
         world.network.frozen[victim] = now + (34.0 if fault == "freeze-long" else 3.0)
     for other in others:
         world.network.cut(victim, other, "hold")
-        world.clock.callLater(TROUBLE_S, world.network.heal, victim, other)
+        world.clock.callLater(FAULT_DURATION_S, world.network.heal, victim, other)
 
 
 def fail_all(world: SharingWorld, names: set[str], fault: str) -> None:
@@ -42,7 +43,7 @@
 
 
 def check_whole(world: SharingWorld) -> None:
-    """No rule broken, each machine in one shard and of use there, all work done or running."""
+    """Check the rules, that each machine can be given work, and that all jobs are done or run."""
     assert world.checker.broken == []
     assert world.ownership.faults == []
     assert world.unserved() == {}
@@ -53,7 +54,7 @@
 
 
 @pytest.mark.parametrize(("moment", "victims", "fault"), CASES, ids="/".join)
-def test_a_move_survives(moment: str, victims: str, fault: str) -> None:
+def test_a_move_survives_faults(moment: str, victims: str, fault: str) -> None:
     world = SharingWorld(7)
     world.load(random.Random(7), count=40, every_s=0.5)
     world.run(20)
@@ -63,5 +64,5 @@
     world.hooks[moment] = lambda: fail_all(world, names, fault)
     assert world.say(world.leader(), "move", {"block": shard, "to": target})[0] == 200
     world.run(95)
-    assert not world.hooks, "the moment never came"
+    assert not world.hooks, "the move did not reach the moment of the fault"
     check_whole(world)
--- a/tests/test_leave.py
+++ b/tests/test_leave.py
@@ -1,4 +1,4 @@
-"""Controllers that leave in order: lead, shards and jobs go to others, whoever fails meanwhile."""
+"""Orderly leaves: leadership, shards and jobs are handed over, even if controllers fail."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("who", ["leader", "other"])
-def test_who_leaves_hands_over_everything_and_may_be_stopped(who: str) -> None:
+def test_a_leaving_controller_hands_over_everything_and_may_be_stopped(who: str) -> None:
     world = running()
     old = world.leader()
     member = old if who == "leader" else world.choose_move()[1]
@@ -44,7 +44,7 @@
     assert healthy[0][0] == 503
     assert standings(world)[member] == "left" and held(world, member) == []
     assert world.leader() not in ("", member)
-    # Its jobs are another's at once, and not when its grant would have ended.
+    # Other controllers own its jobs at once, not only when its registration lease would expire.
     assert all(
         value[0]["owner"] != member
         for key, value in world.state.items.items()
@@ -57,7 +57,7 @@
     check_whole(world)
 
 
-def test_one_that_left_serves_again_after_undo_or_when_it_is_started_again() -> None:
+def test_a_controller_that_left_serves_again_after_undo_or_a_restart() -> None:
     world = running()
     for member in ("rig-1", "rig-3"):
         assert world.say(member, "leave", {})[1]["done"]
@@ -69,14 +69,14 @@
     world.crash("rig-3", 1.0)
     world.run(60)
     assert set(standings(world).values()) == {"serving"}
-    # West is theirs, and goes back to them.
+    # They are the controllers of zone west, so its shards move back to them.
     world.run(140)
     holders = {r["holder"] for r in world.shards().values() if r["machines"][0]["zone"] == "west"}
     assert holders and holders <= {"rig-1", "rig-3"}
     check_whole(world)
 
 
-def test_undo_in_the_middle_keeps_what_is_left() -> None:
+def test_undo_during_a_leave_makes_the_controller_serve_again() -> None:
     world = running(tuning={"block_size": 1})
     member = world.choose_move()[1]
     world.tell(member, "leave", {})
@@ -87,7 +87,7 @@
     check_whole(world)
 
 
-def test_the_last_one_that_serves_is_refused_also_when_all_leave_at_once() -> None:
+def test_the_last_serving_controller_is_refused_even_if_all_leave_at_once() -> None:
     world = running()
     answers = [world.tell(name, "leave", {}) for name in world.names]
     world.run(30)
@@ -99,8 +99,8 @@
     check_whole(world)
 
 
-def test_one_that_leaves_serves_on_when_nobody_else_is_left() -> None:
-    """The others end for good before it is done: nobody counts as leaving any more."""
+def test_a_leaving_controller_keeps_serving_if_no_other_is_left() -> None:
+    """If the others end for good before the leave completes, no controller counts as leaving."""
     world = running()
     member = world.names[0]
     assert world.say(member, "leave", {})[1]["done"]
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("value", [["rig-1"], {"rig-1": "x"}, 7])
-def test_a_damaged_record_makes_nobody_leave_and_is_written_anew(value: object) -> None:
+def test_a_malformed_record_makes_no_controller_leave_and_is_rewritten(value: object) -> None:
     world = running()
     world.state._commit([{"put": "c/leaving", "data": value}])
     world.run(22)
@@ -132,16 +132,17 @@
 @pytest.mark.parametrize(
     "fault", ["crash", "crash-quick", "freeze-long", "no-state", "no-siblings"]
 )
-def test_a_leave_survives(victims: str, fault: str) -> None:
+def test_a_leave_survives_faults(victims: str, fault: str) -> None:
     world = running()
     _, member, third = world.choose_move()
     parts = {"leaver": member, "leader": world.leader(), "third": third}
     world.hooks["commit"] = lambda: [fail(world, parts[v], fault) for v in victims.split()]
     world.tell(member, "leave", {})
     world.run(110)
-    assert not world.hooks, "nothing moved"
+    assert not world.hooks, "no move was committed"
     standing = standings(world)[member]
-    # One that was started again, or whose standing was lost meanwhile, serves as a new incarnation.
+    # A controller that restarted or lost its registration during the leave serves again, as a new
+    # incarnation.
     assert standing in ("left", "serving")
     assert standing == "left" or "leaver" in victims
     if standing == "left":
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -1,4 +1,4 @@
-"""Shards that move between living controllers: what that costs, and that no machine is lost."""
+"""Moves of shards between live controllers: their cost, and that no machine is lost."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def moved_back() -> World:
-    """Controllers end and come back empty-handed, so that shards of live ones move to them."""
+    """Return a world in which a restarted controller without shards gets some of live ones."""
     world = World(
         3,
         nodes=4,
@@ -24,7 +24,7 @@
 
 
 def test_a_live_move_leaves_its_machines_without_new_work_for_less_than_a_second() -> None:
-    """The base line beside which handovers are measured (docs/sharing.md)."""
+    """The baseline that handovers are compared with (docs/sharing.md)."""
     world = moved_back()
     assert world.checker.broken == [] and world.ownership.faults == []
     assert len(world.ownership.gaps) >= 6
--- a/tests/test_moving_machines.py
+++ b/tests/test_moving_machines.py
@@ -1,4 +1,4 @@
-"""Machines, jobs and limits in trouble at the moment at which a shard moves."""
+"""Faults of machines, cancelled jobs and lower limits while a shard moves."""
 
 from __future__ import annotations
 
@@ -11,35 +11,35 @@
 from tests.standins.sharing import SharingWorld
 from tests.test_random import load
 
-Trouble = Callable[[SharingWorld, list[str], str, str], None]
-LATER_S = 24.0
+FaultInjection = Callable[[SharingWorld, list[str], str, str], None]
+FAULT_DURATION_S = 24.0
 
 
-def hang(for_s: float) -> Trouble:
-    def begin(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
+def hang(for_s: float) -> FaultInjection:
+    def inject(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
         for name in machines:
             world.cloud.workers[name].hung = True
             world.clock.callLater(for_s, setattr, world.cloud.workers[name], "hung", False)
 
-    return begin
+    return inject
 
 
 def commands_lost(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
-    """Heartbeats arrive, nothing reaches the machines."""
+    """Heartbeats arrive, but nothing reaches the machines."""
     for node in world.names:
         for name in machines:
             world.network.cut(node, name, "drop", both=False)
-            world.clock.callLater(LATER_S, world.network.heal, node, name)
+            world.clock.callLater(FAULT_DURATION_S, world.network.heal, node, name)
 
 
 def heartbeats_lost(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
     for name in machines:
         world.block_heartbeats(name)
-    world.clock.callLater(LATER_S, world.network.blocked_pairs.clear)
+    world.clock.callLater(FAULT_DURATION_S, world.network.blocked_pairs.clear)
 
 
 def old_heartbeats(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
-    """Copies of all that the machines ever reported arrive on either side."""
+    """Copies of all earlier heartbeats of the machines arrive at source and target."""
     for name in machines:
         for number, body in enumerate(world.cloud.workers[name].sent_heartbeats):
             for node in (source, target):
@@ -47,7 +47,7 @@
 
 
 def delayed_commands(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
-    """What the source sends from now on reaches the machines after the move."""
+    """Messages that the source sends from now on reach the machines after the move."""
     for name in machines:
         world.network.cut(source, name, "hold", both=False)
         world.clock.callLater(6.0, world.network.heal, source, name)
@@ -62,11 +62,11 @@
     for one in inside:
         for other in outside:
             world.network.cut(one, other, "hold")
-            world.clock.callLater(LATER_S, world.network.heal, one, other)
+            world.clock.callLater(FAULT_DURATION_S, world.network.heal, one, other)
 
 
 def cancel(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
-    """Users cancel what runs there, and then both controllers end."""
+    """Users cancel the jobs that run there, and then both controllers crash."""
     jobs = {
         task.partition("/")[0]
         for task, places in world.checker.placements.items()
@@ -79,7 +79,7 @@
 
 
 def lower_limits(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
-    """The state service gets the smaller limits that were announced."""
+    """The state service applies the lower limits that were announced."""
     world.state.lower(world.raw_settings[source]["facts"]["state"]["next"])
 
 
@@ -88,7 +88,7 @@
         world.crash(name, 5.0)
 
 
-TROUBLES = {
+FAULTS = {
     "hang": hang(6.0),
     "hang beyond the lease": hang(30.0),
     "commands lost": commands_lost,
@@ -101,17 +101,17 @@
     "both controllers end": end_both,
 }
 MOMENTS = ["prepare", "commit", "release"]
-# Each trouble at one of the moments unless all are asked for.
+# Each fault at one of the moments, unless BEAMSPAR_ALL_MOVES is set.
 CASES = [
-    (trouble, moment)
-    for number, trouble in enumerate(TROUBLES)
+    (fault, moment)
+    for number, fault in enumerate(FAULTS)
     for moment in (MOMENTS if os.environ.get("BEAMSPAR_ALL_MOVES") else [MOMENTS[number % 3]])
 ]
 
 
-@pytest.mark.parametrize(("trouble", "moment"), CASES)
-def test_a_move_in_the_middle_of_trouble(trouble: str, moment: str) -> None:
-    """Services, arrays and gangs of two teams at their limits; the checkers judge."""
+@pytest.mark.parametrize(("fault", "moment"), CASES)
+def test_a_move_during_other_faults(fault: str, moment: str) -> None:
+    """Services, arrays and gangs of two teams at their quotas run while a shard moves."""
     rng = random.Random(9)
     world = SharingWorld(
         9,
@@ -124,10 +124,10 @@
     world.run(22)
     shard, source, target = world.choose_move()
     machines = [machine["name"] for machine in world.shards()[shard]["machines"]]
-    world.hooks[moment] = lambda: TROUBLES[trouble](world, machines, source, target)
+    world.hooks[moment] = lambda: FAULTS[fault](world, machines, source, target)
     world.tell(world.leader(), "move", {"block": shard, "to": target})
     world.run(110)
-    assert not world.hooks, "the moment never came"
+    assert not world.hooks, "the move did not reach the moment of the fault"
     assert world.checker.broken == [] and world.ownership.faults == []
     assert world.unserved() == {} and world.state.oversized == []
     assert world.checker.done and world.gangs.attempts
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""The operators' commands take the arguments that their pages name; no controller answers here."""
+"""The operators' commands accept their documented arguments; no controller is running here."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "says"),
+    ("arguments", "expected"),
     [
         (["status"], "does not answer"),
         (["shares"], "does not answer"),
@@ -22,15 +22,15 @@
     ],
     ids=lambda value: value[0] if isinstance(value, list) else None,
 )
-def test_a_command_without_controllers_ends_with_one_and_says_why(
-    tmp_path: Path, words: list[str], says: str
+def test_a_command_without_controllers_exits_with_1_and_the_reason(
+    tmp_path: Path, arguments: list[str], expected: str
 ) -> None:
-    result = CliRunner().invoke(main, ["--config", str(settings_file(tmp_path)), *words])
+    result = CliRunner().invoke(main, ["--config", str(settings_file(tmp_path)), *arguments])
     assert result.exit_code == 1, result.output
-    assert says in result.output
+    assert expected in result.output
 
 
-def test_the_block_is_called_so_in_the_usage(tmp_path: Path) -> None:
+def test_the_usage_of_move_names_its_argument_block(tmp_path: Path) -> None:
     config = str(settings_file(tmp_path))
     result = CliRunner().invoke(main, ["--config", config, "move", "--help"])
     assert result.exit_code == 0
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Which shards the planner moves, and that it leaves them alone otherwise."""
+"""The planner moves the right shards, and none without a reason."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 def settle(
-    members: list[Load], holdings: list[Holding], most: int = 3
+    members: list[Load], holdings: list[Holding], max_moves: int = 3
 ) -> tuple[int, list[Holding]]:
-    """Plan and move until nothing moves any more; how many moves that took."""
+    """Plan and apply moves until none is planned; return their number and the final holdings."""
     total = 0
     for _ in range(200):
-        moves = plan(members, holdings, most)
-        assert len(moves) <= most
+        moves = plan(members, holdings, max_moves)
+        assert len(moves) <= max_moves
         if not moves:
             return total, holdings
         total += len(moves)
@@ -35,7 +35,7 @@
             msgspec.structs.replace(shard, holder=to.get(shard.name, shard.holder))
             for shard in holdings
         ]
-    raise AssertionError("it never converges")
+    raise AssertionError("the plans do not converge within 200 rounds")
 
 
 def held(holdings: list[Holding], member: str) -> int:
@@ -48,27 +48,27 @@
     assert target_shares(loads(a=0, b=0), 100) == {"a": 50, "b": 50}
 
 
-def test_a_controller_that_is_late_gets_less() -> None:
+def test_a_controller_with_late_timers_gets_a_smaller_share() -> None:
     members = [Load("a", "", 10, lateness=2.0), Load("b", "", 10)]
     shares = target_shares(members, 90)
     assert shares["a"] == pytest.approx(30) and shares["b"] == pytest.approx(60)
 
 
-def test_shards_go_where_work_waits_and_then_stay() -> None:
+def test_shards_move_to_the_controller_with_demand_and_then_stay() -> None:
     start = shards("a", 20) + shards("b", 20) + shards("c", 20)
     moved, after = settle(loads(a=10, b=10, c=100), start)
     assert 0 < moved < 20
     assert held(after, "c") > held(after, "a") and held(after, "a") > 30
 
 
-def test_an_even_fleet_is_left_alone() -> None:
+def test_an_even_distribution_causes_no_moves() -> None:
     start = shards("a", 20) + shards("b", 21) + shards("c", 19)
     assert plan(loads(a=10, b=11, c=9), start, 10) == []
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_it_always_converges(seed: int) -> None:
-    """Whatever the start: no block goes back and forth under demand that stays."""
+def test_plans_always_converge(seed: int) -> None:
+    """From any start, no shard moves back and forth under constant demand."""
     rng = random.Random(seed)
     zones = ["east", "west", "south"]
     members = [
@@ -91,7 +91,7 @@
     assert away == [] or len(leaving) == len(members)
 
 
-def test_only_a_leave_moves_a_shard_in_cooldown_and_nothing_a_pinned_one() -> None:
+def test_a_shard_in_cooldown_moves_only_on_a_leave_and_a_pinned_one_never() -> None:
     cooling_down = [
         msgspec.structs.replace(shard, is_in_cooldown=True) for shard in shards("a", 10)
     ]
@@ -106,8 +106,8 @@
     )
 
 
-def test_demand_that_alternates_moves_next_to_nothing() -> None:
-    """Planned by the last heartbeat, the same shards went back and forth with it."""
+def test_alternating_demand_causes_hardly_any_moves() -> None:
+    """Planned by the last heartbeat alone, the same shards move back and forth with the demand."""
     average = DemandAverage(68.0)
     holdings = shards("a", 20) + shards("b", 20)
     moved = {"averaged": 0, "last": 0}
--- a/tests/test_quota_allocations.py
+++ b/tests/test_quota_allocations.py
@@ -1,4 +1,8 @@
-"""A team's record that is wrong: nothing more of that team starts, and one line says so."""
+"""An invalid quota record of a team: no more tasks of the team start, and one error is logged.
+
+A record becomes invalid by malformed entries, by allocations above the quota, or by edits made by
+hand. Other teams must not be affected.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +20,7 @@
 
 @pytest.fixture
 def errors() -> Iterator[list[str]]:
-    """Lines that are logged as errors meanwhile."""
+    """Collect the lines that are logged as errors during the test."""
     found: list[str] = []
 
     def observe(event: dict[str, Any]) -> None:
@@ -32,27 +36,27 @@
     "entry",
     [[-3.0, 0.0], ["x", 0.0], [float("nan"), 0.0], [float("inf"), 0.0], [], None, 4.0, [True, 0]],
 )
-def test_another_partitions_unreadable_entry_blocks_starts(entry: Any, errors: list[str]) -> None:
+def test_a_malformed_entry_of_another_owner_blocks_starts(entry: Any, errors: list[str]) -> None:
     quota_manager, registration, script = make(ConflictError([KEY]))
     registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
     registration.mirror.observe(KEY, {"rig-0.1": [8.0, 0.0], "rig-1.1": entry}, 5)
     assert not quota_manager.reserve(job(1.0), [0])
     for _ in range(3):
         quota_manager.tick()
-    assert script.written == [], "what the others have is not known"
+    assert script.written == [], "a write although an allocation of another partition is unknown"
     assert len(errors) == 1 and "red" in errors[0] and "rig-1.1" in errors[0]
     registration.mirror.observe(KEY, {"rig-0.1": [8.0, 0.0], "rig-1.1": [2.0, 0.0]}, 6)
     assert quota_manager.reserve(job(1.0), [0])
 
 
-def test_our_own_unreadable_entry_is_rewritten() -> None:
+def test_a_malformed_own_entry_is_rewritten() -> None:
     quota_manager, registration, script = make(6)
     registration.mirror.observe(KEY, {"rig-0.1": "all", "rig-1.1": [2.0, 0.0]}, 5)
     quota_manager.tick()
     assert script.written == [(5, {"rig-1.1": [2.0, 0.0]})]
 
 
-def test_a_record_that_is_no_map_blocks_its_team(errors: list[str]) -> None:
+def test_a_record_that_is_not_a_map_blocks_its_team(errors: list[str]) -> None:
     quota_manager, registration, script = make()
     registration.mirror.observe(KEY, "none", 5)
     assert not quota_manager.reserve(job(1.0), [0])
@@ -69,7 +73,7 @@
     quota_manager.tick()
     quota_manager.tick()
     assert len(errors) == 1 and "10.0" in errors[0]
-    assert script.written[0][1] == {"rig-0.1": [4.0, 0.0], "rig-1.1": [6.0, 0.0]}, "we give back"
+    assert script.written[0][1] == {"rig-0.1": [4.0, 0.0], "rig-1.1": [6.0, 0.0]}, "excess is kept"
 
 
 def test_the_allocation_of_an_unknown_partition_counts(errors: list[str]) -> None:
@@ -98,12 +102,12 @@
     quota_manager.tick()
     assert script.written == [(5, {"rig-0.1": [5.0, 0.0], "rig-1.1": [5.0, 0.0]})]
     assert quota_manager.excess("rig-0.1", "red") == (3.0, 0.0)
-    assert quota_manager.may_start("rig-0.1", "blue"), "other teams go on"
+    assert quota_manager.may_start("rig-0.1", "blue"), "another team is blocked"
     assert len(errors) == 2 and all("rig-0.1" in line for line in errors)
 
 
-def test_an_allocation_counts_from_a_mirror_as_new_as_the_failover() -> None:
-    """Else an allocation is read that the former owner has given back since."""
+def test_an_allocation_is_used_only_with_a_mirror_as_new_as_the_failover() -> None:
+    """An older mirror may show an allocation that the former owner has released since."""
     quota_manager, registration, _ = make()
     quota_manager.loaded = lambda: {"rig-0.1", "rig-1.1"}
     registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 3)
@@ -111,7 +115,7 @@
     registration.mirror._caught_up(5)
     moved = job(4.0)
     moved.partition = "rig-1.1"
-    # Our own write is known before the watch has delivered what came between.
+    # The controller's own write is in the mirror before the watch delivers the events before it.
     registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 9)
     assert not quota_manager.reserve(moved, [0])
     registration.mirror.observe(KEY, {"rig-1.1": [2.0, 0.0], "rig-2.1": [8.0, 0.0]}, 7)
@@ -133,7 +137,7 @@
     assert parse_allocation([1.0, 2.0, 3, 4.0, 5.0, 6]) == Allocation(1.0, 2.0, 3, 4.0, 5.0, 6)
 
 
-def test_a_team_with_a_broken_record_waits_while_others_go_on() -> None:
+def test_a_team_with_an_invalid_record_waits_while_others_run() -> None:
     world = World(5, teams=[{"name": "red", "cpus_max": 8.0}, {"name": "blue", "cpus_max": 8.0}])
     world.run(4)
     world.submit("j-r", owner="red", parcels=2)
@@ -145,7 +149,8 @@
     world.submit("j-b", owner="blue", parcels=2)
     world.run(20)
     assert (world.running("j-r"), world.running("j-s"), world.running("j-b")) == (2, 0, 2)
-    # All end: what ran is restored, and not started while the record is wrong.
+    # All controllers crash: running tasks are restored, but nothing starts while the record is
+    # invalid.
     for name in world.names:
         world.crash(name, 1.0)
     world.run(40)
@@ -153,6 +158,6 @@
     world.state._commit([{"put": KEY, "data": {}}])
     world.run(60)
     assert (world.running("j-r"), world.running("j-s"), world.running("j-b")) == (2, 2, 2)
-    # The record was broken by hand, which the check of stored use sees.
+    # The record was made invalid by hand, which the checker of stored usage reports.
     assert any(line.startswith("stored_quota") for line in world.checker.broken)
     assert [line for line in world.checker.broken if not line.startswith("stored_quota")] == []
--- a/tests/test_quota_manager.py
+++ b/tests/test_quota_manager.py
@@ -1,4 +1,8 @@
-"""Allocations of a team's quota while writes get no answer, with the state service scripted."""
+"""Allocations of a team's quota while writes get no reply, with a scripted state service.
+
+A controller that relied on either outcome of such a write could exceed the quota, so it may use
+only what it has under both.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +32,7 @@
 
 
 class ScriptedState:
-    """Answers writes with the given answers, one after the other, and keeps what was written."""
+    """Answers writes with the given results in order, and records what was written."""
 
     def __init__(self, *answers: int | Exception) -> None:
         self.answers = list(answers)
@@ -69,7 +73,7 @@
 
 
 def bind_and_count(quota_manager: QuotaManager, bound_job: Job, tasks: int) -> None:
-    """Bind so many more tasks of the job, or unbind them with that stored."""
+    """Bind this many more tasks of the job, or unbind them and store that."""
     for _ in range(abs(tasks)):
         if tasks > 0:
             bound_job.quota_usage.bind(0)
@@ -79,9 +83,9 @@
     quota_manager.recount(bound_job)
 
 
-def test_what_an_indeterminate_write_gave_back_is_not_used_again() -> None:
-    # Version 5 leaves us 10. Another wants some, so we give back down to 2, without an answer;
-    # then we want more again, and that write fails for the first was carried out.
+def test_quota_released_by_an_indeterminate_write_is_not_used_again() -> None:
+    # Version 5 allocates 10. Another partition waits for quota, so a write lowers this to 2 but
+    # gets no reply. Then more is requested again, and that write fails as the first was applied.
     quota_manager, registration, script = make(
         OutcomeUnknownError("lost"), ConflictError([KEY]), OutcomeUnknownError("lost")
     )
@@ -97,17 +101,17 @@
     quota_manager.tick()
     assert len(script.written) == 2
     assert quota_manager.certain_allocation("rig-0.1", "red") == (2.0, 0.0), (
-        "the conflict proves the first write"
+        "the conflict proves that the first write was applied"
     )
     assert not quota_manager.reserve(job(4.0), [0])
-    # The watch catches up: what the mirror has holds again.
+    # The watch catches up: the allocation in the mirror may be used again.
     registration.mirror.observe(KEY, {"rig-0.1": [2.0, 0.0], "rig-1.1": [8.0, 0.0]}, 6)
     assert quota_manager.certain_allocation("rig-0.1", "red") == (2.0, 0.0)
     registration.mirror.observe(KEY, {"rig-0.1": [7.0, 0.0]}, 7)
     assert quota_manager.certain_allocation("rig-0.1", "red") == (7.0, 0.0)
 
 
-def test_an_indeterminate_allocation_is_settled_by_another_write() -> None:
+def test_an_indeterminate_write_is_resolved_by_another_write() -> None:
     quota_manager, registration, script = make(OutcomeUnknownError("lost"), 9)
     registration.mirror.observe(KEY, {"rig-0.1": [6.0, 0.0], "rig-1.1": [0.0, 0.0, 3, 4.0, 0.0]}, 5)
     bound_job = job(2.0, tasks=3)
@@ -115,8 +119,8 @@
     bind_and_count(quota_manager, bound_job, -2)
     quota_manager.tick()
     assert quota_manager.certain_allocation("rig-0.1", "red") == (2.0, 0.0)
-    # What is used again by now is what the mirror says: only the indeterminate write calls
-    # for another.
+    # The usage has grown back to the allocation in the mirror: only the indeterminate write makes
+    # another write necessary.
     bind_and_count(quota_manager, bound_job, 2)
     quota_manager.tick()
     assert len(script.written) == 2
--- a/tests/test_random_quotas.py
+++ b/tests/test_random_quotas.py
@@ -1,7 +1,7 @@
-"""Seeded random faults with every team at its quota; more seeds by BEAMSPAR_SEEDS.
+"""Seeded random faults with every team at its quota; BEAMSPAR_SEEDS sets the number of seeds.
 
-Allocations move between controllers all the time, and what moves them meets crashes of job and
-machine controllers together, machines lost and back, writes applied late and late watch events.
+Allocations move between controllers all the time, while job and machine controllers crash together,
+machines are lost and return, and writes and watch events are delayed.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def submit_job(world: World, rng: random.Random, job: str, size: int) -> None:
-    """Submit a job of a team whose quota its jobs exceed together."""
+    """Submit a job of a random team; all jobs of a team together exceed its quota."""
     shape = rng.choice(["standing", "sweep", "sweep", "ensemble"])
     owner = rng.choice(["red", "blue", "green"])
     world.submit(
@@ -44,7 +44,7 @@
 
 
 def crash_as_machines_return(world: World, rng: random.Random) -> None:
-    """Controllers crash as machines that were unreachable come back."""
+    """Crash controllers as machines that were unreachable return."""
     later = world.clock.callLater
     machines = [n for n, w in world.cloud.workers.items() if not w.dead]
     lost = rng.sample(machines, max(len(machines) // 4, 1))
@@ -69,7 +69,7 @@
 
 
 def delay_watches(world: World, rng: random.Random) -> None:
-    """Some controllers get watch events late, and one crashes meanwhile."""
+    """Delay the watch events of some controllers, and perhaps crash one during that."""
     for name in rng.sample(world.names, rng.choice([1, 2])):
         world.state.late_watches[name] = rng.choice([0.3, 1.5])
         world.clock.callLater(20.0, world.state.late_watches.pop, name, None)
@@ -96,11 +96,11 @@
         for _ in range(4 * size):
             jobs += 1
             submit_job(world, rng, f"j-{jobs}", min(size, 3))
-        trouble = rng.choice(
+        inject_fault = rng.choice(
             [crash_as_machines_return, crash_as_machines_return, delay_watches, fault, None]
         )
-        if trouble is not None:
-            trouble(world, rng)
+        if inject_fault is not None:
+            inject_fault(world, rng)
         for job in [f"j-{rng.randint(1, jobs)}" for _ in range(size)]:
             if rng.random() < 0.4 and job in world.checker.accepted:
                 world.cancel(job)
@@ -124,7 +124,7 @@
 
 
 def check_all_released(world: World) -> None:
-    """Once all jobs are over nothing is in use, and each team can fill its quota again."""
+    """Check that usage is zero once all jobs have ended and each team can fill its quota again."""
     for job in world.checker.accepted:
         if job not in world.checker.final_answers:
             world.cancel(job)
--- a/tests/test_reshuffle.py
+++ b/tests/test_reshuffle.py
@@ -1,7 +1,7 @@
-"""Real processes on loopback: shares are reshuffled while controllers are killed, paused and leave.
+"""Real processes on loopback: shards are moved while controllers are killed, paused and leave.
 
-Judged by rules and ownership only, for how long things take depends on the machine. The measurement
-is `python -m tests.reshuffle --minutes 10 --report target/reshuffle`.
+Only the checkers' rules and ownership are asserted, as durations depend on the machine. They are
+measured by `python -m tests.reshuffle --minutes 10 --report target/reshuffle`.
 """
 
 from __future__ import annotations
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Shards that move while jobs run: reshuffles under faults, machines that drain, bad requests."""
+"""Shards that move while jobs run: moves under faults, draining machines, malformed requests."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
     return world
 
 
-def test_reshuffled_shards_cost_their_machines_hardly_any_time() -> None:
+def test_moves_leave_machines_without_new_work_only_briefly() -> None:
     world = running()
     world.reshuffle(random.Random(3), until=60)
     world.run(80)
     check_whole(world)
     gaps = world.ownership.gaps
     assert len(gaps) > 50 and statistics.median(gaps) < 0.1, (len(gaps), statistics.median(gaps))
-    again = {
+    restarted = {
         j: n for j, n in world.checker.start_counts.items() if n != world.checker.jobs[j]["parcels"]
     }
-    assert again == {}, "a task was started anew for a move"
+    assert restarted == {}, "a task was started again because of a move"
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_reshuffles_under_random_faults(seed: int) -> None:
-    """No rule broken, whatever meets the moves, and everything is whole afterwards."""
+    """Random faults during moves break no rule, and all arrays end."""
     rng = random.Random(4000 + seed)
     standby = seed % 2 == 1
     world = running(4000 + seed, tuning={"standby": standby})
@@ -62,20 +62,23 @@
     assert world.checker.broken == []
     assert world.ownership.faults == []
     arrays = [job for job in world.checker.accepted if job.startswith("j-a")]
-    # Some faults are users who cancel.
+    # Some faults are cancellations by users.
     assert {world.status(job) for job in arrays} <= {"done", "withdrawn"}
 
 
 @pytest.mark.parametrize("passes_on", [True, False])
-def test_a_machine_that_dies_as_it_moves_is_soon_known_to_be_lost(passes_on: bool) -> None:
-    """What the old holder answered last counts, and not the longest lease it might have had."""
+def test_a_machine_that_dies_during_its_move_is_soon_declared_lost(passes_on: bool) -> None:
+    """The former holder's last answer counts, not the longest lease that it may have had.
+
+    Only if the former holder can't pass its state on does the new one wait for that lease as well.
+    """
     world = running()
     shard, source, target = world.choose_move()
     machine = world.shards()[shard]["machines"][0]["name"]
     if not passes_on:
         world.network.cut(source, target, "drop")
         world.clock.callLater(30.0, world.network.heal, source, target)
-    # Else it is returned as silent, which proves its loss in another way.
+    # With the cloud up the machine would be returned as silent, which also proves its loss.
     world.cloud.down = True
     world.hooks["commit"] = world.cloud.workers[machine].die
     world.tell(world.leader(), "move", {"block": shard, "to": target})
@@ -87,12 +90,12 @@
         if held is not None and held.is_expired:
             lost_s = world.clock.seconds() - since
     assert world.checker.broken == []
-    # A worker's lease; or that of the former holder as well.
+    # One worker lease, or the longest lease that the former holder may have had as well.
     assert (0 < lost_s < 20) if passes_on else lost_s > 40, lost_s
 
 
-def drains(world: SharingWorld) -> tuple[str, str]:
-    """A cordoned machine, and its shard."""
+def draining_machine(world: SharingWorld) -> tuple[str, str]:
+    """Return a cordoned machine and its shard; empty names if there is none."""
     leader = world.nodes[world.leader()].leader
     for name in sorted(leader.draining):
         return name, world.nodes[world.leader()].registration.mirror.shard_of[name]
@@ -100,17 +103,17 @@
 
 
 @pytest.mark.parametrize("way", ["asked for", "leave", "holder ends", "cloud down"])
-def test_a_machine_that_drains_as_its_share_moves(way: str) -> None:
-    """It is neither given work and returned, nor drained for ever, nor forgotten."""
+def test_a_machine_that_drains_while_its_shard_moves(way: str) -> None:
+    """The machine is not returned with work on it, nor left draining or without a holder."""
     world = SharingWorld(5)
-    # Much idle room once these are over.
+    # There is much idle capacity once these tasks have ended.
     world.run(12)
     world.submit("j-a0", shape="sweep", parcels=30, run_s=3.0, urgency="low")
     machine = shard = ""
     while not machine and world.clock.seconds() < 120:
         world.run(world.clock.seconds() + 0.1)
-        machine, shard = drains(world)
-    assert machine, "nothing drains"
+        machine, shard = draining_machine(world)
+    assert machine, "no machine is draining"
     holder = world.shards()[shard]["holder"]
     if way == "asked for":
         others = [name for name in world.names if name != holder]
@@ -124,7 +127,7 @@
         world.tell(holder, "leave", {})
         world.clock.callLater(20.0, setattr, world.cloud, "down", False)
     for number in range(8):
-        # New work wants the room meanwhile.
+        # New work needs the capacity in the meantime.
         world.clock.callLater(number * 2.0, world.submit, f"j-s{number}", parcels=2)
     returned: list[str] = []
     busy: list[str] = []
@@ -134,13 +137,16 @@
         returned = [n for n in world.ownership.names if n not in world.cloud.machines]
         busy += [n for n in returned if n in before]
     assert world.checker.broken == [] and world.ownership.faults == []
-    assert busy == [], "given work and returned"
-    assert world.unserved() == {}, "drained for ever, or forgotten"
+    assert busy == [], "a machine with running tasks was returned"
+    assert world.unserved() == {}, "a machine stays draining or has no serving holder"
     assert [j for j in world.checker.accepted if world.running(j) != 2 and "s" in j[2:]] == []
 
 
-def test_moves_go_on_beside_the_release_in_production() -> None:
-    """An old source can't prepare and an old target takes over without help: as live moves do."""
+def test_moves_work_alongside_the_release_in_production() -> None:
+    """Moves work with controllers of the release in production as source or target.
+
+    An old source can't prepare, and an old target takes machines over without the passed-on state.
+    """
     world = running(old=["rig-1", "rig-2"])
     world.reshuffle(random.Random(3), until=70)
     world.clock.callLater(20.0, world.upgrade, "rig-1", 6.0)
@@ -150,7 +156,8 @@
     assert world.ownership.moves > 10
 
 
-# A message, whom it goes to, and what its answer says; nothing changes by any of them.
+# Recipient, path and body of a message, and a part of the reply (None: status 400). None of them
+# may change anything.
 BAD = [
     ("leader", "move", {"block": "host-9", "to": "rig-1"}, "no block host-9"),
     ("leader", "move", {"block": "?", "to": "rig-9"}, "no controller rig-9"),
@@ -168,21 +175,21 @@
 ]
 
 
-@pytest.mark.parametrize(("whom", "path", "message", "says"), BAD)
+@pytest.mark.parametrize(("recipient", "path", "message", "expected"), BAD)
 def test_bad_messages_change_nothing(
-    whom: str, path: str, message: dict[str, Any], says: str | None
+    recipient: str, path: str, message: dict[str, Any], expected: str | None
 ) -> None:
     world = running()
     leader = world.leader()
-    member = leader if whom == "leader" else next(n for n in world.names if n != leader)
+    member = leader if recipient == "leader" else next(n for n in world.names if n != leader)
     shard = next(n for n, r in sorted(world.shards().items()) if r["holder"] == member)
     machine = world.shards()[shard]["machines"][0]["name"]
     held = world.nodes[member].machine_controller.machines[machine]
-    # As if that machine had moved here: a claim of a former holder that never was one.
+    # As if that machine had moved here, sent by a controller that was never its holder.
     state = MachineState(
         machine, held.fencing_token, 1, True, 99.0, 9, 9, 9, 9, 9, 0, 0, 99, True, True
     )
-    filled = {
+    replacements = {
         "?number": held.fencing_token,
         "?": shard,
         "?leader": leader,
@@ -194,7 +201,7 @@
             return {fill(key): fill(entry) for key, entry in value.items()}
         if isinstance(value, list):
             return [fill(entry) for entry in value]
-        return filled.get(value, value) if isinstance(value, str) else value
+        return replacements.get(value, value) if isinstance(value, str) else value
 
     before = (
         world.shards(),
@@ -204,8 +211,8 @@
         held.starts_paused_until,
     )
     status, answer = world.say(member, path, fill(message))
-    assert status == (400 if says is None else 200), (status, answer)
-    assert says is None or says in str(answer), answer
+    assert status == (400 if expected is None else 200), (status, answer)
+    assert expected is None or expected in str(answer), answer
     after = (
         world.shards(),
         held.is_degraded,
@@ -218,8 +225,8 @@
         assert world.tell(member, path, None, raw) == [] and world.ownership.faults == []
 
 
-def test_a_repeated_or_late_release_is_taken_once() -> None:
-    """A copy that comes after the machine moved on, or came back, belongs to another number."""
+def test_a_repeated_or_late_release_is_applied_once() -> None:
+    """A late copy of a release has an outdated fencing token once the machine has moved again."""
     world = running()
     shard, source, target = world.choose_move()
     sent: list[bytes] = []
@@ -245,8 +252,8 @@
     check_whole(world)
 
 
-def test_a_release_counts_from_the_former_holder_of_that_number_only() -> None:
-    """Everything else is refused; one that is ahead of our mirror is to be said again."""
+def test_a_release_is_accepted_only_for_the_move_from_its_sender() -> None:
+    """All other releases are refused; one that is ahead of the receiver's mirror is sent again."""
     world = running()
     shard, source, target = world.choose_move()
     world.network.cut(source, target, "drop", both=False)
@@ -273,7 +280,7 @@
     ahead = replace(right, fencing_token=node.registration.mirror.revision + 5)
     request = ReleaseRequest(source, incarnation, [ahead])
     assert node.sharing.transfer.accept(request) == ReleaseReply([], [machine])
-    # Without `sole` one before the sender may still answer: the longest lease counts.
+    # Without `sole` a holder before the sender may still answer, so the longest lease counts.
     before = held.last_possible_answer_at = world.clock.seconds() + 20.0
     held.answered_at = -1e9
     node.sharing.transfer._take_over(held, replace(right, sole=False))
@@ -290,7 +297,7 @@
     leader = world.leader()
     shard, holder, target = world.choose_move()
     machine = world.shards()[shard]["machines"][0]["name"]
-    # The cloud takes the request, and its answer is long in coming.
+    # The cloud's traffic is held, so the deletion stays in progress.
     world.network.cut(leader, "cloud", "hold")
     manager = world.nodes[leader].leader.instance_manager
     manager.scale_in([machine])
@@ -309,7 +316,7 @@
 
 
 def test_a_shard_is_not_moved_while_one_of_its_machines_drains() -> None:
-    """Neither planner nor operator moves it; it moves on once the machine is of use again."""
+    """Neither planner nor operator can move it; it moves once the machine is no longer draining."""
     world = running()
     shard, source, target = world.choose_move()
     sharing = world.nodes[world.leader()].sharing
@@ -323,8 +330,8 @@
     assert world.shards()[shard]["holder"] == target
 
 
-def test_what_waits_for_a_move_that_is_not_made_goes_on() -> None:
-    """The leader ends after it asked a holder to prepare: nothing tells the holder to resume."""
+def test_starts_paused_for_a_move_that_is_not_made_resume() -> None:
+    """If the leader ends after a prepare request, the holder has to resume without a message."""
     world = SharingWorld(5)
     world.run(12)
     until = world.clock.seconds() + 2.0
