--- a/src/beamspar/quota/quota_records.py
+++ b/src/beamspar/quota/quota_records.py
@@ -28,14 +28,14 @@
     def read(self, team: str) -> TeamQuota:
         """Return the team's record in the mirror."""
         value, version = self._mirror.values.get(keys.team_quota(team), ({}, 0))
-        known = self._newest.get(team)
-        if known is None or known.version != version:
-            known = self._newest[team] = TeamQuota(value, version)
-            if self._is_invalid(known, team):
+        newest = self._newest.get(team)
+        if newest is None or newest.version != version:
+            newest = self._newest[team] = TeamQuota(value, version)
+            if self._is_invalid(newest, team):
                 self.blocked_teams.add(team)
             else:
                 self.blocked_teams.discard(team)
-        return known
+        return newest
 
     def blocks_starts(self, team: str) -> bool:
         """Return whether the present record is invalid, so that nothing of the team may start."""
--- a/src/beamspar/sharing/planner.py
+++ b/src/beamspar/sharing/planner.py
@@ -92,14 +92,14 @@
     those that adjust shares to demand.
     """
     shards = sorted(holdings, key=lambda shard: shard.name)
-    known = {load.member for load in loads}
-    held = dict.fromkeys(known, 0)
+    members = {load.member for load in loads}
+    held = dict.fromkeys(members, 0)
     for shard in shards:
         if shard.holder in held:
             held[shard.holder] += shard.machines
     targets = target_shares(loads, sum(held.values()))
     planner = _Plan(loads, held, targets, max_moves)
-    movable = [s for s in shards if s.holder in known and s.machines and not s.is_pinned]
+    movable = [s for s in shards if s.holder in members and s.machines and not s.is_pinned]
     for shard in movable:
         if targets.get(shard.holder) == 0.0:
             planner.move_off_leaving(shard)
--- a/src/beamspar/sharing/transfer.py
+++ b/src/beamspar/sharing/transfer.py
@@ -1,9 +1,8 @@
 """The holders' side of a handover: preparing a shard, and passing on the state of its machines.
 
-Only the shard's record determines who holds a machine. The state that is passed on just saves the
-new holder time: it has the time at which a silent worker was answered last, so it need not wait for
-the longest lease that the former holder may have had, and it knows which machines are draining or
-faulty.
+Only the shard's record determines who holds a machine. The state that is passed on just saves time:
+it has when a silent worker was answered last, so that the new holder need not wait for the longest
+lease that the former holder may have had, and whether a machine is draining or faulty.
 """
 
 from __future__ import annotations
--- a/tests/reshuffle.py
+++ b/tests/reshuffle.py
@@ -93,7 +93,7 @@
         # Each first contact: its time, the time since the write, and whether a fault disturbed it.
         self.contacts: list[tuple[float, float, bool]] = []
 
-    async def ask(self, member: str, path: str, message: Any) -> Any:
+    async def send(self, member: str, path: str, message: Any) -> Any:
         """Return a controller's reply to a message; None if there is none."""
         try:
             answer = await self.world.network.request(
@@ -134,7 +134,7 @@
         shards = sorted(k[8:] for k in self.world.state.items if k.startswith("c/block/"))
         leader = self.world.leader()
         for shard in self.rng.sample(shards, min(len(shards), 4)):
-            await self.ask(
+            await self.send(
                 leader, "move", {"block": shard, "to": self.rng.choice(self.world.names)}
             )
 
@@ -156,10 +156,10 @@
             self.world.clock.callLater(for_s, self.world.wake, process)
         elif kind == "leave":
             name = self.rng.choice(alive)
-            ensureDeferred(self.ask(name, "leave", {}))
+            ensureDeferred(self.send(name, "leave", {}))
             undo = {"undo": True}
             self.world.clock.callLater(
-                self.rng.choice([1.0, 15.0]), lambda: ensureDeferred(self.ask(name, "leave", undo))
+                self.rng.choice([1.0, 15.0]), lambda: ensureDeferred(self.send(name, "leave", undo))
             )
 
     async def run(self) -> Result:
@@ -167,7 +167,7 @@
         world, clock = self.world, self.world.clock
         load_before = os.getloadavg()[0]
         gaps = world.ownership.gaps
-        while not (await self.ask(world.leader(), "shares", {}) or {}).get("leading"):
+        while not (await self.send(world.leader(), "shares", {}) or {}).get("leading"):
             if clock.seconds() > START_S:
                 raise TimeoutError(f"no controller leads after {START_S:.0f} s")
             await sleep(clock, 0.2)
@@ -197,7 +197,7 @@
         written = [e.get("put") or e["drop"] for _, e in world.state.history[writes:]]
         await sleep(clock, 20.0)
         for name in world.names:
-            await self.ask(name, "leave", {"undo": True})
+            await self.send(name, "leave", {"undo": True})
         await sleep(clock, SETTLE_S)
         jobs = world.checker.jobs
         unfinished = [
