--- a/tests/standins/checker.py
+++ b/tests/standins/checker.py
@@ -1,4 +1,4 @@
-"""Checks every rule of PROTOCOL against what workers do and what users are answered."""
+"""Checks the service's guarantees against what workers do and which replies users get."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 
 class Checker:
-    """Collects what happens outside the controllers; a broken rule is an entry in `broken`.
+    """Records events outside the controllers; each violation is an entry in `broken`.
 
-    The stand-ins call a method for each event; the `check_` methods are called every second.
+    The stand-ins call a method for each event. The `check_` methods cover what must happen within
+    a time limit and are called every second.
     """
 
     def __init__(self, clock: SimClock, cancel_s: float, limits: dict[str, tuple[float, float]]):
@@ -23,36 +24,37 @@
         self.limits = limits
         # What users submitted, by job ID.
         self.jobs: dict[str, dict[str, Any]] = {}
-        # The machines and attempts that each task is on now; a machine's type, zone and whether
-        # it is a spot machine; the indexes of each job's completed tasks.
+        # By task: the machines that it is on now, each with the attempt.
+        # By machine: its type, its zone and whether it is a spot machine.
+        # By job: the indexes of its completed tasks.
         self.placements: dict[str, set[tuple[str, int]]] = {}
         self.machines: dict[str, tuple[str, str, bool]] = {}
         self.done: dict[str, set[int]] = {}
-        # When a job was first answered as accepted.
+        # By job: when a user was first sent that it is accepted.
         self.accepted: dict[str, float] = {}
-        # Submissions that must not be taken: they fit nothing or lack a field.
+        # Jobs that must be rejected: they fit no machine type or lack a field.
         self.invalid: set[str] = set()
-        # When a query for a job was answered last; since when one waits though it could run.
+        # By job: when a query was last answered; since when it has been pending though it fits.
         self.last_answered: dict[str, float] = {}
         self.waiting_since: dict[str, float] = {}
-        # Called when the last task of a job has completed.
+        # Called when the last task of a job completes.
         self.on_finished: Callable[[str], None] = lambda job: None
-        # Jobs that were ever submitted, and the final states that users were answered, and when.
+        # Jobs that were ever submitted, and by job the final state that users were sent, and when.
         self.requested: set[str] = set()
         self.final_answers: dict[str, tuple[str, float]] = {}
-        # Attempts that started, of all jobs and of each.
+        # Numbers of started attempts: of all jobs, and by job.
         self.started = 0
         self.start_counts: dict[str, int] = {}
         self.broken: list[str] = []
 
     def report(self, rule: str, text: str) -> None:
-        """Note a broken rule."""
+        """Record a violation."""
         self.broken.append(f"{rule} at {self.clock.seconds():.2f}: {text}")
 
     # -- what workers do
 
     def start(self, task: str, attempt: int, machine: str) -> None:
-        """An attempt starts on a machine."""
+        """Record and check that an attempt starts on a machine."""
         self.started += 1
         others = [m for m, _ in self.placements.get(task, set()) if m != machine]
         if others:
@@ -67,16 +69,16 @@
             self.report("wrong_place", f"{task} in {zone}")
         if spot and not spec["standby"]:
             self.report("wrong_place", f"{task} on a spot machine")
-        # Other tasks are looked at only for a job whose zones are bound: arrays have thousands.
+        # Arrays have thousands of tasks: search them only if the job constrains zones.
         zones = self._zones_of_others(task) if spec["scatter"] or spec["together"] else []
         if spec["scatter"] and zones.count(zone) + 1 > (spec["parcels"] + 1) // 2:
             self.report("wrong_place", f"{task}: too many in {zone}")
         if spec["together"] and any(z != zone for z in zones):
             self.report("wrong_place", f"{task}: apart from its job")
         if spec["shape"] == "ensemble":
-            self._gang(job, attempt)
+            self._check_gang_attempt(job, attempt)
         self.placements.setdefault(task, set()).add((machine, attempt))
-        self._quota(spec["owner"])
+        self._check_quota(spec["owner"])
         final = self.final_answers.get(job)
         if final and final[0] == "withdrawn" and self.clock.seconds() > final[1] + self.cancel_s:
             self.report("ran_cancelled", f"{task} starts on {machine}")
@@ -90,41 +92,43 @@
             for machine, _ in places
         ]
 
-    def _gang(self, job: str, attempt: int) -> None:
-        """All run or none: an attempt begins when nothing of the one before is anywhere."""
-        old = {
+    def _check_gang_attempt(self, job: str, attempt: int) -> None:
+        """Check that no task of another attempt is on a machine when a gang's attempt starts."""
+        other_attempts = {
             (task, number)
             for task, places in self.placements.items()
             if task.startswith(job + "/")
             for _, number in places
             if number != attempt
         }
-        if old:
-            self.report("gang_mixed", f"{job} attempt {attempt} starts beside {sorted(old)}")
+        if other_attempts:
+            self.report(
+                "gang_mixed", f"{job} attempt {attempt} starts beside {sorted(other_attempts)}"
+            )
 
     def commands_sent(self, body: bytes) -> None:
-        """Commands leave a controller: none may start what a user was told is cancelled."""
+        """Check that sent commands start no job whose cancellation was confirmed to a user."""
         for order in unpack(body)["orders"]:
             final = self.final_answers.get(order["parcel"].partition("/")[0])
             if order["verb"] == "start" and final and final[0] == "withdrawn":
                 self.report("started_cancelled", order["parcel"])
 
     def stop(self, task: str, attempt: int, machine: str) -> None:
-        """An attempt has ended on a machine."""
+        """Record that an attempt ended on a machine."""
         places = self.placements.get(task, set())
         places.discard((machine, attempt))
         if not places:
             self.placements.pop(task, None)
 
     def finish(self, task: str) -> None:
-        """A task has completed."""
+        """Record that a task completed."""
         job, _, index = task.partition("/")
         self.done.setdefault(job, set()).add(int(index))
         if len(self.done[job]) == self.jobs[job]["parcels"]:
             self.on_finished(job)
 
     def team_usage(self, team: str) -> tuple[float, float]:
-        """CPUs and accelerators that the team's tasks take now."""
+        """Return the CPUs and accelerators that the team's tasks use now."""
         cpus = gpus = 0.0
         for task, places in self.placements.items():
             spec = self.jobs[task.partition("/")[0]]
@@ -133,7 +137,7 @@
                 gpus += spec["accelerators"] * len(places)
         return cpus, gpus
 
-    def _quota(self, team: str) -> None:
+    def _check_quota(self, team: str) -> None:
         cpus_max, gpus_max = self.limits.get(team, (0.0, 0.0))
         if not cpus_max and not gpus_max:
             return
@@ -141,10 +145,10 @@
         if (cpus_max and cpus > cpus_max + 1e-6) or (gpus_max and gpus > gpus_max + 1e-6):
             self.report("quota", f"{team} uses {cpus} cpus and {gpus} gpus")
 
-    # -- what users are answered
+    # -- replies to users
 
     def submitted(self, job: str, status: int) -> None:
-        """A submission of the job was answered with this status."""
+        """Record and check the status of a reply to a submission of the job."""
         if status in (200, 201):
             self.accepted.setdefault(job, self.clock.seconds())
             if job in self.invalid:
@@ -152,13 +156,17 @@
         elif status in (400, 422) and job in self.accepted:
             self.report("forgotten", f"{job} submitted again gets {status}")
 
-    def answered(self, job: str, status: int, data: Any, asked: float | None = None) -> None:
-        """A query was answered; one sent before the user was told of the end may be older."""
+    def answered(self, job: str, status: int, data: Any, sent_at: float | None = None) -> None:
+        """Record and check the reply to a query or cancellation.
+
+        A reply may report a state older than the final one if the request was sent, at `sent_at`,
+        before the user was sent that final state.
+        """
         now = self.clock.seconds()
         if (
             status == 404
             and job in self.accepted
-            and (asked is None or asked >= self.accepted[job])
+            and (sent_at is None or sent_at >= self.accepted[job])
         ):
             self.report("forgotten", f"{job} gets 404")
         if status != 200:
@@ -169,17 +177,17 @@
         self.accepted.setdefault(job, now)
         self.last_answered[job] = now
         state = data["status"]
-        old = self.final_answers.get(job, ("", 0.0))[0]
-        overlapping = asked is not None and asked < self.final_answers.get(job, ("", 0.0))[1]
-        if old in FINAL and state != old and not (overlapping and state not in FINAL):
-            self.report("went_back", f"{job} was {old}, is {state}")
+        old_state = self.final_answers.get(job, ("", 0.0))[0]
+        overlapping = sent_at is not None and sent_at < self.final_answers.get(job, ("", 0.0))[1]
+        if old_state in FINAL and state != old_state and not (overlapping and state not in FINAL):
+            self.report("went_back", f"{job} was {old_state}, is {state}")
         if state == "done" and len(self.done.get(job, set())) < self.jobs[job]["parcels"]:
             self.report("not_done", f"{job}: {sorted(self.done.get(job, set()))}")
-        if state in FINAL and old not in FINAL:
+        if state in FINAL and old_state not in FINAL:
             self.final_answers[job] = (state, now)
 
     def check_answers(self, since: float, limit_s: float = 75.0) -> None:
-        """Once all faults are over, queries for each unfinished job must be answered."""
+        """Check that queries for unfinished jobs are answered; all faults ended at `since`."""
         now = self.clock.seconds()
         for job, accepted in self.accepted.items():
             last = max(self.last_answered.get(job, accepted), accepted, since)
@@ -188,7 +196,7 @@
                 self.last_answered[job] = now
 
     def check_waiting(self, job: str, fits: bool, limit_s: float = 90.0) -> None:
-        """No task may wait for long that could run somewhere, which `fits` tells of the job."""
+        """Check that no job has pending tasks for long while `fits`, i.e. one could run."""
         now = self.clock.seconds()
         if not fits:
             self.waiting_since.pop(job, None)
@@ -196,7 +204,7 @@
             self.report("left_waiting", f"{job} since {self.waiting_since.pop(job):.0f}")
 
     def check_cancelled(self) -> None:
-        """Cancelled jobs must be off every machine in time."""
+        """Check that cancelled jobs are off every machine within `cancel_s`."""
         now = self.clock.seconds()
         for task, places in self.placements.items():
             final = self.final_answers.get(task.partition("/")[0])
--- a/tests/standins/net.py
+++ b/tests/standins/net.py
@@ -1,4 +1,4 @@
-"""A simulated network: delivery on a test clock, with partitions, held messages and dead hosts."""
+"""A simulated network on a test clock, with partitions, held messages and dead hosts."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 
 
 class Network:
-    """Carries calls between named hosts. A cut drops messages, or holds them until it is healed.
+    """Carries calls between named hosts.
 
-    It also counts connections, and refuses those beyond an address's or a host's limit.
+    A cut between two hosts drops their messages, or holds them until it is healed. The network
+    also counts connections and rejects those beyond the limit of an address or a host.
     """
 
     def __init__(self, clock: SimClock, rng: random.Random, latency: float = 0.003) -> None:
@@ -28,56 +29,57 @@
         self.cuts: dict[tuple[str, str], str] = {}
         self.held_messages: list[tuple[str, str, Callable[[], None]]] = []
         self.alive: set[str] = set()
-        # Until when a host is frozen while its clock runs on.
+        # By host: the time until which it is frozen. Its clock keeps running.
         self.frozen: dict[str, float] = {}
-        # What each message and timer takes of a host's processor, and until when it is busy.
+        # By host: processor time for each message and timer, and until when the processor is busy.
         self.cost_s: dict[str, float] = {}
-        self.busy: dict[str, float] = {}
-        # Bytes of the calls between controllers.
+        self.busy_until: dict[str, float] = {}
+        # Total size of the calls between controllers.
         self.peer_bytes = 0
-        # Per limited address: the most connections, and those open, by the caller's name.
+        # By address with a limit: the maximum of open connections, and the open ones by caller with
+        # whether each stays open between calls. By host: its addresses with a limit.
         self.most_connections: dict[str, int] = {}
         self.connections: dict[str, dict[str, bool]] = {}
         self.limited_addresses: dict[str, set[str]] = {}
-        # Calls of a host that are under way, what a host may have open, and had at most.
+        # By host: its outgoing calls in flight, its limit of open sockets and its peak of these.
         self.calls_under_way: dict[str, int] = {}
         self.socket_limits: dict[str, int] = {}
         self.peak_sockets: dict[str, int] = {}
         self.rejected_connections = 0
         self.user_connections = 0
-        # Who sent the call that is being handed over.
+        # The host that sent the call being delivered.
         self.caller = ""
-        # Which process of that name it was: each start of one counts.
+        # The generation of its process: each restart of a host counts up.
         self.caller_generation = 0
-        # Pairs of which the first can't open connections to the second.
+        # Pairs of hosts of which the first can't open connections to the second.
         self.blocked_pairs: set[tuple[str, str]] = set()
-        # Called with commands as they leave a controller.
+        # Called with the sender and body of each request with commands to a worker.
         self.on_commands: Callable[[str, bytes], None] = lambda source, body: None
 
-    def wait(self, host: str) -> float:
-        """How long until the host does something more; nothing or less: it may do so now."""
-        until = max(self.frozen.get(host, 0.0), self.busy.get(host, 0.0))
+    def seconds_until_ready(self, host: str) -> float:
+        """Return in how many seconds the host runs again; it may run now if that is 0 or less."""
+        until = max(self.frozen.get(host, 0.0), self.busy_until.get(host, 0.0))
         return until - self.clock.seconds()
 
-    def spend(self, host: str) -> None:
-        """The host deals with one message or timer: the next one waits for its processor."""
+    def occupy_processor(self, host: str) -> None:
+        """Occupy the host's processor with one message or timer; later ones have to wait."""
         cost_s = self.cost_s.get(host, 0.0)
         if cost_s:
-            self.busy[host] = self.clock.seconds() + cost_s
+            self.busy_until[host] = self.clock.seconds() + cost_s
 
     def serve(self, host: str, address: str, handler: Handler) -> None:
-        """Deliver calls to the address to this handler, in place of any before."""
+        """Deliver calls to the address to this handler, which replaces any previous one."""
         self.handlers[address] = (host, handler)
         self.alive.add(host)
 
     def cut(self, one: str, other: str, mode: str, both: bool = True) -> None:
-        """Cut the way from one host to the other; the mode is `drop` or `hold`."""
+        """Cut messages from one host to the other; the mode is `drop` or `hold`."""
         self.cuts[(one, other)] = mode
         if both:
             self.cuts[(other, one)] = mode
 
     def heal(self, one: str, other: str) -> None:
-        """End the cuts between the two, and deliver what was held."""
+        """End the cuts between the two hosts and deliver held messages."""
         for pair in ((one, other), (other, one)):
             self.cuts.pop(pair, None)
         ready = [h for h in self.held_messages if self.cuts.get((h[0], h[1])) is None]
@@ -88,24 +90,27 @@
             self.clock.callLater(self._delay(), deliver)
 
     def sockets(self, host: str) -> int:
-        """What is open at a host: connections that came in, and calls under way."""
-        came = sum(
+        """Return how many sockets a host has open: incoming connections and its own calls."""
+        incoming = sum(
             len(self.connections[address]) for address in self.limited_addresses.get(host, ())
         )
-        return came + self.calls_under_way.get(host, 0)
+        return incoming + self.calls_under_way.get(host, 0)
 
     def limit_connections(self, host: str, address: str, most: int) -> None:
-        """From now on so many connections at most may be open at the address."""
+        """Allow at most `most` open connections at the address from now on."""
         self.most_connections[address], self.connections[address] = most, {}
         self.limited_addresses.setdefault(host, set()).add(address)
 
     def _open_connection(self, source: str, address: str) -> str | None:
-        """The connection to use: an open one or a new one; None when it is rejected."""
+        """Return the name of the connection to use, open or new, or None if it is rejected.
+
+        The name is empty if the address has no limit.
+        """
         most = self.most_connections.get(address)
         connections = self.connections.setdefault(address, {})
         if most is None:
             return ""
-        # There are many users, and each has a connection of its own.
+        # There are many users; each call of one uses a new connection.
         self.user_connections += 1
         name = source if source != "users" else f"users {self.user_connections}"
         if name in connections:
@@ -126,7 +131,7 @@
         return self.latency * (0.5 + self.rng.random())
 
     def carry(self, source: str, target: str, deliver: Callable[[], None]) -> None:
-        """Deliver one message after a random delay, unless the way is cut."""
+        """Deliver one message after a random delay, unless the connection is cut."""
         mode = self.cuts.get((source, target))
         if mode == "hold":
             self.held_messages.append((source, target, deliver))
@@ -142,7 +147,7 @@
         body: bytes | None,
         limit_s: float,
     ) -> Deferred[Answer]:
-        """Make a call; fails with CallFailedError, at the latest when the limit is over."""
+        """Make a call; it fails with CallFailedError, at the latest after `limit_s`."""
         if path == "/orders" and body:
             self.on_commands(source, body)
         if path.startswith("/peer/"):
@@ -154,14 +159,14 @@
         self.peak_sockets[source] = max(self.peak_sockets.get(source, 0), self.sockets(source))
 
         def settle(answer: Answer | None) -> None:
-            wait_s = self.wait(source)
+            wait_s = self.seconds_until_ready(source)
             if wait_s > 0:
-                # What came meanwhile is read when it goes on, the time-out as well.
+                # A busy or frozen host processes replies and the time-out once it runs again.
                 self.clock.callLater(wait_s, settle, answer)
                 return
             if settled or self.generation.get(source, 0) != generation:
                 return
-            self.spend(source)
+            self.occupy_processor(source)
             settled.append(True)
             self.calls_under_way[source] -= 1
             if timer.active():
@@ -181,14 +186,14 @@
         target, _ = found
 
         def arrive() -> None:
-            wait_s = self.wait(target)
+            wait_s = self.seconds_until_ready(target)
             if wait_s > 0:
                 self.clock.callLater(wait_s, arrive)
                 return
             entry = self.handlers.get(address)
             if entry is None or target not in self.alive:
                 return
-            self.spend(target)
+            self.occupy_processor(target)
             connection = self._open_connection(source, address)
             if connection is None:
                 self.carry(target, source, lambda: settle(None))
@@ -196,23 +201,21 @@
             name, _, query_text = path.partition("?")
             query = dict(p.partition("=")[::2] for p in query_text.split("&") if p)
             self.caller, self.caller_generation = source, generation
-            answered = ensureDeferred(_await(entry[1], Call(method, name, query, body or b"")))
-            answered.addBoth(
-                lambda result: (self._close_connection(connection, address), result)[1]
-            )
-            answered.addCallback(lambda answer: self.carry(target, source, lambda: settle(answer)))
-            answered.addErrback(lambda _: self.carry(target, source, lambda: settle(None)))
+            reply = ensureDeferred(_call_handler(entry[1], Call(method, name, query, body or b"")))
+            reply.addBoth(lambda result: (self._close_connection(connection, address), result)[1])
+            reply.addCallback(lambda answer: self.carry(target, source, lambda: settle(answer)))
+            reply.addErrback(lambda _: self.carry(target, source, lambda: settle(None)))
 
         self.carry(source, target, arrive)
         return result
 
 
-async def _await(handler: Handler, call: Call) -> Answer:
+async def _call_handler(handler: Handler, call: Call) -> Answer:
     return await handler(call)
 
 
 class HostNet:
-    """The network as one process sees it; a restarted process gets a new one."""
+    """The network interface of one process; a restarted process gets a new one."""
 
     def __init__(
         self,
@@ -222,7 +225,7 @@
         failure: type[Exception] = CallFailedError,
     ) -> None:
         self.network = network
-        # What a failed call raises in the release that this process runs.
+        # The exception for a failed call in the release that this process runs.
         self.failure = failure
         self.host = host
         self.connection_limits = connection_limits
@@ -256,7 +259,7 @@
 
 
 class HostClock:
-    """The clock of one process: its timers die with it, and it drifts (PROTOCOL)."""
+    """The clock of one process: it drifts, and its timers end with the process."""
 
     def __init__(self, network: Network, host: str, drift: float = 0.0) -> None:
         self.network = network
@@ -273,9 +276,9 @@
     def _run(self, f: Callable[..., Any], args: tuple[Any, ...]) -> None:
         if self.network.generation.get(self.host, 0) != self.generation:
             return
-        wait_s = self.network.wait(self.host)
+        wait_s = self.network.seconds_until_ready(self.host)
         if wait_s > 0:
             self.network.clock.callLater(wait_s, self._run, f, args)
         else:
-            self.network.spend(self.host)
+            self.network.occupy_processor(self.host)
             f(*args)
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -1,4 +1,4 @@
-"""A whole simulated deployment: controllers, stand-ins, users and faults."""
+"""A simulated deployment: controllers, stand-ins of all other systems, users and faults."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class World:
-    """Owns all parts of the deployment, plays its users and causes its faults."""
+    """Owns all parts of the deployment, acts as its users and injects faults."""
 
     def __init__(self, seed: int = 1, **options: Any) -> None:
         self.clock = self.make_clock()
@@ -65,7 +65,7 @@
         )
         state["next"] = next_limits
         self.stored_use = StoredUse(self.state.items, self.checker.limits, self.checker.report)
-        self.state.on_commit = self._committed
+        self.state.on_commit = self._on_commit
         self.ownership = OwnershipChecker(
             self.clock, lambda machine: machine not in self.cloud.machines
         )
@@ -86,7 +86,7 @@
             ],
             "limits": options.get("limits", {}),
         }  # fmt: skip
-        # As the settings file has them; each release takes what it knows.
+        # As in the settings file; each release reads the fields that it has.
         self.raw_settings = {
             name: {
                 "member": name, "public_addr": f"{name}:80", "peer_bind": f"{name}:81",
@@ -102,10 +102,10 @@
         self.settings = {
             name: msgspec.convert(raw, Settings) for name, raw in self.raw_settings.items()
         }
-        # Controllers that run production's release until they are upgraded.
+        # Controllers that run the release in production until they are upgraded.
         old = options.get("old", [])
         self.old = set(self.names if old == "all" else old)
-        # Processes of production's release; what they sent may be carried out late.
+        # Processes of the production release; their transactions may be applied late.
         self.old_processes: set[Writer | None] = set()
         self.operator_settings = OperatorSettings(**options.get("tuning", {}))
         self.nodes: dict[str, Any] = {}
@@ -122,32 +122,35 @@
         for name in self.names:
             self.network.socket_limits[name] = self.settings[name].platform.limits.sockets
             self.boot(name)
-        self.network.on_commands = self._commands_sent
-        self.checker.on_finished = self._job_finished
-        # Users that repeat queries, or cancel jobs as they end: until when, and for which share.
+        self.network.on_commands = self._check_commands
+        self.checker.on_finished = self._on_job_finished
+        # Users repeat queries, or cancel jobs as these finish: the time at which that ends, and
+        # the share of jobs affected.
         self.repeating_queries: tuple[float, float] = (-1.0, 0.0)
         self.cancelling_at_end: tuple[float, float] = (-1.0, 0.0)
-        # Copies of heartbeats: until when, which share, and whether they wait for a new leader.
+        # Duplicated heartbeats: the time at which that ends, the share duplicated, and whether the
+        # copies are held back until another leader is elected.
         self.duplicating_heartbeats: tuple[float, float, bool] = (-1.0, 0.0, False)
         self.delayed_heartbeats: list[bytes] = []
         self.last_leader = ""
-        # Since when all faults are over.
+        # The time at which the last fault ended.
         self.faults_over_at: float | None = None
         self._check_each_second()
         self._watch_leader()
 
     def make_clock(self) -> Any:
-        """The clock of everything outside the controllers."""
+        """Return the clock of everything outside the controllers."""
         return SimClock()
 
     def make_network(self) -> Network:
-        """What carries the calls."""
+        """Return the network that carries the calls."""
         return Network(self.clock, self.rng)
 
-    def _committed(self, keys: list[str], writer: Writer | None) -> None:
-        """Stored jobs fit stored shares after each write, unless production's release wrote it.
+    def _on_commit(self, keys: list[str], writer: Writer | None) -> None:
+        """Check after each write that stored jobs fit the stored quota allocations.
 
-        Production frees shares too early; what it leaves behind must not get worse by ours.
+        A write of the production release isn't reported, as that release frees allocations too
+        early. The excess that it leaves must not grow by writes of the present release.
         """
         self.ownership.committed(keys, self.state.items)
         self.stored_use.written(keys, str(writer), reported=writer not in self.old_processes)
@@ -155,7 +158,7 @@
     def _make_worker(self, machine: dict[str, Any]) -> Worker:
         kind = next(t for t in TYPES if t["label"] == machine["rig_kind"])
         worker = self._new_worker(machine, kind)
-        worker.on_heartbeat = self._heartbeat_sent
+        worker.on_heartbeat = self._on_heartbeat
         worker.on_fencing_token = self.ownership.acted
         return worker
 
@@ -170,32 +173,35 @@
         if self.faults_over_at is not None:
             self.checker.check_answers(self.faults_over_at)
             for job in self.checker.accepted:
-                waits = self.has_waiting_tasks(job)
-                self.checker.check_waiting(job, waits and self.may_run(job))
+                is_pending = self.has_pending_tasks(job)
+                self.checker.check_waiting(job, is_pending and self.is_placeable(job))
         self.clock.callLater(1.0, self._check_each_second)
 
-    def has_waiting_tasks(self, job: str) -> bool:
-        """Has the job tasks that are neither done nor on a machine?"""
+    def has_pending_tasks(self, job: str) -> bool:
+        """Return whether the job has tasks that are neither completed nor on a machine."""
         if job in self.checker.final_answers or self.checker.jobs[job].get("faulty"):
             return False
-        there = sum(
+        placed = sum(
             1 for task, places in self.checker.placements.items()
             if places and task.partition("/")[0] == job
         )  # fmt: skip
         done = len(self.checker.done.get(job, ()))
-        return there + done < self.checker.jobs[job]["parcels"]
+        return placed + done < self.checker.jobs[job]["parcels"]
 
-    def may_run(self, job: str) -> bool:
-        """Would one more task of it fit some machine and its team's limit? Gangs aside."""
+    def is_placeable(self, job: str) -> bool:
+        """Return whether one more task of the job fits a machine and the team's quota.
+
+        Always False for gangs and for jobs of several tasks that have to share a zone.
+        """
         spec = self.checker.jobs[job]
         if spec["shape"] == "ensemble" or (spec["together"] and spec["parcels"] > 1):
             return False
         used = self.checker.team_usage(spec["owner"])
-        for have, limit, more in zip(
+        for in_use, limit, needed in zip(
             used, self.checker.limits[spec["owner"]], (spec["cpus"], spec["accelerators"]),
             strict=True,
         ):  # fmt: skip
-            if limit and have + more > limit + 1e-6:
+            if limit and in_use + needed > limit + 1e-6:
                 return False
         zones = [self.checker.machines[m][1] for m in self.machines_of(job)]
         return any(self._fits(spec, worker, zones) for worker in self.cloud.workers.values())
@@ -210,37 +216,42 @@
             return False
         if spec["scatter"] and zones.count(worker.zone) >= (spec["parcels"] + 1) // 2:
             return False
-        there = [
+        placed_specs = [
             self.checker.jobs[task.partition("/")[0]]
             for (task, _), state in worker.tasks.items()
             if state["status"] != "ended"
         ]
         return all(
-            sum(s[field] for s in there) + spec[field] <= worker.kind[field] + 1e-6
+            sum(s[field] for s in placed_specs) + spec[field] <= worker.kind[field] + 1e-6
             for field in ("cpus", "accelerators", "memory_gb")
         )
 
     # -- faults
 
-    def _commands_sent(self, source: str, body: bytes) -> None:
-        """No controller starts what it can know to be cancelled; one cut off has its lease.
+    def _check_commands(self, source: str, body: bytes) -> None:
+        """Check that no controller starts a job whose cancellation it is able to observe.
 
-        It can't know while it is frozen, or is without the state service and a peer, which
-        may be the one that confirmed it. A machine that it can't reach is no excuse.
+        A controller can't observe it while it is frozen, or while it reaches neither the state
+        service nor one of its peers, which may be the one that confirmed the cancellation. Such a
+        controller may send commands within its lease. An unreachable machine exempts none.
         """
         frozen = self.network.frozen.get(source, -10.0) > self.clock.seconds() - 1.0
-        cut = {other for pair in self.network.cuts if source in pair for other in pair} - {source}
-        unserved = "state" in cut or source in self.state.refused_hosts or self.state.slow_s > 0
-        if not frozen and not (unserved and cut & set(self.names)):
+        unreachable = {other for pair in self.network.cuts if source in pair for other in pair} - {
+            source
+        }
+        unserved = (
+            "state" in unreachable or source in self.state.refused_hosts or self.state.slow_s > 0
+        )
+        if not frozen and not (unserved and unreachable & set(self.names)):
             self.checker.commands_sent(body)
 
     def leader(self) -> str:
-        """The leader by the stored record, for a process may not know yet."""
+        """Return the leader by the stored record; a process may not have observed it yet."""
         item = self.state.items.get("c/leader")
         return str(item[0]["name"]) if item else ""
 
     def _watch_leader(self) -> None:
-        """Heartbeats that were delayed until the next leader arrive as it begins, at all nodes."""
+        """Deliver delayed heartbeats to all controllers when another leader is elected."""
         name = self.leader()
         if name and name != self.last_leader:
             self.last_leader = name
@@ -250,23 +261,23 @@
             self.delayed_heartbeats.clear()
         self.clock.callLater(0.05, self._watch_leader)
 
-    def _heartbeat_sent(self, body: bytes) -> None:
-        until, share, for_next = self.duplicating_heartbeats
+    def _on_heartbeat(self, body: bytes) -> None:
+        until, share, until_next_leader = self.duplicating_heartbeats
         if self.clock.seconds() > until or self.rng.random() >= share:
             return
-        if for_next:
+        if until_next_leader:
             self.delayed_heartbeats.append(body)
             return
-        wait = 2.0 + 2 * self.worker_settings["lease_s"] * self.rng.random()
+        delay_s = 2.0 + 2 * self.worker_settings["lease_s"] * self.rng.random()
         node = self.rng.choice(self.names)
-        self.clock.callLater(wait, self.call, node, "POST", "/v1/report", body)
+        self.clock.callLater(delay_s, self.call, node, "POST", "/v1/report", body)
 
     def block_heartbeats(self, machine: str) -> None:
-        """The machine opens no connection to any controller; commands and their answers pass."""
+        """Block the machine's connections to all controllers; commands and their replies pass."""
         self.network.blocked_pairs.update((machine, node) for node in self.names)
 
     def cancel_now(self, jobs: list[str], hang_s: float = 0.0) -> None:
-        """Users cancel these jobs at once; up to eight of their machines hang so long."""
+        """Cancel these jobs within 0.2 s; up to eight of their machines hang for `hang_s`."""
         machines = sorted({m for job in jobs for m in self.machines_of(job)})[:8]
         for machine in machines if hang_s else ():
             worker = self.cloud.workers[machine]
@@ -275,13 +286,13 @@
         for job in jobs:
             self.clock.callLater(0.2 * self.rng.random(), self.cancel, job)
 
-    def _job_finished(self, job: str) -> None:
+    def _on_job_finished(self, job: str) -> None:
         until, share = self.cancelling_at_end
         if self.clock.seconds() <= until and self.rng.random() < share:
             self.clock.callLater(0.01 * self.rng.random(), self.cancel, job)
 
     def _repeat_queries(self, job: str) -> None:
-        """Users query every controller again and again, and repeat their submission."""
+        """Query every controller several times in quick succession and repeat the submission."""
         until, share = self.repeating_queries
         if self.clock.seconds() > until:
             return
@@ -293,22 +304,22 @@
             self.clock.callLater(0.002, self.cancel, job)
 
     def send_invalid_requests(self, until: float) -> None:
-        """Repeat unfinished jobs, cancel finished ones, and submit jobs that are invalid."""
+        """Resubmit unfinished jobs altered, cancel completed ones and submit invalid ones."""
         if self.clock.seconds() > until:
             return
-        going = [j for j in self.checker.accepted if j not in self.checker.final_answers]
+        unfinished = [j for j in self.checker.accepted if j not in self.checker.final_answers]
         done = [j for j, (state, _) in self.checker.final_answers.items() if state == "done"]
-        if going:
-            job = self.rng.choice(going)
-            less = dict(self.checker.jobs[job], cpus=1e6)
-            del less["shape"]
-            self.call(self.rng.choice(self.names), "POST", "/submissions", less).addCallback(
+        if unfinished:
+            job = self.rng.choice(unfinished)
+            altered = dict(self.checker.jobs[job], cpus=1e6)
+            del altered["shape"]
+            self.call(self.rng.choice(self.names), "POST", "/submissions", altered).addCallback(
                 lambda result: self.checker.submitted(job, result[0])
             )
         if done:
             self.cancel(self.rng.choice(done))
-        bad = f"j-bad-{self.clock.seconds():.1f}"
-        for name, spec in ((f"{bad}-a", dict(JOB, cpus=1e6)), (f"{bad}-b", dict(JOB))):
+        prefix = f"j-bad-{self.clock.seconds():.1f}"
+        for name, spec in ((f"{prefix}-a", dict(JOB, cpus=1e6)), (f"{prefix}-b", dict(JOB))):
             spec["id"] = name
             if name.endswith("b"):
                 del spec["owner"]
@@ -323,7 +334,7 @@
     # -- controllers
 
     def boot(self, name: str) -> None:
-        """Start a controller's process."""
+        """Start a controller process."""
         self.network.alive.add(name)
         platform = self.settings[name].platform
         connection_limits = ConnectionLimits(Sockets.of(platform.limits.sockets, platform.nodes))
@@ -339,34 +350,34 @@
         ensureDeferred(node.start())
 
     def crash(self, name: str, back_s: float | None = 6.0) -> None:
-        """Kill a controller's process; it restarts after so long, or never."""
+        """Kill a controller process; it restarts after `back_s`, or never if that is None."""
         self.network.generation[name] = self.network.generation.get(name, 0) + 1
         self.network.alive.discard(name)
         self.network.calls_under_way[name] = 0
         for address in (self.addresses[name], self.settings[name].peer_bind):
             self.network.connections[address] = {}
-        self.network.busy.pop(name, None)
+        self.network.busy_until.pop(name, None)
         if back_s is not None:
-            self.clock.callLater(back_s, self._back, name, self.network.generation[name])
+            self.clock.callLater(back_s, self._restart, name, self.network.generation[name])
 
     def upgrade(self, name: str, back_s: float) -> None:
-        """The process is killed, and comes back with these sources."""
+        """Kill the process and restart it with the present release."""
         self.old.discard(name)
         self.crash(name, back_s)
 
-    def _back(self, name: str, generation: int) -> None:
-        """One process of a name at a time, however often it crashed meanwhile."""
+    def _restart(self, name: str, generation: int) -> None:
+        """Start the process unless it crashed again: only one process of a name may run."""
         if self.network.generation[name] == generation:
             self.boot(name)
 
     def run(self, until: float) -> None:
-        """Advance the simulation to that time."""
+        """Advance the simulation to the time `until`."""
         self.clock.advance_to(until)
 
     # -- users
 
     def call(self, node: str, method: str, path: str, body: Any = None) -> Deferred[Any]:
-        """A user's call: its status and answer, or 0 and nothing when it failed."""
+        """Make a user's call; the result is its status and body, or 0 and {} if it failed."""
         raw = body if isinstance(body, bytes) else pack(body) if body is not None else None
         done = self.network.request("users", method, self.addresses[node], path, raw, 5.0)
         done.addCallbacks(
@@ -376,7 +387,7 @@
         return done
 
     def submit(self, job: str, node: str | None = None, **fields: Any) -> None:
-        """A user submits a job, and queries its state until it is final."""
+        """Submit a job as a user and query its state until that is final."""
         spec = {**JOB, **fields, "id": job}
         if spec["shape"] != "standing" and "eta_s" not in fields:
             spec["eta_s"] = 5.0
@@ -384,34 +395,34 @@
         self.checker.requested.add(job)
         self._submit(job, node, 60)
 
-    def _submit(self, job: str, node: str | None, tries: int) -> None:
+    def _submit(self, job: str, node: str | None, retries: int) -> None:
         target = node or self.rng.choice(self.names)
-        asked = self.clock.seconds()
+        sent_at = self.clock.seconds()
 
         def answered(result: tuple[int, Any]) -> None:
             status, data = result
-            new = job not in self.checker.accepted
+            is_new = job not in self.checker.accepted
             self.checker.submitted(job, status)
             if status in (200, 201):
-                self.checker.answered(job, 200, data, asked)
-                if new:
+                self.checker.answered(job, 200, data, sent_at)
+                if is_new:
                     self.clock.callLater(5.0, self._query, job)
                     self._repeat_queries(job)
-            elif status not in (400, 422) and tries:
-                self.clock.callLater(1.0, self._submit, job, None, tries - 1)
+            elif status not in (400, 422) and retries:
+                self.clock.callLater(1.0, self._submit, job, None, retries - 1)
 
         body = {k: v for k, v in self.checker.jobs[job].items() if k not in ("run_s", "faulty")}
         self.call(target, "POST", "/submissions", body).addCallback(answered)
 
     def _query(self, job: str, once: bool = False, node: str | None = None) -> None:
         node = node or self.rng.choice(self.names)
-        asked = self.clock.seconds()
+        sent_at = self.clock.seconds()
 
         def answered(result: tuple[int, Any]) -> None:
-            old = job in self.checker.final_answers
-            self.checker.answered(job, *result, asked)
+            was_final = job in self.checker.final_answers
+            self.checker.answered(job, *result, sent_at)
             final = self.checker.final_answers.get(job, ("", 0))[0]
-            if final and not old:
+            if final and not was_final:
                 self._repeat_queries(job)
             if not once and final not in FINAL:
                 self.clock.callLater(5.0, self._query, job)
@@ -419,14 +430,14 @@
         self.call(node, "GET", f"/submissions/{job}").addCallback(answered)
 
     def cancel(self, job: str, node: str | None = None) -> None:
-        """A user cancels a job, and repeats that until it is answered."""
+        """Cancel a job as a user, retrying until the reply has status 200 or 404."""
         target = node or self.rng.choice(self.names)
-        asked = self.clock.seconds()
+        sent_at = self.clock.seconds()
 
         def answered(result: tuple[int, Any]) -> None:
-            old = job in self.checker.final_answers
-            self.checker.answered(job, *result, asked)
-            if job in self.checker.final_answers and not old:
+            was_final = job in self.checker.final_answers
+            self.checker.answered(job, *result, sent_at)
+            if job in self.checker.final_answers and not was_final:
                 self._repeat_queries(job)
             if result[0] not in (200, 404):
                 self.clock.callLater(1.0, self.cancel, job)
@@ -436,7 +447,7 @@
     # -- state of the deployment
 
     def running(self, job: str) -> int:
-        """How many of the job's tasks run on live machines."""
+        """Return how many of the job's tasks run on live machines."""
         return sum(
             1
             for worker in self.cloud.workers.values()
@@ -445,7 +456,7 @@
         )
 
     def machines_of(self, job: str) -> set[str]:
-        """The machines that tasks of the job are on."""
+        """Return the machines that the job's tasks are on."""
         return {
             m
             for task, places in self.checker.placements.items()
@@ -454,5 +465,5 @@
         }
 
     def status(self, job: str) -> str:
-        """The final state that users were answered, or `live`."""
+        """Return the final state that users were sent, or `live`."""
         return self.checker.final_answers.get(job, ("live", 0.0))[0]
