--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""How the suite is shared out among test processes (`pytest -n`)."""
+"""How the suite is distributed over test processes (`pytest -n`)."""
 
 from __future__ import annotations
 
@@ -6,24 +6,27 @@
 
 import pytest
 
-# These start real processes, build into `target/app` and listen on loopback. They run in one test
-# process, one after the other: two of them at a time would rebuild what the other one runs.
+# These start real processes, build into `target/app` and listen on loopback. They run one after
+# the other in one test process: of two at a time, one would rebuild what the other runs.
 REAL_PROCESS_FILES = ("test_program.py", "test_loopback.py", "test_reshuffle.py")
 GROUP = "real-processes"
 
 
 def work_unit(nodeid: str) -> str:
-    """Tests with the same work unit run in the same process; most are units of their own."""
+    """Return the work unit of a test; tests of one unit run in the same process.
+
+    Each test is its own unit, except for those that start real processes.
+    """
     path = nodeid.split("::", 1)[0]
     return GROUP if path.endswith(REAL_PROCESS_FILES) else nodeid
 
 
 @pytest.hookimpl(optionalhook=True)
 def pytest_xdist_make_scheduler(config: pytest.Config, log: Any) -> Any:
-    """Keep the real processes together.
+    """Run the tests with real processes in one test process.
 
-    `--dist loadgroup` with marks would do the same, but pytest-xdist 3.8 sets an attribute for it
-    that pytest 9.2 no longer reads, and every test is then a group of its own.
+    `--dist loadgroup` with marks is meant for this, but pytest-xdist 3.8 sets an attribute for it
+    that pytest 9.2 no longer reads, so that every test becomes a group of its own.
     """
     from xdist.scheduler import LoadScopeScheduling
 
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Our own state service, cloud, workers and users, made from PROTOCOL, on simulated time."""
+"""Stand-ins for the state service, cloud, workers and users, on simulated time."""
--- a/tests/standins/clock.py
+++ b/tests/standins/clock.py
@@ -1,4 +1,4 @@
-"""A simulated clock for thousands of timers: twisted's own sorts them all for each new one."""
+"""A simulated clock for thousands of timers; twisted's Clock sorts all timers at each new one."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
         self.timers: list[tuple[float, int, DelayedCall]] = []
 
     def seconds(self) -> float:
-        """The time now."""
+        """Return the current simulated time."""
         return self.now
 
     def callLater(  # noqa: N802
         self, delay: float, f: Callable[..., Any], *args: Any, **kw: Any
     ) -> DelayedCall:
-        """Call the function after the delay; the result can be cancelled or put off."""
+        """Call the function after the delay; the returned call can be cancelled or delayed."""
         call = DelayedCall(
             self.now + delay, f, args, kw, lambda _: None, lambda _: None, self.seconds
         )
@@ -33,13 +33,13 @@
         return call
 
     def advance_to(self, until: float) -> None:
-        """Run all timers that are due up to then."""
+        """Advance to the time `until`, running all timers that are due by then."""
         while self.timers and self.timers[0][0] <= until:
             at, _, call = heapq.heappop(self.timers)
             if not call.active():
                 continue
             if call.getTime() > at:
-                # It was put off meanwhile.
+                # The call was delayed after it was scheduled.
                 self.scheduled_count += 1
                 heapq.heappush(self.timers, (call.getTime(), self.scheduled_count, call))
                 continue
--- a/tests/standins/history.py
+++ b/tests/standins/history.py
@@ -1,4 +1,4 @@
-"""Checks the history of leaders: their decision logs, replicas of these, and stored records."""
+"""Checks the history of leaders: their decision logs, the replicas and the stored records."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LeaderHistory:
-    """Collects what is decided and replicated; a contradiction is an entry in `faults`."""
+    """Records logged and replicated decisions; each violation is an entry in `faults`."""
 
     def __init__(self) -> None:
         self.entries: dict[tuple[int, int], Decision] = {}
@@ -24,30 +24,33 @@
         self.faults: list[str] = []
 
     def decided(self, term: int, index: int, decision: Decision) -> None:
-        """A leader has logged a decision: no other decision may have that term and index."""
+        """Record a decision that a leader logged; its term and index must be unique."""
         if (term, index) in self.entries:
             self.faults.append(f"two decisions are {term}.{index}")
         self.entries[(term, index)] = decision
 
     def replicated(self, replica: int, term: int, index: int, decision: Decision) -> None:
-        """A follower has applied an entry: the one that was decided, in order, once."""
+        """Check that a follower applies the logged decisions, in order and once each."""
         if self.entries.get((term, index)) != decision:
             self.faults.append(f"{term}.{index} is not what was decided")
-        before = self.applied.get(replica)
-        if before is not None and (term < before[0] or (term, index - 1) != before):
-            self.faults.append(f"{term}.{index} is applied after {before}")
+        previous = self.applied.get(replica)
+        if previous is not None and (term < previous[0] or (term, index - 1) != previous):
+            self.faults.append(f"{term}.{index} is applied after {previous}")
         self.applied[replica] = (term, index)
 
     def restored(self, replica: int, term: int, index: int) -> None:
-        """A follower has taken a snapshot that stands for this index."""
-        before = self.applied.get(replica)
-        if before is not None and (term, index) < before:
-            self.faults.append(f"a snapshot of {term}.{index} replaces {before}")
+        """Check that a snapshot up to this index is not older than what the follower applied."""
+        previous = self.applied.get(replica)
+        if previous is not None and (term, index) < previous:
+            self.faults.append(f"a snapshot of {term}.{index} replaces {previous}")
         self.applied[replica] = (term, index)
 
     def stored(self, history: list[tuple[int, dict[str, Any]]]) -> None:
-        """Shards change only in writes that also renew the leader's record, by one leader at a
-        time, and no machine is ever in two shards."""
+        """Check the stored history of shards.
+
+        Shards change only in transactions that also write the leader's record, which only one
+        leader at a time can do. No machine is ever in two shards.
+        """
         by_revision: dict[int, list[dict[str, Any]]] = {}
         for revision, event in history:
             by_revision.setdefault(revision, []).append(event)
@@ -66,7 +69,7 @@
 
 @contextmanager
 def watched() -> Iterator[LeaderHistory]:
-    """All decision logs and replicas that are written meanwhile are checked."""
+    """Check all decision logs and replicas that are written inside the context."""
     history = LeaderHistory()
     decide, apply = DecisionLog.decide, Replica.apply
 
--- a/tests/standins/loopback.py
+++ b/tests/standins/loopback.py
@@ -1,6 +1,7 @@
-"""A deployment of real processes: controllers by the deploy line, all else served over TCP.
+"""A deployment of real controller processes, with stand-ins that serve over loopback TCP.
 
-The stand-ins and their users are those of the simulated deployment, on the real reactor.
+Controllers are started with the command of the deploy file. The stand-ins and users are those of
+the simulated deployment, run by the real reactor.
 """
 
 from __future__ import annotations
@@ -60,7 +61,7 @@
 
 
 class LoopbackClock:
-    """The reactor's monotonic time, from the start of the deployment."""
+    """The reactor's monotonic time since the start of the deployment."""
 
     def __init__(self, reactor: Any) -> None:
         self.reactor = reactor
@@ -74,7 +75,7 @@
 
 
 class LoopbackNetwork(Network):
-    """Carries calls over TCP; each address of the simulation stands for a port."""
+    """Carries calls over TCP; each address of the simulation is mapped to a port."""
 
     def __init__(self, clock: Any, rng: Any, reactor: Any) -> None:
         super().__init__(clock, rng)
@@ -83,7 +84,7 @@
         self.net = TcpNet(reactor, 1.5, 15.0, Sockets.of(10_000, 3))
 
     def real_address(self, address: str) -> str:
-        """Where the address is served."""
+        """Return the TCP address to which the simulated address is mapped."""
         if address not in self.ports:
             with socket.socket() as probe:
                 probe.bind((HOST, 0))
@@ -109,7 +110,7 @@
 
 
 class LoopbackWorker(Worker):
-    """A worker that reports the port at which it takes commands."""
+    """A worker that reports the TCP address at which it accepts commands."""
 
     def message(self) -> dict[str, Any]:
         network: Any = self.network
@@ -117,7 +118,7 @@
 
 
 class LoopbackWorld(World):
-    """The deployment. The reactor runs it; `stop` ends the controllers' processes."""
+    """The deployment; the reactor runs it, and `stop` kills the controller processes."""
 
     def __init__(self, reactor: Any, seed: int, run_line: list[str], **options: Any) -> None:
         self.reactor = reactor
@@ -139,7 +140,7 @@
         )  # fmt: skip
 
     def settings_file(self, name: str) -> Path:
-        """The settings of one controller, as the platform would hand them over."""
+        """Write the settings of one controller as the platform provides them; return the path."""
         raw = self.raw_settings[name]
         network: Any = self.network
         text = SETTINGS.format(
@@ -180,7 +181,7 @@
             )
 
     def crash(self, name: str, back_s: float | None = 6.0) -> None:
-        """Kill the process without a signal that it could handle."""
+        """Kill the process with SIGKILL, which it can't handle."""
         self.processes[name].kill()
         self.processes[name].wait()
         super().crash(name, back_s)
@@ -190,25 +191,28 @@
         self.processes[name].send_signal(signal.SIGSTOP if on else signal.SIGCONT)
 
     def wake(self, process: subprocess.Popen[bytes]) -> None:
-        """Resume a process that was suspended, if it is still there."""
+        """Resume a suspended process if it still exists."""
         if process.poll() is None:
             process.send_signal(signal.SIGCONT)
 
     def stop(self) -> None:
-        """End all controllers."""
+        """Kill all controller processes."""
         for process in self.processes.values():
             process.kill()
             process.wait()
 
 
 def deploy_line(file: str = "standby.toml") -> list[str]:
-    """The line that runs the service, as a file below `deploy/` has it."""
+    """Return the command that runs the service, from the named file below `deploy/`."""
     deploy = tomllib.loads((ROOT / "deploy" / file).read_text())
     return [sys.executable, *deploy["run"].split()[1:]]
 
 
 def drive(reactor: Any, world: LoopbackWorld, work: Coroutine[Any, Any, Any]) -> Any:
-    """Run a tool's work on the deployment and end that; its result, or exit with status 1."""
+    """Run a tool's work on the deployment, then stop that.
+
+    Return the result of the work, or exit with status 1 if it fails.
+    """
     results: list[Any] = []
     failures: list[str] = []
     done: Deferred[Any] = ensureDeferred(work)
--- a/tests/standins/ownership.py
+++ b/tests/standins/ownership.py
@@ -1,4 +1,4 @@
-"""Checks who holds machines, over every stored revision and everything that workers take."""
+"""Checks which controllers own machines, by each stored revision and accepted command."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 
 
 class OwnershipChecker:
-    """Follows shards as they are stored; a contradiction is an entry in `faults`.
+    """Tracks the stored shards; each violation is an entry in `faults`.
 
-    A machine is in no shard before its first lease, then in exactly one until it was returned.
-    Under one token only one controller acts on it. `gaps` has, for each machine whose shard got
-    another holder, how long its worker waited for the first contact under the new fencing token.
+    A machine is in no shard before its first lease, and then in exactly one until it is returned
+    to the cloud. Under one fencing token only one controller acts on it. `gaps` has an entry for
+    each machine whose shard got another holder: the seconds from the stored change to the first
+    contact with its worker under the new fencing token.
     """
 
     def __init__(self, clock: Any, is_returned: Callable[[str], bool]) -> None:
@@ -32,7 +33,7 @@
         self.faults: list[str] = []
 
     def committed(self, keys: list[str], items: dict[str, Any]) -> None:
-        """A transaction has changed these keys."""
+        """Check the shards after a transaction that changed these keys."""
         changed = [key for key in keys if key.startswith(SHARD_PREFIX)]
         if not changed:
             return
@@ -45,19 +46,19 @@
                 holder = before[key][0]
                 if holder and holder != value["holder"]:
                     self.moves += 1
-                    started = (revision, self.clock.seconds())
-                    self.moving.update((self.names[m], started) for m in machines)
+                    move = (revision, self.clock.seconds())
+                    self.moving.update((self.names[m], move) for m in machines)
         self._check()
 
     def _check(self) -> None:
-        held = BitMap.union(*(machines for _, machines in self.shards.values()), BitMap())
-        if sum(len(machines) for _, machines in self.shards.values()) != len(held):
+        in_shards = BitMap.union(*(machines for _, machines in self.shards.values()), BitMap())
+        if sum(len(machines) for _, machines in self.shards.values()) != len(in_shards):
             self.faults.append(f"a machine is in two shards at {self.clock.seconds():.2f}")
-        for machine in self.leased - held:
+        for machine in self.leased - in_shards:
             if not self.is_returned(self.names[machine]):
                 name, now = self.names[machine], self.clock.seconds()
                 self.faults.append(f"{name} is in no shard at {now:.2f}")
-        self.leased = held
+        self.leased = in_shards
 
     def _id(self, machine: str) -> int:
         if machine not in self.ids:
@@ -66,11 +67,13 @@
         return self.ids[machine]
 
     def acted(self, machine: str, token: int, controller: str) -> None:
-        """The worker has taken an answer or an order."""
+        """Check that a worker accepted a reply or command under this fencing token."""
         if controller and self.acting.setdefault((machine, token), controller) != controller:
-            other = self.acting[(machine, token)]
-            self.faults.append(f"{controller} and {other} act on {machine} under {token}")
-        revision, since = self.moving.get(machine, (0, 0.0))
+            first_controller = self.acting[(machine, token)]
+            self.faults.append(
+                f"{controller} and {first_controller} act on {machine} under {token}"
+            )
+        revision, moved_at = self.moving.get(machine, (0, 0.0))
         if revision and token >= revision:
             del self.moving[machine]
-            self.gaps.append(self.clock.seconds() - since)
+            self.gaps.append(self.clock.seconds() - moved_at)
--- a/tests/standins/releases.py
+++ b/tests/standins/releases.py
@@ -1,8 +1,8 @@
-"""Releases of the service that a simulated deployment can run: these sources, and production's.
+"""Releases of the service that a simulated deployment can run: present and production.
 
-Production's are the sources of the commit that `deploy/service.toml` names, taken from the
-repository's history into `target/` and loaded as a second set of modules. A clone without that
-commit fails.
+The present release is the source tree. The production release is the commit that
+`deploy/service.toml` names, extracted from the repository's history into `target/` and loaded as
+a second set of modules. It can't be loaded in a clone without that commit.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 PACKAGE = "beamspar"
 
 
-# Where each release keeps what a deployment needs: production's names and these sources'.
+# By the module with the Node class, whose name differs by release: the HTTP module.
 HTTP_MODULES = {"control.node": "http", "node.node": "transport.http"}
 
 
 class Release:
-    """One set of the service's modules, and what a deployment needs of it."""
+    """One set of the service's modules, with access to what a deployment needs."""
 
     def __init__(self, modules: dict[str, ModuleType], node_module: str) -> None:
         self.modules = modules
@@ -43,7 +43,7 @@
 
     @property
     def call_failed(self) -> type[Exception]:
-        """What a call without a usable answer raises; the first release names it otherwise."""
+        """The exception for a failed call, which has another name in the production release."""
         http = self.module(HTTP_MODULES[self.node_module])
         found: type[Exception] = getattr(http, "CallFailedError", None) or http.CallFailed
         return found
@@ -51,7 +51,7 @@
     def node(
         self, clock: Any, net: Any, raw_settings: dict[str, Any], operator_settings: Any, rng: Any
     ) -> Any:
-        """A controller; settings that it does not know are ignored, as from the file."""
+        """Return a controller; settings unknown to its release are ignored, as in a file."""
         settings_module = self.module("settings")
         settings = msgspec.convert(raw_settings, settings_module.Settings)
         name = "Tuning" if hasattr(settings_module, "Tuning") else "OperatorSettings"
@@ -67,14 +67,14 @@
 
 @functools.cache
 def present() -> Release:
-    """These sources."""
+    """Return the release in the source tree."""
     importlib.import_module(f"{PACKAGE}.node.node")
     return Release(_loaded(), "node.node")
 
 
 @functools.cache
 def production() -> Release:
-    """The sources that the deploy file names as running in production."""
+    """Return the release that the deploy file names as running in production."""
     folder = extract()
     present()
     kept = _loaded()
@@ -97,10 +97,11 @@
 
 
 def _resolve(release: Release) -> None:
-    """Look up the annotations of all messages and records now.
+    """Resolve the annotations of all messages and records now.
 
-    msgspec does so at first use, in the module that goes by the name then: once these sources
-    are back in their place, production's messages would be made of our types.
+    msgspec resolves them at first use, in the module that `sys.modules` then has under that name.
+    Once the present modules are restored there, messages of the production release would get
+    field types of the present one.
     """
     for module in release.modules.values():
         for value in vars(module).values():
@@ -109,13 +110,16 @@
 
 
 def production_commit() -> str:
-    """The commit that runs in production, by the deploy file."""
+    """Return the commit that runs in production, from the deploy file."""
     deploy = tomllib.loads((ROOT / "deploy" / "service.toml").read_text())
     return str(deploy["production"])
 
 
 def extract() -> Path:
-    """Production's sources below `target/`; several test processes may ask at once."""
+    """Return the folder below `target/` with the production sources, extracting them first.
+
+    Several test processes may call this at the same time.
+    """
     commit = production_commit()
     folder = ROOT / "target" / f"production-{commit}"
     if folder.exists():
@@ -132,7 +136,7 @@
     try:
         os.rename(made, folder)
     except OSError:
-        # Another process was first.
+        # Another process was faster.
         shutil.rmtree(made)
         if not folder.exists():
             raise
--- a/tests/standins/stored_use.py
+++ b/tests/standins/stored_use.py
@@ -1,10 +1,10 @@
 """Checks after every write to the state stand-in that stored jobs fit the stored allocations.
 
-A controller may end between any two writes, and its successor starts what the records of its
-jobs bind. So at every moment, for every team with a quota, the tasks bound by the stored job
-records of a partition must fit the partition's allocation in the team's record, and the
-allocations of all partitions must fit the quota. A team can exceed its quota only some time after
-that fails.
+A controller may crash between any two writes, and its successor starts the tasks that the stored
+job records bind. So after every write, for every team with a quota, the tasks bound by the stored
+job records of a partition must fit the partition's allocation in the team's record, and the
+allocations of all partitions must fit the quota. This fails some time before tasks that run
+exceed the quota.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class StoredUse:
-    """Tracks what the stored job records bind, and by how much that exceeds the allocations."""
+    """Tracks the resources bound by stored job records and their excess over allocations."""
 
     def __init__(
         self,
@@ -35,18 +35,19 @@
         self.items = items
         self.limits = {team: limit for team, limit in limits.items() if any(limit)}
         self.report = report
-        # Per job with a stored record: its partition, its team and what its record binds.
+        # By job with a stored record: its partition, its team and the resources that it binds.
         self.jobs: dict[str, tuple[str, str, Amounts]] = {}
-        # By how much a partition's jobs exceed its allocation, or (no partition) a team its quota.
+        # By team and partition: the excess of the partition's jobs over its allocation. With an
+        # empty partition: the excess of the team's allocations over its quota.
         self.excess: dict[tuple[str, str], Amounts] = {}
 
     def written(self, keys: list[str], writer: str, reported: bool) -> None:
-        """Check after a transaction; only an excess that it has increased is reported."""
+        """Check after a transaction; an excess is reported only if the transaction increased it."""
         for key in keys:
             if key.startswith(JOB_PREFIX):
-                self._count(key.removeprefix(JOB_PREFIX))
+                self._update_job(key.removeprefix(JOB_PREFIX))
             elif key.startswith(CHUNK_PREFIX):
-                self._count(key.split("/")[1])
+                self._update_job(key.split("/")[1])
         if not any(key.startswith((JOB_PREFIX, CHUNK_PREFIX, QUOTA_PREFIX)) for key in keys):
             return
         excess = self._excess()
@@ -58,7 +59,7 @@
                 self.report("stored_quota", f"{team}: {what} by {amounts}, written by {writer}")
         self.excess = excess
 
-    def _count(self, job: str) -> None:
+    def _update_job(self, job: str) -> None:
         item = self.items.get(JOB_PREFIX + job)
         if item is None:
             self.jobs.pop(job, None)
@@ -79,8 +80,8 @@
     def _excess(self) -> dict[tuple[str, str], Amounts]:
         used: dict[tuple[str, str], Amounts] = {}
         for partition, team, amounts in self.jobs.values():
-            known = used.get((team, partition), (0.0, 0.0))
-            used[(team, partition)] = (known[0] + amounts[0], known[1] + amounts[1])
+            total_used = used.get((team, partition), (0.0, 0.0))
+            used[(team, partition)] = (total_used[0] + amounts[0], total_used[1] + amounts[1])
         found: dict[tuple[str, str], Amounts] = {}
         for team, limit in self.limits.items():
             record = self.items.get(QUOTA_PREFIX + team, ({},))[0]
@@ -89,22 +90,22 @@
                 sum(cpus for cpus, _ in allocations.values()),
                 sum(gpus for _, gpus in allocations.values()),
             )
-            _add(found, (team, ""), total, limit, limit)
+            _add_excess(found, (team, ""), total, limit, limit)
             for (owner, partition), amounts in used.items():
                 if owner == team:
                     allocated = allocations.get(partition, (0, 0))
-                    _add(found, (team, partition), amounts, allocated, limit)
+                    _add_excess(found, (team, partition), amounts, allocated, limit)
         return found
 
 
-def _add(
+def _add_excess(
     found: dict[tuple[str, str], Amounts],
     key: tuple[str, str],
     amounts: Amounts,
     allowed: Amounts,
     limit: Amounts,
 ) -> None:
-    """Note by how much the amounts exceed what is allowed; without a limit nothing counts."""
+    """Add the excess of the amounts over `allowed` to `found`, where the team has a limit."""
     excess = tuple(
         max(have - most, 0.0) if cap else 0.0
         for have, most, cap in zip(amounts, allowed, limit, strict=True)
