--- a/tests/standins/sharing.py
+++ b/tests/standins/sharing.py
@@ -30,7 +30,7 @@
         # By moment: a function to call once, when a move next reaches it.
         self.hooks: dict[str, Callable[[], None]] = {}
         super().__init__(seed, **{**defaults, **options}, tuning=tuning)
-        self._send_request = self.network.request
+        self._carry = self.network.request
         self.network.request = self._request_with_hooks  # type: ignore[method-assign]
 
     def _run_hook(self, moment: str) -> None:
@@ -51,7 +51,7 @@
             self._run_hook("commit")
         if path == "/peer/release":
             self._run_hook("release")
-        reply = self._send_request(source, method, address, path, body, limit_s)
+        reply = self._carry(source, method, address, path, body, limit_s)
         if path == "/peer/prepare":
             reply.addCallback(lambda answer: (self._run_hook("prepared"), answer)[1])
         if is_move:
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -1,4 +1,4 @@
-"""Seeded random faults against the checker of all rules; more seeds by BEAMSPAR_SEEDS."""
+"""Random faults by seed, with all checks on; BEAMSPAR_SEEDS sets the number of seeds."""
 
 from __future__ import annotations
 
@@ -15,94 +15,96 @@
 
 
 def fault(world: World, rng: random.Random) -> None:
-    """Inject one fault, alone or on top of those that still last."""
+    """Inject one random fault; earlier ones may still last."""
     names = world.names
     machines = [n for n, w in world.cloud.workers.items() if not w.dead]
     machine = rng.choice(machines) if machines else None
     later = world.clock.callLater
-    span = rng.choice([1.0, 5.0, 12.0, 25.0, 45.0])
+    duration_s = rng.choice([1.0, 5.0, 12.0, 25.0, 45.0])
     kind = rng.randrange(22)
     if kind == 0:
         for name in rng.sample(names, rng.randint(1, len(names))):
             world.crash(name, rng.choice([0.1, 1.0, 6.0, 40.0]))
     elif kind == 1:
         world.state.outage(True)
-        later(span, world.state.outage, False)
+        later(duration_s, world.state.outage, False)
     elif kind == 2 and machine:
         world.cloud.workers[machine].die()
     elif kind == 3 and machine:
         worker = world.cloud.workers[machine]
         worker.hung = True
-        later(span, setattr, worker, "hung", False)
+        later(duration_s, setattr, worker, "hung", False)
     elif kind == 4 and machine:
         for name in names:
             world.network.cut(name, machine, rng.choice(["drop", "hold"]), both=False)
-            later(span, world.network.heal, name, machine)
+            later(duration_s, world.network.heal, name, machine)
     elif kind == 5:
         node = rng.choice(names)
         others = ["state", "cloud", *(n for n in names if n != node)]
         mode = rng.choice(["drop", "hold"])
         for other in rng.sample(others, rng.randint(1, len(others))):
             world.network.cut(node, other, mode)
-            later(span, world.network.heal, node, other)
+            later(duration_s, world.network.heal, node, other)
     elif kind == 6 and machine:
         for body in world.cloud.workers[machine].sent_heartbeats[-20:]:
-            later(rng.random() * span, world.call, rng.choice(names), "POST", "/v1/report", body)
+            later(
+                rng.random() * duration_s, world.call, rng.choice(names), "POST", "/v1/report", body
+            )
     elif kind == 7:
         node = rng.choice(names)
         mode = rng.choice(["drop", "hold"])
         for other in machines:
             if rng.random() < 0.5:
                 world.network.cut(node, other, mode)
-                later(span, world.network.heal, node, other)
+                later(duration_s, world.network.heal, node, other)
     elif kind == 8 and machine:
         world.cloud.workers[machine].is_faulty = rng.random() < 0.7
     elif kind == 9:
         world.cloud.down = not world.cloud.down
     elif kind == 10:
         world.state.late_share = rng.choice([0.1, 0.4])
-        later(span, setattr, world.state, "late_share", 0.0)
+        later(duration_s, setattr, world.state, "late_share", 0.0)
     elif kind == 11:
         world.state.slow_s = rng.choice([0.3, 1.5])
-        later(span, setattr, world.state, "slow_s", 0.0)
+        later(duration_s, setattr, world.state, "slow_s", 0.0)
     elif kind == 12:
         for name in rng.sample(names, rng.randint(1, len(names))):
-            world.network.frozen[name] = world.clock.seconds() + min(span, 25.0)
+            world.network.frozen[name] = world.clock.seconds() + min(duration_s, 25.0)
     elif kind == 14:
         node = rng.choice([world.leader() or names[0], rng.choice(names)])
         world.state.refused_hosts.add(node)
-        later(span, world.state.refused_hosts.discard, node)
+        later(duration_s, world.state.refused_hosts.discard, node)
         if rng.random() < 0.5:
-            # Then out for everybody, for longer than a cancellation has.
+            # Then an outage for all controllers, longer than the time limit of a cancellation.
             later(1.0, world.state.outage, True)
             later(1.0 + 59.0, world.state.outage, False)
     elif kind == 15:
         world.state.late_share, world.state.loses_answer_only = rng.choice([0.1, 0.4]), True
-        later(span, setattr, world.state, "late_share", 0.0)
-        later(span, setattr, world.state, "loses_answer_only", False)
+        later(duration_s, setattr, world.state, "late_share", 0.0)
+        later(duration_s, setattr, world.state, "loses_answer_only", False)
     elif kind == 16:
-        world.duplicating_heartbeats = (world.clock.seconds() + span, 0.4, rng.random() < 0.5)
+        world.duplicating_heartbeats = (world.clock.seconds() + duration_s, 0.4, rng.random() < 0.5)
         if world.duplicating_heartbeats[2]:
-            later(span, world.crash, world.leader() or names[0], rng.choice([0.2, 6.0, 45.0]))
+            later(duration_s, world.crash, world.leader() or names[0], rng.choice([0.2, 6.0, 45.0]))
     elif kind == 17 and machines:
         for name in rng.sample(machines, min(len(machines), rng.choice([1, 4]))):
             world.block_heartbeats(name)
-        later(span, world.network.blocked_pairs.clear)
+        later(duration_s, world.network.blocked_pairs.clear)
     elif kind == 18:
         jobs = [j for j in world.checker.accepted if j not in world.checker.final_answers]
         jobs = [j for j in jobs if world.machines_of(j)]
         world.cancel_now(rng.sample(jobs, min(len(jobs), 6)), rng.choice([0.0, 9.0, 14.0, 25.0]))
     elif kind == 19:
-        world.repeating_queries = (world.clock.seconds() + span, 0.2)
-        world.cancelling_at_end = (world.clock.seconds() + span, 0.5)
+        world.repeating_queries = (world.clock.seconds() + duration_s, 0.2)
+        world.cancelling_at_end = (world.clock.seconds() + duration_s, 0.5)
     elif kind == 20:
-        world.send_invalid_requests(world.clock.seconds() + span)
+        world.send_invalid_requests(world.clock.seconds() + duration_s)
     elif kind == 21:
-        # A controller without state service and peers, but with its workers and users.
+        # A controller that reaches its workers and users, but no state service and no peers.
         node = rng.choice([world.leader() or names[0], rng.choice(names)])
         for other in ("state", *(n for n in names if n != node)):
             world.network.cut(node, other, "hold")
-            later(span, world.network.heal, node, other)
+            later(duration_s, world.network.heal, node, other)
     elif kind == 13:
         for name in rng.sample(machines, len(machines) // 2):
             worker = world.cloud.workers[name]
@@ -110,7 +112,7 @@
                 worker.die()
             else:
                 worker.hung = True
-                later(span, setattr, worker, "hung", False)
+                later(duration_s, setattr, worker, "hung", False)
 
 
 def load(world: World, rng: random.Random, number: int) -> None:
@@ -135,23 +137,23 @@
 
 
 def leaks(world: World) -> list[str]:
-    """Use of teams' limits that no task accounts for: it would be lost to them for ever."""
+    """Return quota use that no task accounts for, which the team would lose for good."""
     found = []
     for name, node in world.nodes.items():
         job_controller = node.job_controller
         if job_controller is None:
             continue
-        known: dict[tuple[str, str], float] = {}
+        accounted: dict[tuple[str, str], float] = {}
         indeterminate = [
             job for jobs in job_controller.indeterminate_accepts.values() for job in jobs
         ]
         accepted = (*job_controller.jobs.values(), *job_controller.jobs_being_accepted.values())
         for job in (*accepted, *indeterminate):
             key = (job.partition, job.spec.team)
-            known[key] = known.get(key, 0.0) + job.bound * job.spec.cpus
+            accounted[key] = accounted.get(key, 0.0) + job.bound * job.spec.cpus
         for key, (cpus, _) in job_controller.quota_manager.used.items():
-            if abs(cpus - known.get(key, 0.0)) > 1e-6:
-                found.append(f"{name} {key}: {cpus}, known {known.get(key, 0.0)}")
+            if abs(cpus - accounted.get(key, 0.0)) > 1e-6:
+                found.append(f"{name} {key}: {cpus}, known {accounted.get(key, 0.0)}")
     return found
 
 
@@ -184,24 +186,24 @@
 
 
 def slow_down(world: World, rng: random.Random) -> None:
-    """Each controller's processor takes none, some or most of its time for what comes in."""
+    """Let each message and timer of a controller use no, some or much processor time."""
     for name in world.names:
         world.network.cost_s[name] = rng.choice([0.0, 0.01, 0.04])
 
 
-def upgraded(world: World) -> bool:
-    """Has every controller registered with the new release, all of its records included?"""
+def is_upgraded(world: World) -> bool:
+    """Return whether all controllers and large job records are on the new release."""
     fences = [world.state.items.get(f"c/fence/{name}", ({},))[0] for name in world.names]
-    small = all(
+    large_are_chunked = all(
         "p" in item[0] or item[0]["s"]["parcels"] <= 11
         for key, item in world.state.items.items()
         if key.startswith("job/")
     )
-    return small and all(fence.get("v") for fence in fences)
+    return large_are_chunked and all(fence.get("v") for fence in fences)
 
 
 def end_faults(world: World) -> None:
-    """All faults end, and the services are cancelled."""
+    """End all faults, wait until their effects are over, and cancel the services."""
     world.cloud.down = False
     world.state.outage(False)
     world.state.late_share = world.state.slow_s = 0.0
@@ -215,7 +217,7 @@
     for worker in world.cloud.workers.values():
         worker.hung = worker.is_faulty = False
     world.run(world.clock.seconds() + 30)
-    # Outages and hangs that began late are over, too.
+    # Scheduled outages and hangs that began late are over as well.
     world.run(world.clock.seconds() + 62)
     world.faults_over_at = world.clock.seconds()
     world.run(world.clock.seconds() + 30)
@@ -224,8 +226,8 @@
             world.cancel(job)
 
 
-def verify(world: World) -> None:
-    """No rule was broken, nothing of the teams' limits is lost, and all arrays are through."""
+def check_outcome(world: World) -> None:
+    """Check that no rule was violated, no quota leaked, and all arrays and gangs finished."""
     assert world.checker.broken == []
     assert world.checker.started
     assert world.state.oversized == []
@@ -239,7 +241,7 @@
     assert unfinished == [], world.clock.seconds()
 
 
-NEXT = {"value_kb": 1.0, "txn_ops": 4, "write_rps": 40.0}
+ANNOUNCED_LIMITS = {"value_kb": 1.0, "txn_ops": 4, "write_rps": 40.0}
 
 
 def play(
@@ -251,7 +253,7 @@
         seed,
         tuning={"standby": standby},
         old="all" if upgrade else [],
-        state={"next": NEXT} if upgrade else {},
+        state={"next": ANNOUNCED_LIMITS} if upgrade else {},
         teams=[{"name": "red", "cpus_max": 12.0}, {"name": "blue"}],
         capacity=[
             {"kind": "small", "zone": z, "spot": s, "count": 3} for z in ZONES for s in (0, 1)
@@ -263,13 +265,13 @@
     )
     world.run(5)
     jobs = 0
-    waiting = rng.sample(world.names, len(world.names)) if upgrade else []
+    not_upgraded = rng.sample(world.names, len(world.names)) if upgrade else []
     for number in range(ROUNDS):
-        if waiting and number >= 2 and rng.random() < 0.5:
-            world.upgrade(waiting.pop(), rng.choice([0.1, 1.0, 6.0, 25.0]))
-        elif upgrade and number >= ROUNDS - 4 and upgraded(world):
-            # At some moment after the upgrade, and without notice.
-            world.state.lower(NEXT)
+        if not_upgraded and number >= 2 and rng.random() < 0.5:
+            world.upgrade(not_upgraded.pop(), rng.choice([0.1, 1.0, 6.0, 25.0]))
+        elif upgrade and number >= ROUNDS - 4 and is_upgraded(world):
+            # At any time after the upgrade and without notice.
+            world.state.lower(ANNOUNCED_LIMITS)
         for _ in range(2 * size):
             jobs += 1
             load(world, rng, jobs)
@@ -282,9 +284,9 @@
             if job in world.checker.accepted:
                 world.cancel(job)
         world.run(world.clock.seconds() + rng.choice([2.0, 7.0, 15.0]))
-    for name in waiting:
+    for name in not_upgraded:
         world.upgrade(name, 1.0)
     end_faults(world)
     world.run(world.clock.seconds() + 200)
-    verify(world)
+    check_outcome(world)
     return world
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Runs every scenario file; a step is an action of World or an expectation."""
+"""Plays every scenario file; a step of one is a user's action, a fault or an expectation."""
 
 from __future__ import annotations
 
@@ -17,66 +17,66 @@
 FILES = sorted((Path(__file__).parent / "scenarios").glob("*.toml"))
 
 
-def nodes_of(world: World, names: list[str]) -> list[str]:
-    """Controllers by name or by part: who leads now, one that does not, all."""
+def select_controllers(world: World, names: list[str]) -> list[str]:
+    """Resolve the names of controllers and the roles `leader`, `other`, `third` and `all`."""
     leader = world.leader()
-    parts = {
+    roles = {
         "leader": [leader],
         "other": [n for n in world.names if n != leader][:1],
         "third": [n for n in world.names if n != leader][1:2],
         "all": world.names,
     }
-    return [name for part in names for name in parts.get(part, [part])]
+    return [name for name_or_role in names for name in roles.get(name_or_role, [name_or_role])]
 
 
-def victims(world: World, step: dict[str, Any]) -> list[str]:
-    """The machines a step speaks of: by name, or those a job is on."""
+def target_machines(world: World, step: dict[str, Any]) -> list[str]:
+    """Return the machines that a step names, that its job is on, or that it counts."""
     if "on" in step:
         found = sorted(world.machines_of(step["on"]))
         assert found, f"{step['on']} is on no machine"
         return found
     if "count" in step:
-        # Many at once, of one zone or of all.
+        # So many machines, evenly chosen from one zone or from all.
         names = [n for n, w in world.cloud.workers.items() if step.get("zone") in (None, w.zone)]
         assert len(names) >= step["count"], (step, len(names))
         return names[:: len(names) // step["count"]][: step["count"]]
     return [step["machine"]]
 
 
-def act(world: World, step: dict[str, Any]) -> None:
+def run_step(world: World, step: dict[str, Any]) -> None:
     do = step["do"]
-    extra = {k: v for k, v in step.items() if k not in ("at", "do", "job", "node")}
+    fields = {k: v for k, v in step.items() if k not in ("at", "do", "job", "node")}
     if do == "submit" and "count" in step:
-        # Many jobs alike, one after the other, at the controllers in turn.
-        del extra["count"], extra["every"]
-        cancel, after = extra.pop("cancel", 0.0), extra.pop("cancel_after", 2.0)
+        # Many equal jobs, one after the other, submitted to the controllers in turn.
+        del fields["count"], fields["every"]
+        cancel, after = fields.pop("cancel", 0.0), fields.pop("cancel_after", 2.0)
         for n in range(step["count"]):
             node = world.names[n % len(world.names)]
             job = f"{step['job']}-{n}"
-            again = functools.partial(world.submit, job, node, **extra)
-            world.clock.callLater(n * step["every"], again)
+            submit = functools.partial(world.submit, job, node, **fields)
+            world.clock.callLater(n * step["every"], submit)
             if world.rng.random() < cancel:
                 world.clock.callLater(n * step["every"] + after, world.cancel, job)
     elif do == "submit":
-        world.submit(step["job"], step.get("node"), **extra)
+        world.submit(step["job"], step.get("node"), **fields)
     elif do == "withdraw":
         world.cancel(step["job"], step.get("node"))
     elif do == "crash":
-        for name in nodes_of(world, step["nodes"]):
+        for name in select_controllers(world, step["nodes"]):
             world.crash(name, step.get("back_s"))
     elif do == "upgrade":
-        for name in nodes_of(world, step["nodes"]):
+        for name in select_controllers(world, step["nodes"]):
             world.upgrade(name, step.get("back_s", 6.0))
     elif do == "limits":
-        # The service gets the limits that the settings announce.
+        # The limits that the settings announce take effect at the state service.
         world.state.lower(world.raw_settings[world.names[0]]["facts"]["state"]["next"])
         world.state.largest = 0
     elif do == "freeze":
-        for name in nodes_of(world, step["nodes"]):
+        for name in select_controllers(world, step["nodes"]):
             world.network.frozen[name] = world.clock.seconds() + step["for_s"]
     elif do == "slow":
-        # Each message and timer takes so much of their processors; 0 ends it.
-        for name in nodes_of(world, step["nodes"]):
+        # Each message and timer uses this much processor time; 0 ends that.
+        for name in select_controllers(world, step["nodes"]):
             world.network.cost_s[name] = step["cost_ms"] / 1000
     elif do == "state" and "down" not in step:
         world.state.late_share = step.get("late_share", 0.0)
@@ -85,14 +85,14 @@
         world.state.late_keys = step.get("late_keys", "")
         world.state.late_count_left = step.get("late_left", -1)
         world.state.slow_s = step.get("slow_s", 0.0)
-        world.state.refused_hosts = set(nodes_of(world, step.get("refuse", [])))
+        world.state.refused_hosts = set(select_controllers(world, step.get("refuse", [])))
     elif do == "state":
         world.state.outage(step["down"])
     elif do == "cloud":
         world.cloud.down = step["down"]
     elif do == "cut":
-        # Named once, for the step that heals it.
-        step["one"][:] = nodes_of(world, step["one"])
+        # Replace roles by names in the step itself.
+        step["one"][:] = select_controllers(world, step["one"])
         for one in step["one"]:
             for other in step["other"]:
                 if other == one:
@@ -103,7 +103,7 @@
             for other in step["other"]:
                 world.network.heal(one, other)
     elif do in ("die", "hang", "resume", "sick", "notice", "replay"):
-        for name in victims(world, step):
+        for name in target_machines(world, step):
             worker = world.cloud.workers[name]
             if do == "die":
                 worker.die()
@@ -111,7 +111,7 @@
                 worker.termination_notice_s = 20.0
                 worker.schedule_heartbeat()
             elif do == "replay":
-                # Late copies of what the worker once reported, to every controller.
+                # Deliver late copies of the worker's past heartbeats to every controller.
                 for body in worker.sent_heartbeats[:: step.get("every", 1)]:
                     for node in world.names:
                         world.call(node, "POST", "/v1/report", body)
@@ -119,12 +119,12 @@
                 worker.hung = do == "hang"
                 worker.is_faulty = do == "sick"
     elif do == "mute":
-        for name in victims(world, step):
+        for name in target_machines(world, step):
             world.block_heartbeats(name)
     elif do == "unmute":
         world.network.blocked_pairs.clear()
     elif do == "hear":
-        for name in victims(world, step):
+        for name in target_machines(world, step):
             for node in world.names:
                 world.network.heal(node, name)
     elif do == "copies":
@@ -146,14 +146,14 @@
     elif do == "quiet":
         world.faults_over_at = world.clock.seconds()
     elif do == "blind":
-        # Reports arrive; answers and orders do not reach the machine.
-        for name in victims(world, step):
+        # Heartbeats arrive at the controllers; replies and commands don't reach the machine.
+        for name in target_machines(world, step):
             for node in world.names:
                 world.network.cut(node, name, "drop", both=False)
     elif do == "call":
         check_call(world, step)
     elif do == "expect":
-        check(world, step)
+        check_expectations(world, step)
     else:
         raise AssertionError(f"unknown step {do}")
 
@@ -162,22 +162,22 @@
     body = step.get("body")
     if "hex" in step:
         body = bytes.fromhex(step["hex"])
-    got: list[Any] = []
+    replies: list[Any] = []
     node = step.get("node", world.names[0])
-    world.call(node, step["method"], step["path"], body).addCallback(got.append)
+    world.call(node, step["method"], step["path"], body).addCallback(replies.append)
     world.run(world.clock.seconds() + step.get("within", 1.0))
-    assert got, f"no answer to {step}"
-    assert got[0][0] == step["status"], (step, got)
+    assert replies, f"no answer to {step}"
+    assert replies[0][0] == step["status"], (step, replies)
     if "says" in step:
-        assert step["says"] in str(got[0][1]), (step, got)
+        assert step["says"] in str(replies[0][1]), (step, replies)
 
 
-def check(world: World, step: dict[str, Any]) -> None:
+def check_expectations(world: World, step: dict[str, Any]) -> None:
     where = f"at {step['at']}"
     if "running" in step:
         assert world.running(step["job"]) == step["running"], (where, step)
     if "bound" in step:
-        # By its stored record, whether or not it runs.
+        # Bound by the stored record, whether or not they run.
         record = world.state.items[f"job/{step['job']}"][0]
         assert len(record["t"]["b"]) == step["bound"], (where, step, record["t"])
     if "started" in step:
@@ -191,11 +191,11 @@
     if "largest_kb" in step:
         assert world.state.largest <= step["largest_kb"] * 1024, (where, world.state.largest)
     if "keys_like" in step:
-        # So many records at least are kept under keys of this form.
+        # At least so many records are stored under keys that match.
         found = [k for k in world.state.items if re.match(step["keys_like"], k)]
         assert len(found) >= step["keys"], (where, step, found)
     if "gang_saved" in step:
-        # Orderly stops of the whole that saved, and none that did not.
+        # At least so many stops of the whole gang saved a checkpoint, and none failed to.
         assert world.gangs.saved_stops.get(step["job"], 0) >= step["gang_saved"], (where, step)
         assert world.gangs.failed_saves.get(step["job"], 0) == 0, (where, step)
     if "kept_s" in step:
@@ -207,7 +207,7 @@
         attempts = [a for (job, a) in world.gangs.attempts if job == step["job"]]
         assert max(attempts, default=0) == step["attempt"], (where, step, attempts)
     if "refused" in step:
-        over = [
+        terminations = [
             state
             for node in world.nodes.values()
             for machine in (
@@ -215,12 +215,16 @@
             )
             for state in machine.terminated.values()
         ]
-        assert over.count("refused") <= step["refused"], (where, step, over.count("refused"))
+        assert terminations.count("refused") <= step["refused"], (
+            where,
+            step,
+            terminations.count("refused"),
+        )
     if "budget_writes" in step:
         events = [e for _, e in world.state.history if "put" in e]
         writes = sum(1 for e in events if e["put"].startswith("c/budget/"))
         assert writes <= step["budget_writes"], (where, step, writes)
-    # Counted work, which is the same on every machine.
+    # Counts of work done, which don't depend on the speed of the machine that runs the test.
     if "writes" in step:
         assert len(world.state.history) <= step["writes"], (where, len(world.state.history))
     if "cloud_refusals" in step:
@@ -239,11 +243,17 @@
         )
         assert counts <= step["recounts"], (where, counts)
     if "all_running" in step:
-        # Every accepted job of that name's beginning runs whole.
+        # Every accepted job with this prefix runs all its tasks.
         jobs = [j for j in world.checker.accepted if j.startswith(step["job"])]
-        short = {j: n for j in jobs if (n := world.running(j)) < world.checker.jobs[j]["parcels"]}
+        incomplete = {
+            j: n for j in jobs if (n := world.running(j)) < world.checker.jobs[j]["parcels"]
+        }
         assert len(jobs) >= step["all_running"], (where, len(jobs))
-        assert len(short) <= step.get("but", 0), (where, len(short), sorted(short)[:5])
+        assert len(incomplete) <= step.get("but", 0), (
+            where,
+            len(incomplete),
+            sorted(incomplete)[:5],
+        )
     if step.get("started_once"):
         jobs = [j for j in world.checker.accepted if j.startswith(step["job"])]
         again = {j: world.checker.start_counts.get(j) for j in jobs}
@@ -260,16 +270,17 @@
             world.network.rejected_connections,
         )
     if "sessions" in step:
-        # Machines whose lease ran out: nobody answered them in time.
-        late = sorted(
+        # Machines whose lease expired because no heartbeat was answered in time.
+        expired = sorted(
             w.name for w in world.cloud.workers.values() if w.agent_epoch > 1 and not w.dead
         )
-        assert len(late) <= step["sessions"], (where, len(late), late[:5])
+        assert len(expired) <= step["sessions"], (where, len(expired), expired[:5])
     if "holds" in step:
         holder = world.nodes[step["node"]].machine_controller
         assert holder is not None and len(holder.machines) >= step["holds"], (where, step)
     if "withdrawn" in step:
-        # So many of that name's beginning were told to be, and none of them is anywhere.
+        # At least so many jobs with this prefix were confirmed as cancelled, and none of these is
+        # on a machine.
         jobs = [j for j, t in world.checker.final_answers.items() if t[0] == "withdrawn"]
         jobs = [j for j in jobs if j.startswith(step["job"])]
         left = {j: sorted(m) for j in jobs if (m := world.machines_of(j))}
@@ -322,11 +333,17 @@
     if "rented" in step:
         assert len(world.cloud.machines) >= step["rented"], (where, len(world.cloud.machines))
     if "folios" in step:
-        folios = sorted(k for k in world.state.items if k.startswith("c/folio/"))
-        assert len(folios) <= step["folios"], (where, folios)
-        budgets = [v[0] for k, v in world.state.items.items() if k.startswith("c/budget/")]
-        spoken = {folio for record in budgets for folio in record}
-        assert {f"c/folio/{f}" for f in spoken} <= set(folios), (where, spoken, folios)
+        partition_keys = sorted(k for k in world.state.items if k.startswith("c/folio/"))
+        assert len(partition_keys) <= step["folios"], (where, partition_keys)
+        allocation_records = [
+            v[0] for k, v in world.state.items.items() if k.startswith("c/budget/")
+        ]
+        allocated = {partition for record in allocation_records for partition in record}
+        assert {f"c/folio/{f}" for f in allocated} <= set(partition_keys), (
+            where,
+            allocated,
+            partition_keys,
+        )
     if "rentals" in step:
         assert len(world.cloud.instances_by_request) <= step["rentals"], (
             where,
@@ -339,13 +356,13 @@
 
 
 def play(path: Path, on_network: Callable[[Network], None] = lambda network: None) -> World:
-    """Run the scenario's steps; `on_network` is called before the first call is delivered."""
+    """Play the scenario's steps; `on_network` is called before the first call is delivered."""
     scenario = tomllib.loads(path.read_text())
     world = World(scenario.get("seed", 1), **scenario.get("world", {}))
     on_network(world.network)
     for step in sorted(scenario["step"], key=lambda s: s["at"]):
         world.run(step["at"])
-        act(world, step)
+        run_step(world, step)
     assert world.checker.started or scenario.get("idle"), "nothing ran"
     return world
 
