--- a/tests/call_traces.py
+++ b/tests/call_traces.py
@@ -1,4 +1,4 @@
-"""Digests of all calls in the scenarios, which show whether a change kept the behaviour.
+"""Digests of all calls in the scenarios, which show whether a change alters the behaviour.
 
     PYTHONHASHSEED=0 python -m tests.call_traces write FILE [SCENARIO ...]
     PYTHONHASHSEED=0 python -m tests.call_traces compare FILE [SCENARIO ...]
@@ -6,7 +6,7 @@
 A digest covers each call on the simulated network in order: its time, caller, method, address,
 path and body, and the answer. `write` stores the digests of the named scenarios, or of all, as
 JSON; `compare` plays the scenarios that FILE lists, or the named ones, and exits with status 1 if
-a digest differs. A change that is meant to alter behaviour writes the file anew.
+a digest differs. A change that alters the behaviour on purpose has to rewrite the file.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from tests.standins.net import Network
 from tests.test_scenarios import FILES, play
 
-# Scenarios played at the same time.
+# Number of scenarios played at the same time.
 PROCESSES = 4
 # Characters of a stored digest.
 DIGEST_LENGTH = 16
@@ -48,7 +48,7 @@
         body: bytes | None,
         limit_s: float,
     ) -> Any:
-        """Make the call, and add it and its answer to the digest."""
+        """Make the call; add it and its reply to the digest."""
         self.add("call", source, method, address, path, body, limit_s)
 
         def answered(answer: Answer) -> Answer:
@@ -58,19 +58,19 @@
         return self.request(source, method, address, path, body, limit_s).addCallback(answered)
 
     def add(self, *parts: object) -> None:
-        """Add one event, at the present simulated time."""
+        """Add one event at the current simulated time."""
         self.digest.update(repr((self.network.clock.seconds(), *parts)).encode())
 
 
 def digest_of(path: Path) -> tuple[str, str]:
-    """Play the scenario; its name and the digest of its calls."""
+    """Play the scenario; return its name and the digest of its calls."""
     traces: list[CallTrace] = []
     play(path, on_network=lambda network: traces.append(CallTrace(network)))
     return path.stem, traces[0].digest.hexdigest()[:DIGEST_LENGTH]
 
 
 def digests_of(names: Iterable[str]) -> dict[str, str]:
-    """The digests of the scenarios with these names."""
+    """Return the digests of the scenarios with these names."""
     wanted = set(names)
     paths = [path for path in FILES if path.stem in wanted]
     assert len(paths) == len(wanted), wanted - {path.stem for path in paths}
@@ -79,7 +79,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Write or compare digests; returns the exit status."""
+    """Write or compare digests; return the exit status."""
     if len(arguments) < 2 or arguments[0] not in ("write", "compare"):
         print(__doc__)
         return 2
--- a/tests/test_call_traces.py
+++ b/tests/test_call_traces.py
@@ -1,6 +1,6 @@
-"""The digests of calls are the same in every process, and tell a changed call.
+"""The digests of calls are the same in every process, and a changed call changes them.
 
-If they depended on the process, a comparison before and after a change would show nothing.
+If they depended on the process, a comparison before and after a change would be meaningless.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 STORED = ROOT / "tests" / "fixtures" / "call_traces.json"
-# Short scenarios; the command of `tests/call_traces.py` plays all of them.
+# Short scenarios; the command of `tests/call_traces.py` plays all scenarios.
 SHORT = ["leader-never-returns", "gang-cancelled", "late-writes"]
 
 
@@ -31,7 +31,7 @@
     assert result.returncode == 0, result.stdout + result.stderr
 
 
-def test_a_changed_call_is_told_by_its_scenario(tmp_path: Path) -> None:
+def test_a_changed_call_is_reported_with_its_scenario(tmp_path: Path) -> None:
     changed = json.loads(STORED.read_text())
     changed["late-writes"] = "0" * 16
     file = tmp_path / "traces.json"
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages for readers match the tree: packages, modules, and log lines that ask for action."""
+"""The documents match the code: packages, modules, and log lines of warnings and errors."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def modules() -> dict[str, str]:
-    """Each module below a package, and the first paragraph of its docstring."""
+    """Return the first paragraph of the docstring of each module in a package."""
     found = {}
     for path in sorted(SOURCES.glob("*/*.py")):
         if path.name != "__init__.py":
@@ -30,11 +30,11 @@
 def test_every_package_is_on_the_architecture_page() -> None:
     listed = set(re.findall(r"^\| `(\w+)` \|", page("architecture.md"), flags=re.M))
     packages = {path.parent.name for path in SOURCES.glob("*/__init__.py")}
-    alone = {path.stem for path in SOURCES.glob("*.py")} - {"__init__"}
-    assert packages | alone <= listed
+    top_level_modules = {path.stem for path in SOURCES.glob("*.py")} - {"__init__"}
+    assert packages | top_level_modules <= listed
 
 
-def test_the_page_of_modules_is_the_tree() -> None:
+def test_the_page_of_modules_lists_each_with_its_docstring() -> None:
     listed = dict(re.findall(r"^\| `(\w+\.\w+)` \| (.*) \|$", page("modules.md"), flags=re.M))
     assert listed == modules()
 
--- a/tests/test_log_lines.py
+++ b/tests/test_log_lines.py
@@ -1,4 +1,4 @@
-"""Each placeholder of a log line is given a value, or the line would say `{machine}`."""
+"""Each placeholder of a log line has a value; else the logged line would contain `{machine}`."""
 
 from __future__ import annotations
 
