--- a/tests/standins/releases.py
+++ b/tests/standins/releases.py
@@ -55,13 +55,15 @@
         settings_module = self.module("settings")
         settings = msgspec.convert(raw_settings, settings_module.Settings)
         name = "Tuning" if hasattr(settings_module, "Tuning") else "OperatorSettings"
-        own = msgspec.convert(
+        release_operator_settings = msgspec.convert(
             msgspec.to_builtins(operator_settings), getattr(settings_module, name)
         )
-        return self.module(self.node_module).Node(clock, net, settings, own, rng)
+        return self.module(self.node_module).Node(
+            clock, net, settings, release_operator_settings, rng
+        )
 
 
-def _loaded() -> dict[str, ModuleType]:
+def _loaded_modules() -> dict[str, ModuleType]:
     return {n: m for n, m in sys.modules.items() if n.split(".")[0] == PACKAGE}
 
 
@@ -69,7 +71,7 @@
 def present() -> Release:
     """Return the release in the source tree."""
     importlib.import_module(f"{PACKAGE}.node.node")
-    return Release(_loaded(), "node.node")
+    return Release(_loaded_modules(), "node.node")
 
 
 @functools.cache
@@ -77,22 +79,22 @@
     """Return the release that the deploy file names as running in production."""
     folder = extract()
     present()
-    kept = _loaded()
-    for name in kept:
+    present_modules = _loaded_modules()
+    for name in present_modules:
         del sys.modules[name]
     sys.path.insert(0, str(folder / "src"))
     importlib.invalidate_caches()
     try:
         importlib.import_module(f"{PACKAGE}.control.node")
-        release = Release(_loaded(), "control.node")
+        release = Release(_loaded_modules(), "control.node")
         _resolve(release)
     finally:
         sys.path.remove(str(folder / "src"))
-        for name in _loaded():
+        for name in _loaded_modules():
             del sys.modules[name]
-        sys.modules.update(kept)
-    origin = release.module("control.node").__file__
-    assert origin and origin.startswith(str(folder)), origin
+        sys.modules.update(present_modules)
+    source_file = release.module("control.node").__file__
+    assert source_file and source_file.startswith(str(folder)), source_file
     return release
 
 
@@ -130,14 +132,14 @@
     if archive.returncode:
         raise RuntimeError(f"no sources of {commit}: {archive.stderr.decode().strip()}")
     folder.parent.mkdir(exist_ok=True)
-    made = Path(tempfile.mkdtemp(dir=folder.parent))
+    extracted = Path(tempfile.mkdtemp(dir=folder.parent))
     with tarfile.open(fileobj=io.BytesIO(archive.stdout)) as tar:
-        tar.extractall(made, filter="data")
+        tar.extractall(extracted, filter="data")
     try:
-        os.rename(made, folder)
+        os.rename(extracted, folder)
     except OSError:
         # Another process was faster.
-        shutil.rmtree(made)
+        shutil.rmtree(extracted)
         if not folder.exists():
             raise
     return folder
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -17,7 +17,7 @@
 
 
 class Worker:
-    """The worker of one machine: observes fencing tokens and its lease, and runs tasks."""
+    """The worker of one machine: enforces fencing tokens and its lease, and runs tasks."""
 
     def __init__(
         self, clock: SimClock, network: Network, checker: Checker, rng: random.Random,
