--- a/tests/standins/net.py
+++ b/tests/standins/net.py
@@ -34,7 +34,7 @@
         # By host: processor time for each message and timer, and until when the processor is busy.
         self.cost_s: dict[str, float] = {}
         self.busy_until: dict[str, float] = {}
-        # Total size of the calls between controllers.
+        # Total size of the request bodies between controllers.
         self.peer_bytes = 0
         # By address with a limit: the maximum of open connections, and the open ones by caller with
         # whether each stays open between calls. By host: its addresses with a limit.
@@ -73,7 +73,7 @@
         self.alive.add(host)
 
     def cut(self, one: str, other: str, mode: str, both: bool = True) -> None:
-        """Cut messages from one host to the other; the mode is `drop` or `hold`."""
+        """Cut messages from one host to the other, or both ways; the mode is `drop` or `hold`."""
         self.cuts[(one, other)] = mode
         if both:
             self.cuts[(other, one)] = mode
