--- a/tests/standins/releases.py
+++ b/tests/standins/releases.py
@@ -1,8 +1,8 @@
-"""Releases of the service that a simulated deployment can run: these sources, and production's.
+"""Releases of the service that a simulated deployment can run: present and production.
 
-Production's are the sources of the commit that `deploy/service.toml` names, taken from the
-repository's history into `target/` and loaded as a second set of modules. A clone without that
-commit fails.
+The present release is the source tree. The production release is the commit that
+`deploy/service.toml` names, extracted from the repository's history into `target/` and loaded as
+a second set of modules. It can't be loaded in a clone without that commit.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 PACKAGE = "beamspar"
 
 
-# Where each release keeps what a deployment needs: production's names and these sources'.
+# By the module with the Node class, whose name differs by release: the HTTP module.
 HTTP_MODULES = {"control.node": "http", "node.node": "transport.http"}
 
 
 class Release:
-    """One set of the service's modules, and what a deployment needs of it."""
+    """One set of the service's modules, with access to what a deployment needs."""
 
     def __init__(self, modules: dict[str, ModuleType], node_module: str) -> None:
         self.modules = modules
@@ -43,7 +43,7 @@
 
     @property
     def call_failed(self) -> type[Exception]:
-        """What a call without a usable answer raises; the first release names it otherwise."""
+        """The exception for a failed call, which has another name in the production release."""
         http = self.module(HTTP_MODULES[self.node_module])
         found: type[Exception] = getattr(http, "CallFailedError", None) or http.CallFailed
         return found
@@ -51,56 +51,59 @@
     def node(
         self, clock: Any, net: Any, raw_settings: dict[str, Any], operator_settings: Any, rng: Any
     ) -> Any:
-        """A controller; settings that it does not know are ignored, as from the file."""
+        """Return a controller; settings unknown to its release are ignored, as in a file."""
         settings_module = self.module("settings")
         settings = msgspec.convert(raw_settings, settings_module.Settings)
         name = "Tuning" if hasattr(settings_module, "Tuning") else "OperatorSettings"
-        own = msgspec.convert(
+        release_operator_settings = msgspec.convert(
             msgspec.to_builtins(operator_settings), getattr(settings_module, name)
         )
-        return self.module(self.node_module).Node(clock, net, settings, own, rng)
+        return self.module(self.node_module).Node(
+            clock, net, settings, release_operator_settings, rng
+        )
 
 
-def _loaded() -> dict[str, ModuleType]:
+def _loaded_modules() -> dict[str, ModuleType]:
     return {n: m for n, m in sys.modules.items() if n.split(".")[0] == PACKAGE}
 
 
 @functools.cache
 def present() -> Release:
-    """These sources."""
+    """Return the release in the source tree."""
     importlib.import_module(f"{PACKAGE}.node.node")
-    return Release(_loaded(), "node.node")
+    return Release(_loaded_modules(), "node.node")
 
 
 @functools.cache
 def production() -> Release:
-    """The sources that the deploy file names as running in production."""
+    """Return the release that the deploy file names as running in production."""
     folder = extract()
     present()
-    kept = _loaded()
-    for name in kept:
+    present_modules = _loaded_modules()
+    for name in present_modules:
         del sys.modules[name]
     sys.path.insert(0, str(folder / "src"))
     importlib.invalidate_caches()
     try:
         importlib.import_module(f"{PACKAGE}.control.node")
-        release = Release(_loaded(), "control.node")
+        release = Release(_loaded_modules(), "control.node")
         _resolve(release)
     finally:
         sys.path.remove(str(folder / "src"))
-        for name in _loaded():
+        for name in _loaded_modules():
             del sys.modules[name]
-        sys.modules.update(kept)
-    origin = release.module("control.node").__file__
-    assert origin and origin.startswith(str(folder)), origin
+        sys.modules.update(present_modules)
+    source_file = release.module("control.node").__file__
+    assert source_file and source_file.startswith(str(folder)), source_file
     return release
 
 
 def _resolve(release: Release) -> None:
-    """Look up the annotations of all messages and records now.
+    """Resolve the annotations of all messages and records now.
 
-    msgspec does so at first use, in the module that goes by the name then: once these sources
-    are back in their place, production's messages would be made of our types.
+    msgspec resolves them at first use, in the module that `sys.modules` then has under that name.
+    Once the present modules are restored there, messages of the production release would get
+    field types of the present one.
     """
     for module in release.modules.values():
         for value in vars(module).values():
@@ -109,13 +112,16 @@
 
 
 def production_commit() -> str:
-    """The commit that runs in production, by the deploy file."""
+    """Return the commit that runs in production, from the deploy file."""
     deploy = tomllib.loads((ROOT / "deploy" / "service.toml").read_text())
     return str(deploy["production"])
 
 
 def extract() -> Path:
-    """Production's sources below `target/`; several test processes may ask at once."""
+    """Return the folder below `target/` with the production sources, extracting them first.
+
+    Several test processes may call this at the same time.
+    """
     commit = production_commit()
     folder = ROOT / "target" / f"production-{commit}"
     if folder.exists():
@@ -126,14 +132,14 @@
     if archive.returncode:
         raise RuntimeError(f"no sources of {commit}: {archive.stderr.decode().strip()}")
     folder.parent.mkdir(exist_ok=True)
-    made = Path(tempfile.mkdtemp(dir=folder.parent))
+    extracted = Path(tempfile.mkdtemp(dir=folder.parent))
     with tarfile.open(fileobj=io.BytesIO(archive.stdout)) as tar:
-        tar.extractall(made, filter="data")
+        tar.extractall(extracted, filter="data")
     try:
-        os.rename(made, folder)
+        os.rename(extracted, folder)
     except OSError:
-        # Another process was first.
-        shutil.rmtree(made)
+        # Another process was faster.
+        shutil.rmtree(extracted)
         if not folder.exists():
             raise
     return folder
--- a/tests/test_log_lines.py
+++ b/tests/test_log_lines.py
@@ -1,4 +1,4 @@
-"""Every placeholder of a log line has a keyword argument; otherwise the line can't be formatted."""
+"""Each placeholder of a log line has a value; else the logged line would contain `{machine}`."""
 
 from __future__ import annotations
 
