--- a/src/beamspar/cli.py
+++ b/src/beamspar/cli.py
@@ -68,7 +68,7 @@
     start_logging(os.environ.get("LOG_LEVEL", "info"))
     timeouts = Timeouts(settings, operator_settings)
     sockets = Sockets.of(settings.platform.limits.sockets, settings.platform.nodes)
-    net = TcpNet(reactor, timeouts.request, timeouts.keep_open, sockets)
+    net = TcpNet(reactor, timeouts.request_timeout_s, timeouts.keep_alive_s, sockets)
     node = Node(reactor, net, settings, operator_settings, random.Random())
     reactor.callWhenRunning(spawn, node.start(), "start")
     # Everything loaded by now stays in use, so exempt it from garbage collection.
--- a/src/beamspar/cluster/registration.py
+++ b/src/beamspar/cluster/registration.py
@@ -47,7 +47,7 @@
         self.clock = clock
         self.state = state
         self.timeouts = timeouts
-        self.me = settings.member
+        self.own_name = settings.member
         self.mirror = StateMirror(clock, state, settings, timeouts, self._on_fence_changed)
         # The attributes below describe the registered incarnation. They are 0 and "" before it is
         # registered.
@@ -60,29 +60,29 @@
         # The time at which the last confirmed grant or renewal of the lease was sent.
         self.renewed_at = NEVER
         # Whether `start` has finished, and whether the registration has ended.
-        self.started = False
-        self.lost = False
+        self.is_started = False
+        self.is_ended = False
         # Called once, with the reason, when this incarnation may no longer act.
-        self.on_lease_lost: Callable[[str], None] = lambda reason: None
+        self.on_ended: Callable[[str], None] = lambda reason: None
 
     # -- permission to act
 
     @property
     def fence_key(self) -> str:
         """The key of this controller's fence."""
-        return keys.fence(self.me)
+        return keys.fence(self.own_name)
 
     @property
-    def registered(self) -> bool:
+    def is_registered(self) -> bool:
         """Whether the stored fence is that of this incarnation, according to the mirror."""
         return self.incarnation > 0 and self.mirror.version(self.fence_key) == self.fence_version
 
     def lease_is_valid(self) -> bool:
         """Return whether this process may act on machines and jobs right now."""
-        if not self.started or self.lost:
+        if not self.is_started or self.is_ended:
             return False
-        recent = min(self.renewed_at, self.mirror.watched_at)
-        return self.clock.seconds() < recent + self.timeouts.validity
+        recent = min(self.renewed_at, self.mirror.current_as_of)
+        return self.clock.seconds() < recent + self.timeouts.lease_validity_s
 
     def fence_condition(self) -> dict[str, int]:
         """Return the transaction condition that rejects writes of earlier or deposed
@@ -97,7 +97,7 @@
         The transaction that registers it also fences out earlier incarnations. Afterwards the lease
         is renewed and the mirror kept up to date until the registration ends.
         """
-        while not self.lost:
+        while not self.is_ended:
             try:
                 if await self._register():
                     break
@@ -107,19 +107,19 @@
                 log.info(
                     "registration conflicted at the keys {failed}, will retry", failed=error.failed
                 )
-            await sleep(self.clock, self.timeouts.retry)
-        self.started = True
-        log.info("registered as {me}.{incarnation}", me=self.me, incarnation=self.incarnation)
+            await sleep(self.clock, self.timeouts.retry_delay_s)
+        self.is_started = True
+        log.info("registered as {me}.{incarnation}", me=self.own_name, incarnation=self.incarnation)
         spawn(self._renew_until_ended(), "lease renewal")
-        spawn(self.mirror.watch_until(lambda: self.lost), "watch")
+        spawn(self.mirror.watch_until(lambda: self.is_ended), "watch")
 
     async def _register(self) -> bool:
         """Attempt to register once; return True if the stored fence is that of this incarnation."""
         sent = self.clock.seconds()
-        lease_id = await self.state.grant_lease(self.timeouts.registration_lease)
+        lease_id = await self.state.grant_lease(self.timeouts.registration_lease_s)
         await self.mirror.load()
         incarnation = stored_incarnation(self.mirror.value(self.fence_key)) + 1
-        partition = f"{self.me}.{incarnation}"
+        partition = f"{self.own_name}.{incarnation}"
         conditions, changes = self._registration_transaction(incarnation, partition, lease_id)
         try:
             revision = await self.state.transact(conditions, changes, RequestPriority.URGENT)
@@ -141,10 +141,10 @@
         conditions = {self.fence_key: self.mirror.version(self.fence_key)}
         changes = [
             put(self.fence_key, record),
-            put(keys.member(self.me), record, lease_id),
-            put(keys.partition(partition), partition_record(self.me)),
+            put(keys.member(self.own_name), record, lease_id),
+            put(keys.partition(partition), partition_record(self.own_name)),
         ]
-        if self.mirror.leader == self.me:
+        if self.mirror.leader == self.own_name:
             # An earlier incarnation of this controller was the leader. It is dead, so there is no
             # need to wait until its lease expires, during which no leader would offer capacity,
             # scale out or replace dead controllers.
@@ -153,9 +153,9 @@
         return conditions, changes
 
     async def _renew_until_ended(self) -> None:
-        while not self.lost:
+        while not self.is_ended:
             sent = self.clock.seconds()
-            pause_s = self.timeouts.lease_renewal
+            pause_s = self.timeouts.lease_renewal_interval_s
             try:
                 await self.state.renew_lease(self.lease_id)
                 self.renewed_at = sent
@@ -163,17 +163,17 @@
                 self.end("the lease has expired")
                 return
             except StateUnavailableError as error:
-                pause_s = self.timeouts.retry
+                pause_s = self.timeouts.retry_delay_s
                 log.info("renewing the registration lease failed, will retry: {error}", error=error)
             await sleep(self.clock, pause_s)
 
     def _on_fence_changed(self, member: str, version: int) -> None:
-        if member == self.me and self.started and version != self.fence_version:
+        if member == self.own_name and self.is_started and version != self.fence_version:
             self.end("fenced by another")
 
     def end(self, reason: str) -> None:
-        """End the registration, which is lost or given up, and call `on_lease_lost` once."""
-        if not self.lost:
-            self.lost = True
+        """End the registration, which is lost or given up, and call `on_ended` once."""
+        if not self.is_ended:
+            self.is_ended = True
             log.warn("registration ended, no longer acting: {reason}", reason=reason)
-            self.on_lease_lost(reason)
+            self.on_ended(reason)
--- a/src/beamspar/cluster/state_mirror.py
+++ b/src/beamspar/cluster/state_mirror.py
@@ -54,13 +54,13 @@
         self.clock = clock
         self.state = state
         self.timeouts = timeouts
-        self.me = settings.member
+        self.own_name = settings.member
         # All controllers listed in the settings, registered or not.
-        self.known_members = [self.me, *(peer.member for peer in settings.peers)]
+        self.known_members = [self.own_name, *(peer.member for peer in settings.peers)]
         # All changes up to this revision are in the mirror.
         self.revision = 0
         # The time at which the request was sent whose reply last brought the mirror up to date.
-        self.watched_at = NEVER
+        self.current_as_of = NEVER
         # By key: the stored value and the revision of its last change.
         self.values: dict[str, tuple[Any, int]] = {}
         # By key: the revision of its removal, the oldest removal first.
@@ -102,7 +102,7 @@
         however, may be of a job that its user has cancelled, so a controller that is partitioned
         from the state service or was frozen starts nothing.
         """
-        return self.clock.seconds() - self.watched_at < self.timeouts.mirror_freshness
+        return self.clock.seconds() - self.current_as_of < self.timeouts.mirror_max_age_s
 
     @property
     def leader(self) -> str | None:
@@ -145,9 +145,9 @@
         if previous_holder_may_act:
             # It may not have observed yet that it was replaced, and may act until its own lease
             # ends.
-            return now + self.timeouts.registration_lease
-        previous = self.previous_holders.get(machine, self.me)
-        if previous != self.me and previous not in self.members:
+            return now + self.timeouts.registration_lease_s
+        previous = self.previous_holders.get(machine, self.own_name)
+        if previous != self.own_name and previous not in self.members:
             # It stopped acting before its registration lease ended, which this process observed at
             # the recorded time.
             return min(self._lease_ended_at.get(previous, now), now)
@@ -163,8 +163,8 @@
         sent = self.clock.seconds()
         items, revision = await self.state.scan(keys.CONTROL_PREFIX, RequestPriority.URGENT)
         self._replace_all(items, revision)
-        self._caught_up(revision)
-        self.watched_at = sent
+        self._advance_revision(revision)
+        self.current_as_of = sent
 
     def _replace_all(self, items: list[KeyValue], revision: int) -> None:
         stored = {item.key: (item.value, item.version) for item in items}
@@ -183,22 +183,22 @@
                 try:
                     await self.load()
                 except StateUnavailableError:
-                    await sleep(self.clock, self.timeouts.retry)
+                    await sleep(self.clock, self.timeouts.retry_delay_s)
             except StateUnavailableError as error:
                 log.info("watching the control records failed, will retry: {error}", error=error)
-                await sleep(self.clock, self.timeouts.retry)
+                await sleep(self.clock, self.timeouts.retry_delay_s)
 
     async def _watch_once(self, is_over: Callable[[], bool]) -> None:
         sent = self.clock.seconds()
         events, revision = await self.state.watch(
-            keys.CONTROL_PREFIX, self.revision, self.timeouts.watch_hold
+            keys.CONTROL_PREFIX, self.revision, self.timeouts.watch_hold_s
         )
         if is_over():
             return
         for event in events:
             self._apply_event(event)
-        self._caught_up(revision)
-        self.watched_at = sent
+        self._advance_revision(revision)
+        self.current_as_of = sent
 
     def _apply_event(self, event: WatchEvent) -> None:
         if event.put is not None:
@@ -206,7 +206,7 @@
         elif event.drop is not None:
             self._apply(event.drop, None, event.version)
 
-    def _caught_up(self, revision: int) -> None:
+    def _advance_revision(self, revision: int) -> None:
         """Record that the mirror contains all changes up to this revision.
 
         Must be called after the changes are applied, because a machine controller relies on the
@@ -341,6 +341,6 @@
             if shard.holder != member:
                 continue
             token = max(shard.record_fencing_token, fence)
-            if token != shard.fencing_token or member == self.me:
+            if token != shard.fencing_token or member == self.own_name:
                 shard.fencing_token = token
                 self._notify(keys.shard(name))
--- a/src/beamspar/decision_log/decision_log.py
+++ b/src/beamspar/decision_log/decision_log.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from beamspar.decision_log.decisions import Decision, LeadState, TimedDecision
+from beamspar.decision_log.decisions import Decision, LeaderState, TimedDecision
 from beamspar.decision_log.messages import FollowReply, FollowRequest, LogEntry
 from beamspar.transport.clock import Clock
 
@@ -39,7 +39,7 @@
     at most one snapshot transfer per member.
     """
 
-    def __init__(self, clock: Clock, state: LeadState) -> None:
+    def __init__(self, clock: Clock, state: LeaderState) -> None:
         self.clock = clock
         self.state = state
         self.term = 0
--- a/src/beamspar/decision_log/decisions.py
+++ b/src/beamspar/decision_log/decisions.py
@@ -112,7 +112,7 @@
     decision: Decision
 
 
-class LeadState:
+class LeaderState:
     """The state from leader decisions that are not in the records of the state service.
 
     It only saves a successor time and cost. Safety depends on the stored records alone.
@@ -122,8 +122,8 @@
         self.pending: dict[str, InstancesRequested] = {}
         self.booting: dict[str, Booting] = {}
         # Places at which nothing is requested for the duration of a pause.
-        self.refused: dict[Place, Refusal] = {}
-        self.returned: set[str] = set()
+        self.refusals: dict[Place, Refusal] = {}
+        self.deleted_machines: set[str] = set()
         # Cached images by machine.
         self.caches: dict[str, CachedImages] = {}
         self.cache_changes = 0
@@ -132,8 +132,8 @@
         """Clear all collections in place, as other objects hold references to them."""
         self.pending.clear()
         self.booting.clear()
-        self.refused.clear()
-        self.returned.clear()
+        self.refusals.clear()
+        self.deleted_machines.clear()
         self.caches.clear()
 
     def apply(self, decision: Decision, made_at: float) -> None:
@@ -157,20 +157,20 @@
 
     def _apply_granted(self, decision: InstancesGranted, made_at: float) -> None:
         self.pending.pop(decision.name, None)
-        self.refused.pop(decision.place, None)
+        self.refusals.pop(decision.place, None)
         for machine in decision.machines:
             self.booting[machine] = Booting(*decision.place, since=made_at)
         if decision.pause_s:
             self._pause_requests(decision.place, made_at, decision.pause_s)
 
     def _pause_requests(self, place: Place, made_at: float, pause_s: float) -> None:
-        self.refused[place] = Refusal(made_at + pause_s, pause_s)
+        self.refusals[place] = Refusal(made_at + pause_s, pause_s)
 
     def _apply_deleted(self, decision: MachinesDeleted) -> None:
-        self.returned.update(decision.machines)
+        self.deleted_machines.update(decision.machines)
         self._remove_booting(decision.machines)
         for place in decision.freed:
-            self.refused.pop(place, None)
+            self.refusals.pop(place, None)
 
     def _remove_booting(self, machines: list[str]) -> None:
         for machine in machines:
@@ -187,14 +187,14 @@
         """Yield decisions that recreate this state from an empty one."""
         # The order matters: a deletion ends a boot, and granted instances end a pause after a
         # refusal. So each comes before the entries that it would undo.
-        if self.returned:
-            yield TimedDecision(0.0, MachinesDeleted(sorted(self.returned)))
+        if self.deleted_machines:
+            yield TimedDecision(0.0, MachinesDeleted(sorted(self.deleted_machines)))
         for request in self.pending.values():
             yield TimedDecision(0.0, request)
         for machine, booting in self.booting.items():
             place = (booting.kind, booting.zone, booting.spot)
             yield TimedDecision(booting.since, InstancesGranted("", place, [machine]))
-        for place, (until, pause_s) in self.refused.items():
+        for place, (until, pause_s) in self.refusals.items():
             yield TimedDecision(until - pause_s, InstancesRefused("", place, pause_s))
         for machine, (images, _) in self.caches.items():
             yield TimedDecision(0.0, CacheChanged(machine, images))
--- a/src/beamspar/decision_log/replica.py
+++ b/src/beamspar/decision_log/replica.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from beamspar.decision_log.decisions import LeadState, TimedDecision
+from beamspar.decision_log.decisions import LeaderState, TimedDecision
 from beamspar.decision_log.messages import FollowReply, FollowRequest
 from beamspar.transport.clock import Clock
 
@@ -17,7 +17,7 @@
     Each log entry is applied in order and once, and entries of older terms are rejected.
     """
 
-    def __init__(self, clock: Clock, state: LeadState) -> None:
+    def __init__(self, clock: Clock, state: LeaderState) -> None:
         self.clock = clock
         self.state = state
         # The term and index of the last applied entry.
--- a/src/beamspar/jobs/assignments.py
+++ b/src/beamspar/jobs/assignments.py
@@ -37,12 +37,12 @@
 SendUpdates = Callable[[str, list[DesiredStateUpdate]], Deferred[list[AttemptStatus] | None]]
 
 
-class JobStore(Protocol):
+class AssignmentsJobStore(Protocol):
     """What the assignments need of the job controller."""
 
     jobs: dict[str, Job]
     partitions: set[str]
-    loaded: set[str]
+    loaded_partitions: set[str]
 
     def observe_statuses(self, statuses: list[AttemptStatus]) -> None:
         """Handle attempt statuses reported by machine controllers."""
@@ -73,7 +73,11 @@
     """
 
     def __init__(
-        self, clock: Clock, registration: Registration, timeouts: Timeouts, job_store: JobStore
+        self,
+        clock: Clock,
+        registration: Registration,
+        timeouts: Timeouts,
+        job_store: AssignmentsJobStore,
     ) -> None:
         self.clock = clock
         self.registration = registration
@@ -138,7 +142,7 @@
         """Have an ended attempt cleared on its machine once the end is stored."""
         clears = self.pending_clears.setdefault(machine, {})
         clears[AttemptKey(task_name, attempt)] = PendingClear(job.partition, self.clock.seconds())
-        job.clearing.add(machine)
+        job.machines_to_clear.add(machine)
 
     def confirm_clear(self, status: AttemptStatus) -> bool:
         """Remove the attempt from the pending clears; return whether it was one of them."""
@@ -174,11 +178,17 @@
     def publish(self) -> None:
         """Publish changes, and periodically the full state, which makes up for lost messages."""
         self.is_publish_scheduled = False
-        if not self.registration.lease_is_valid() or self.send is None or not self.job_store.loaded:
+        if (
+            not self.registration.lease_is_valid()
+            or self.send is None
+            or not self.job_store.loaded_partitions
+        ):
             return
         now = self.clock.seconds()
         for member in {shard.holder for shard in self.mirror.shards.values()}:
-            full = now - self.fully_published_at.get(member, -1e9) >= self.timeouts.resync
+            full = (
+                now - self.fully_published_at.get(member, -1e9) >= self.timeouts.resync_interval_s
+            )
             if member not in self.publishing_to and (full or self.changed_machines.get(member)):
                 self.publishing_to.add(member)
                 spawn(self._publish_to(member, full), f"desired state for {member}")
@@ -199,7 +209,9 @@
             sent = self.attempts_sent - sent_before
             if sent >= LARGE_PUBLICATION_ATTEMPTS:
                 await sleep(
-                    self.clock, self.timeouts.heartbeat * min(sent / MAX_DESIRED_ATTEMPTS, 1.0)
+                    self.clock,
+                    self.timeouts.member_heartbeat_interval_s
+                    * min(sent / MAX_DESIRED_ATTEMPTS, 1.0),
                 )
         finally:
             self.publishing_to.discard(member)
@@ -252,7 +264,8 @@
         # Partitions that are still being loaded are left out: an empty list would mean that none
         # of their tasks is desired, and the member would stop them all.
         desired: dict[str, list[DesiredAttempt]] = {
-            partition: [] for partition in sorted(self.job_store.partitions & self.job_store.loaded)
+            partition: []
+            for partition in sorted(self.job_store.partitions & self.job_store.loaded_partitions)
         }
         names = set(machines) if machines is not None else {*self.by_machine, *self.pending_clears}
         now = self.clock.seconds()
@@ -276,7 +289,7 @@
                 self.attempts_sent += len(attempts)
                 messages.append(
                     DesiredStateUpdate(
-                        owner=self.registration.me,
+                        owner=self.registration.own_name,
                         partition=partition,
                         version=record.version,
                         incarnation=self.registration.incarnation,
@@ -308,7 +321,7 @@
         """Add the attempts to clear on the machine, and drop those unconfirmed for too long."""
         clears = self.pending_clears.get(machine, {})
         for key, clear in list(clears.items()):
-            if now - clear.since > self.timeouts.worker_lease * CLEAR_EXPIRY_WORKER_LEASES:
+            if now - clear.since > self.timeouts.worker_lease_s * CLEAR_EXPIRY_WORKER_LEASES:
                 del clears[key]
             elif clear.partition in desired and self._is_end_stored(key.task_name):
                 desired[clear.partition].append(
@@ -322,5 +335,5 @@
         job_id, _, index = task_name.partition("/")
         job = self.job_store.jobs.get(job_id)
         return job is None or (
-            not job.writing and int(index) // job.tasks_per_chunk not in job.dirty
+            not job.is_writing and int(index) // job.tasks_per_chunk not in job.dirty_chunks
         )
--- a/src/beamspar/jobs/attempt_statuses.py
+++ b/src/beamspar/jobs/attempt_statuses.py
@@ -31,7 +31,7 @@
 CLEAR_REPLY_STATES = frozenset({AttemptState.GONE, AttemptState.KEPT, AttemptState.REFUSED})
 
 
-class JobStore(Protocol):
+class AttemptStatusJobStore(Protocol):
     """What the status handler needs of the job controller."""
 
     jobs: dict[str, Job]
@@ -47,7 +47,7 @@
     def publish_desired_state_of(self, job: Job) -> None:
         """Publish the desired state of all machines that the job's tasks are bound to."""
 
-    def schedule(self) -> None:
+    def schedule_placement(self) -> None:
         """Schedule a placement round for the pending tasks."""
 
 
@@ -61,7 +61,7 @@
         timeouts: Timeouts,
         assignments: Assignments,
         gang_attempts: GangAttempts,
-        job_store: JobStore,
+        job_store: AttemptStatusJobStore,
     ) -> None:
         self.clock = clock
         self.mirror = mirror
@@ -83,15 +83,15 @@
         for job in changed.values():
             # If tasks can be placed again now, the job is written only once, with the new
             # bindings, unless other jobs wait for the quota that storing the ends releases.
-            if not job.waiting(now, 1) or self._is_quota_wanted(job):
+            if not job.placeable_indexes(now, 1) or self._is_quota_wanted(job):
                 self.job_store.writer.flush(job)
         if changed:
-            self.job_store.schedule()
+            self.job_store.schedule_placement()
 
     def _is_quota_wanted(self, job: Job) -> bool:
         """Return whether other jobs wait for the quota of the job's team."""
         quota_manager = self.job_store.quota_manager
-        return quota_manager is not None and quota_manager.others_wait(job)
+        return quota_manager is not None and quota_manager.other_work_waits(job)
 
     def _observe_one(self, status: AttemptStatus) -> Job | None:
         """Apply one status; return the job if the status ends one of its attempts."""
@@ -119,7 +119,7 @@
         for machine in self.assignments.machines_without_controller():
             for key, assigned in self.assignments.tasks_on(machine):
                 job, task = assigned.job, assigned.task
-                if task.stored:
+                if task.is_stored:
                     status = AttemptStatus(
                         machine, task.fencing_token, key.name, task.attempt, AttemptState.GONE
                     )
@@ -156,11 +156,11 @@
         if task.machine is not None:
             self.assignments.unassign(task.machine, job, index)
             job.unbind(index)
-        task.stored = False
+        task.is_stored = False
         task.fencing_token = 0
         # The task counts against the team's quota until its release is stored: until then, a
         # successor would restore the binding and start the task.
-        job.dirty.add(index // job.tasks_per_chunk)
+        job.dirty_chunks.add(index // job.tasks_per_chunk)
         self.job_store.quota_usage_changed(job)
 
     def _complete_task(self, job: Job, index: int) -> None:
@@ -177,7 +177,7 @@
                 self.assignments.request_clear(job, task.machine, name, task.attempt)
                 self._unbind(job, index, task)
             job.complete(index)
-            job.dirty.add(index // job.tasks_per_chunk)
+            job.dirty_chunks.add(index // job.tasks_per_chunk)
         job.retry_queue.clear()
 
     # -- retries
@@ -191,9 +191,9 @@
             task.failures += 1
             if status.exit_reason == ExitReason.ERROR:
                 self._attribute_failure(job, task, status.machine, now)
-            task.not_before = now + retry_pause_s(task.failures, self.timeouts.retry)
+            task.not_before = now + retry_pause_s(task.failures, self.timeouts.retry_delay_s)
         elif status.state == AttemptState.REFUSED:
-            task.not_before = now + self.timeouts.heartbeat / 2
+            task.not_before = now + self.timeouts.member_heartbeat_interval_s / 2
 
     def _attribute_failure(self, job: Job, task: Task, machine: str, now: float) -> None:
         """Have a task that failed avoid the machine, and count the failure for its job."""
@@ -201,7 +201,7 @@
         # Services have few tasks, as gangs do, so the retry pauses of their tasks suffice.
         if job.spec.is_service:
             return
-        if job.backoff.record_failure(machine, now, self.timeouts.retry):
+        if job.backoff.record_failure(machine, now, self.timeouts.retry_delay_s):
             self.jobs_backed_off += 1
             log.warn(
                 "{job} fails on every machine, limiting it to a few probe tasks: "
--- a/src/beamspar/jobs/chunk_removal.py
+++ b/src/beamspar/jobs/chunk_removal.py
@@ -34,6 +34,6 @@
             try:
                 await self._state.transact({}, changes, RequestPriority.BACKGROUND)
             except StateUnavailableError:
-                await sleep(self._clock, self._timeouts.retry)
+                await sleep(self._clock, self._timeouts.retry_delay_s)
             else:
                 del remaining[:batch_size]
--- a/src/beamspar/jobs/desired_state.py
+++ b/src/beamspar/jobs/desired_state.py
@@ -43,11 +43,11 @@
     `may_start` returns whether the job's team is within its quota. It is called last because it
     is expensive.
     """
-    if not task.stored:
+    if not task.is_stored:
         # Reserve the capacity at once: otherwise, while the record was being written, other
         # tasks took the capacity and the start was refused.
         return DesiredAction.HOLD
-    if job.status != JobStatus.LIVE or task.preempted_for_quota:
+    if job.status != JobStatus.LIVE or task.is_preempted_for_quota:
         return DesiredAction.STOP
     if job.spec.is_gang and job.gang_phase(now) is GangPhase.STOPPING:
         return DesiredAction.STOP
@@ -79,7 +79,7 @@
         spec.rank,
         spec.checkpoint_s > 0 and not (spec.is_gang and job.gang.cannot_save),
         spec.save_s,
-        task.preempt,
+        task.may_preempt,
         spec.is_gang,
         job.backoff.is_job_at_fault,
     )
--- a/src/beamspar/jobs/empty_partitions.py
+++ b/src/beamspar/jobs/empty_partitions.py
@@ -28,14 +28,14 @@
     """The jobs of this controller's partitions."""
 
     jobs: dict[str, Job]
-    loaded: set[str]
+    loaded_partitions: set[str]
 
     @property
     def indeterminate_accepts(self) -> dict[str, list[Job]]:
         """Jobs whose accept has an unknown outcome, by ID."""
 
 
-class EmptyPartitions:
+class EmptyPartitionRemover:
     """Deletes empty partitions, at most one at a time."""
 
     def __init__(
@@ -61,8 +61,10 @@
         job_store = self.job_store
         indeterminate = [job for jobs in job_store.indeterminate_accepts.values() for job in jobs]
         in_use = {job.partition for job in (*job_store.jobs.values(), *indeterminate)}
-        for partition in sorted(job_store.loaded - in_use - {self.registration.partition}):
-            if partition in self.mirror.partitions and quota_manager.holds_none(partition):
+        for partition in sorted(
+            job_store.loaded_partitions - in_use - {self.registration.partition}
+        ):
+            if partition in self.mirror.partitions and quota_manager.has_no_allocations(partition):
                 self.is_deleting = True
                 spawn(self._delete(partition), "deleting a partition")
                 return
@@ -83,5 +85,5 @@
                 partition=partition,
                 error=error,
             )
-        await sleep(self.clock, self.timeouts.resync)
+        await sleep(self.clock, self.timeouts.resync_interval_s)
         self.is_deleting = False
--- a/src/beamspar/jobs/gang_attempts.py
+++ b/src/beamspar/jobs/gang_attempts.py
@@ -27,7 +27,7 @@
 log = Logger(namespace="jobs")
 
 
-class JobStore(Protocol):
+class GangJobStore(Protocol):
     """What the gang attempts need of the job controller."""
 
     jobs: dict[str, Job]
@@ -35,33 +35,33 @@
     def publish_desired_state_of(self, job: Job) -> None:
         """Publish the desired state of all machines that the job's tasks are bound to."""
 
-    def schedule(self) -> None:
+    def schedule_placement(self) -> None:
         """Schedule a placement round for the pending tasks."""
 
 
 class GangAttempts:
     """Advances the attempts of gangs; their state is in each job's `gang`."""
 
-    def __init__(self, timeouts: Timeouts, job_store: JobStore) -> None:
+    def __init__(self, timeouts: Timeouts, job_store: GangJobStore) -> None:
         self.timeouts = timeouts
         self.job_store = job_store
 
     def observe_state(self, job: Job, state: str) -> None:
         """Apply a new state of one of a gang's tasks, which may change the desired state of all."""
-        was_stopping, was_state_known = job.gang.stopping, job.gang.is_state_known
+        was_stopping, was_state_known = job.gang.is_stopping, job.gang.is_state_known
         job.gang.observe_state(state)
-        if job.gang.stopping != was_stopping:
+        if job.gang.is_stopping != was_stopping:
             log.info("{job}: a task of the gang is stopping, stopping the whole gang", job=job.id)
             self.job_store.publish_desired_state_of(job)
         elif not was_state_known:
             # The gang may have been restored with a task missing. Its state is known now, so the
             # missing task can be replaced if the gang has not started.
-            self.job_store.schedule()
+            self.job_store.schedule_placement()
 
     def lose_task(self, job: Job, task: Task, status: AttemptStatus, now: float) -> None:
         """Apply the end of a gang's task that is not done: replace it or stop all tasks."""
         gang = job.gang
-        if status.exit_reason in GANG_FAILURE_REASONS and not gang.stopping:
+        if status.exit_reason in GANG_FAILURE_REASONS and not gang.is_stopping:
             gang.failures += 1
         # The attempt cannot be completed if the task timed out waiting for the other tasks, or if
         # the gang had started: its peers are gone or it has saved a checkpoint. Otherwise the
@@ -71,19 +71,19 @@
         if status.exit_reason == ExitReason.ERROR:
             avoid_machine(task, status.machine)
         if status.state == AttemptState.REFUSED:
-            task.not_before = now + self.timeouts.heartbeat / 2
+            task.not_before = now + self.timeouts.member_heartbeat_interval_s / 2
         else:
-            task.not_before = now + gang.retry_delay_s(job.id, self.timeouts.retry)
+            task.not_before = now + gang.retry_delay_s(job.id, self.timeouts.retry_delay_s)
         self.job_store.publish_desired_state_of(job)
 
     def stop_incomplete(self, now: float) -> None:
         """Stop gangs without a replacement in time, as other jobs may need their machines."""
         for job in self.job_store.jobs.values():
             gang = job.gang
-            if gang.missing_since is None or gang.stopping or job.status != JobStatus.LIVE:
+            if gang.missing_since is None or gang.is_stopping or job.status != JobStatus.LIVE:
                 continue
-            if job.bound and job.gang_phase(now) is GangPhase.STOPPING:
+            if job.bound_count and job.gang_phase(now) is GangPhase.STOPPING:
                 log.info("{job}: gang incomplete for too long, stopping its tasks", job=job.id)
-                gang.stopping = True
+                gang.is_stopping = True
                 gang.failures += 1
                 self.job_store.publish_desired_state_of(job)
--- a/src/beamspar/jobs/indeterminate_accepts.py
+++ b/src/beamspar/jobs/indeterminate_accepts.py
@@ -85,8 +85,8 @@
         Accepts are conditional on its version, so none can be applied late from then on.
         """
         checks, is_fenced = 0, False
-        while job_id in self.jobs and not self._registration.lost:
-            await sleep(self._clock, self._timeouts.report)
+        while job_id in self.jobs and not self._registration.is_ended:
+            await sleep(self._clock, self._timeouts.worker_heartbeat_interval_s)
             checks += 1
             try:
                 if checks > CHECKS_BEFORE_FENCING and not is_fenced:
@@ -114,7 +114,7 @@
             return AcceptOutcome.NOT_STORED if finished_item is None else AcceptOutcome.RESOLVED
         if records.read_job(item).partition not in self._job_store.partitions:
             return AcceptOutcome.RESOLVED
-        await self._job_store.adopt(job_id)
+        await self._job_store.load_stored_job(job_id)
         if job_id in self._job_store.jobs:
             return AcceptOutcome.RESOLVED
         return AcceptOutcome.NOT_IN_MEMORY
@@ -122,7 +122,7 @@
     async def _fence_out_late_accepts(self) -> None:
         """Rewrite this controller's partition record, so that accepts on its old version fail."""
         key = keys.partition(self._registration.partition)
-        value = {"owner": self._registration.me}
+        value = {"owner": self._registration.own_name}
         conditions = {
             **self._registration.fence_condition(),
             **self._mirror.partition_condition(self._registration.partition),
--- a/src/beamspar/jobs/job_acceptor.py
+++ b/src/beamspar/jobs/job_acceptor.py
@@ -55,7 +55,7 @@
         """Jobs whose accept received no reply from the state service, by job ID."""
         return self._indeterminate.jobs
 
-    def settled(self, job_id: str) -> None:
+    def mark_accepts_resolved(self, job_id: str) -> None:
         """Stop counting the job's indeterminate accepts, as its stored record is now known."""
         self._indeterminate.mark_resolved(job_id)
 
@@ -68,7 +68,7 @@
         """
         layout = self._job_store.writer.layout_for_new_job()
         job = Job(spec, self._registration.partition, layout, self._clock.seconds())
-        job.gang_wait_s = self._timeouts.gang_wait
+        job.gang_wait_s = self._timeouts.gang_wait_s
         job.quota_served_revision = self._mirror.revision
         self.jobs_being_accepted[spec.id] = job
         try:
@@ -78,7 +78,7 @@
 
     async def _accept(self, job: Job) -> bool:
         await self._job_store.place([job])
-        bound_count = job.quota_usage.writing(0)
+        bound_count = job.quota_usage.begin_write(0)
         job.write_stamp = self._job_store.writer.next_write_stamp()
         change = put(keys.job(job.id), msgspec.to_builtins(job.record()))
         try:
@@ -119,14 +119,14 @@
 
     def _apply_stored(self, job: Job, version: int, bound_count: int) -> None:
         """Apply the stored record: the bound tasks of its first chunk may now be started."""
-        self.settled(job.id)
+        self.mark_accepts_resolved(job.id)
         job.version = version
-        job.dirty.discard(0)
-        job.quota_usage.written(0, bound_count)
+        job.dirty_chunks.discard(0)
+        job.quota_usage.confirm_write(0, bound_count)
         for index, task in job.tasks.items():
             if index < job.tasks_per_chunk and task.machine:
-                task.stored = True
-                self._job_store.touch(task.machine)
+                task.is_stored = True
+                self._job_store.mark_machine_changed(task.machine)
 
     def _begin_work(self, job: Job) -> None:
         """Add the stored job to the jobs in memory and begin its pending work.
@@ -139,12 +139,12 @@
             job=job.id,
             job_class=job.spec.job_class,
             n=job.spec.tasks,
-            placed=job.bound,
+            placed=job.bound_count,
         )
         if self._mirror.is_cancelled(job.id):
             # Another controller read the new record and stored a cancellation before this
             # controller received the reply to its write.
             self._job_store.apply_cancellation(job.id)
         self._job_store.writer.flush(job)
-        if job.waiting(self._clock.seconds(), 1):
-            self._job_store.schedule()
+        if job.placeable_indexes(self._clock.seconds(), 1):
+            self._job_store.schedule_placement()
--- a/src/beamspar/jobs/job_controller.py
+++ b/src/beamspar/jobs/job_controller.py
@@ -11,7 +11,7 @@
 from beamspar.cluster.registration import Registration
 from beamspar.jobs.assignments import Assignments
 from beamspar.jobs.attempt_statuses import AttemptStatusHandler
-from beamspar.jobs.empty_partitions import EmptyPartitions
+from beamspar.jobs.empty_partitions import EmptyPartitionRemover
 from beamspar.jobs.gang_attempts import GangAttempts
 from beamspar.jobs.job_acceptor import JobAcceptor
 from beamspar.jobs.job_loader import JobLoader
@@ -55,7 +55,7 @@
         self.jobs: dict[str, Job] = {}
         self.partitions: set[str] = set()
         # Partitions whose jobs are all in memory; the resource usage of others is unknown.
-        self.loaded: set[str] = set()
+        self.loaded_partitions: set[str] = set()
         # Zones of all machines that were ever in a shard.
         self.zones: dict[str, str] = {}
         self.spot_machines: set[str] = set()
@@ -71,7 +71,9 @@
             clock, registration.mirror, timeouts, self.assignments, self.gang_attempts, self
         )
         self.quota_stops = QuotaStops(timeouts, self)
-        self.empty_partitions = EmptyPartitions(clock, registration, state, timeouts, self)
+        self.empty_partition_remover = EmptyPartitionRemover(
+            clock, registration, state, timeouts, self
+        )
         registration.mirror.listeners.append(self._observe_control_key)
 
     # -- changes of partitions and machines
@@ -87,10 +89,10 @@
 
     def _observe_partition(self, name: str) -> None:
         record = self.mirror.partitions.get(name)
-        if record and record.owner == self.registration.me:
+        if record and record.owner == self.registration.own_name:
             if name not in self.partitions:
                 self.partitions.add(name)
-                if name != self.registration.partition and self.registration.started:
+                if name != self.registration.partition and self.registration.is_started:
                     log.info("taking over partition {partition}, loading its jobs", partition=name)
                     spawn(self.load(), "taking over")
         elif name in self.partitions:
@@ -99,11 +101,11 @@
     def _remove_partition(self, name: str) -> None:
         """Remove the partition and its jobs, which another controller owns now."""
         self.partitions.discard(name)
-        self.loaded.discard(name)
+        self.loaded_partitions.discard(name)
         for job in [job for job in self.jobs.values() if job.partition == name]:
-            self.forget(job)
+            self.remove_job(job)
         if self.quota_manager is not None:
-            self.quota_manager.forget(name)
+            self.quota_manager.remove_partition(name)
 
     def _observe_shard(self, name: str) -> None:
         shard = self.mirror.shards.get(name)
@@ -123,14 +125,14 @@
         """Load the jobs of the owned partitions that are not in memory yet."""
         await self.loader.load()
 
-    def keep(self, job: Job) -> None:
+    def add_restored_job(self, job: Job) -> None:
         """Add a restored job to the jobs in memory."""
         self.jobs[job.id] = job
         for index, task in job.tasks.items():
             if task.machine is not None:
                 self.assignments.assign(task.machine, job, index, task)
         self.quota_usage_changed(job)
-        self.acceptor.settled(job.id)
+        self.acceptor.mark_accepts_resolved(job.id)
         if self.mirror.is_cancelled(job.id):
             # The cancellation was stored after the job's record was read.
             self.apply_cancellation(job.id)
@@ -138,17 +140,17 @@
     def on_jobs_loaded(self) -> None:
         """Publish the desired state of all machines after more partitions have been loaded."""
         self.assignments.publish_all()
-        self.schedule()
+        self.schedule_placement()
 
-    async def adopt(self, job_id: str) -> None:
+    async def load_stored_job(self, job_id: str) -> None:
         """Load a stored job of an owned partition that is missing in memory."""
-        job = await self.loader.adopt(job_id)
+        job = await self.loader.load_stored_job(job_id)
         if job is not None:
             log.info("loaded {job}, which was stored but missing in memory", job=job_id)
             self.writer.flush(job)
-            self.schedule()
+            self.schedule_placement()
 
-    def forget(self, job: Job, ended: bool = False) -> None:
+    def remove_job(self, job: Job, ended: bool = False) -> None:
         """Remove a job that has ended, or that another controller owns now."""
         self.jobs.pop(job.id, None)
         if ended:
@@ -204,7 +206,7 @@
     def _unbind_unstored(self, job: Job) -> None:
         """Unbind tasks whose binding is not stored; none of them was started."""
         for index, task in job.tasks.items():
-            if task.machine is not None and not task.stored:
+            if task.machine is not None and not task.is_stored:
                 self.unassign(task.machine, job, index)
                 job.unbind(index)
         self.quota_usage_changed(job)
@@ -220,7 +222,7 @@
             job.partition, job.spec.team
         ):
             # Pending tasks may be covered by the team's quota now.
-            self.schedule()
+            self.schedule_placement()
 
     def may_start(self, job: Job) -> bool:
         """Return whether the bound tasks of the job's team are within its quota allocation."""
@@ -232,14 +234,14 @@
         """Remove the job's task from the tasks that are bound to the machine."""
         self.assignments.unassign(machine, job, index)
 
-    def touch(self, machine: str) -> None:
+    def mark_machine_changed(self, machine: str) -> None:
         """Publish the machine's desired state to its controller."""
         self.assignments.mark_changed(machine)
 
     def publish_desired_state_of(self, job: Job) -> None:
         """Publish the desired state of all machines that the job's tasks are bound to."""
         for machine in {task.machine for task in job.tasks.values()} - {None}:
-            self.touch(str(machine))
+            self.mark_machine_changed(str(machine))
 
     def observe_statuses(self, statuses: list[AttemptStatus]) -> None:
         """Handle attempt statuses reported by machine controllers."""
@@ -247,7 +249,7 @@
 
     # -- placing
 
-    def schedule(self) -> None:
+    def schedule_placement(self) -> None:
         """Schedule a placement round for the pending tasks."""
         self.placer.schedule()
 
@@ -260,14 +262,14 @@
         self.writer.tick()
         self._apply_known_cancellations()
         if self.quota_manager is not None:
-            self.empty_partitions.delete_one(self.quota_manager)
+            self.empty_partition_remover.delete_one(self.quota_manager)
         now = self.clock.seconds()
         self.gang_attempts.stop_incomplete(now)
         if self.quota_manager is not None:
             self.quota_stops.run_if_due(self.quota_manager, now)
         self.assignments.publish()
         self.attempt_statuses.end_attempts_on_vanished_machines()
-        self.schedule()
+        self.schedule_placement()
 
     def _apply_known_cancellations(self) -> None:
         cancelled = self.mirror.cancelled | self.mirror.announced_cancellations.keys()
--- a/src/beamspar/jobs/job_loader.py
+++ b/src/beamspar/jobs/job_loader.py
@@ -52,25 +52,25 @@
         self._job_store = job_store
         # The number of loads in progress, and the jobs that finished during them: a record that a
         # load has read of such a job is outdated.
-        self.load_count = 0
-        self.finished_meanwhile: set[str] = set()
+        self.active_load_count = 0
+        self.finished_during_load: set[str] = set()
 
     async def load(self) -> None:
         """Load the jobs of this controller's partitions that are not in memory yet."""
         with self._count_load():
-            while not self._registration.lost:
+            while not self._registration.is_ended:
                 # Partitions that are acquired after this point need another load.
                 ownership = self._ownership_revisions()
                 try:
                     await self._load_all(ownership)
                 except StateUnavailableError as error:
                     log.info("loading jobs failed, will retry: {error}", error=error)
-                    await sleep(self._clock, self._timeouts.retry)
+                    await sleep(self._clock, self._timeouts.retry_delay_s)
                     continue
                 self._mark_loaded(ownership)
                 return
 
-    async def adopt(self, job_id: str) -> Job | None:
+    async def load_stored_job(self, job_id: str) -> Job | None:
         """Load one stored job of this controller's partitions.
 
         Returns None if the job was not loaded: it is already in memory or being accepted, is not
@@ -85,18 +85,18 @@
 
     def job_finished(self, job_id: str) -> None:
         """Make the loads in progress discard what they have read of a finished job."""
-        if self.load_count:
-            self.finished_meanwhile.add(job_id)
+        if self.active_load_count:
+            self.finished_during_load.add(job_id)
 
     @contextmanager
     def _count_load(self) -> Iterator[None]:
-        self.load_count += 1
+        self.active_load_count += 1
         try:
             yield
         finally:
-            self.load_count -= 1
-            if not self.load_count:
-                self.finished_meanwhile.clear()
+            self.active_load_count -= 1
+            if not self.active_load_count:
+                self.finished_during_load.clear()
 
     # -- ownership of partitions
 
@@ -118,7 +118,9 @@
 
     def _mark_loaded(self, ownership: dict[str, int]) -> None:
         job_store = self._job_store
-        job_store.loaded |= {name for name in ownership if self._is_still_owned(name, ownership)}
+        job_store.loaded_partitions |= {
+            name for name in ownership if self._is_still_owned(name, ownership)
+        }
         log.info(
             "load finished: {n} jobs in memory, owned partitions: {partitions}",
             n=len(job_store.jobs),
@@ -167,7 +169,7 @@
         """Build the job from its record and its further chunks."""
         layout = records.layout_of(record, self._limits)
         job = job_from_record(record, version, layout, self._clock.seconds())
-        job.gang_wait_s = self._timeouts.gang_wait
+        job.gang_wait_s = self._timeouts.gang_wait_s
         chunks = {0: record.chunk}
         if job.spec.tasks > layout.tasks_per_chunk:
             items, _ = await self._state.scan(layout.prefix(job.id), RequestPriority.ACCEPT)
@@ -188,8 +190,8 @@
         if (
             job.id in job_store.jobs
             or job.partition not in job_store.partitions
-            or job.id in self.finished_meanwhile
+            or job.id in self.finished_during_load
         ):
             return False
-        job_store.keep(job)
+        job_store.add_restored_job(job)
         return True
--- a/src/beamspar/jobs/job_restore.py
+++ b/src/beamspar/jobs/job_restore.py
@@ -27,7 +27,7 @@
     """Add the tasks in these chunks, given by chunk number, to the job."""
     for number, chunk in sorted(chunks.items()):
         _restore_chunk(job, number, chunk)
-    job.done_count = sum(len(indexes) for indexes in job.completed.values())
+    job.done_count = sum(len(indexes) for indexes in job.completed_by_chunk.values())
     # Every task below `next_unstarted` that is not bound, completed or awaiting another attempt
     # was never started: it is pending with attempt 0.
     for index in range(job.next_unstarted):
@@ -38,15 +38,15 @@
 
 def _restore_chunk(job: Job, number: int, chunk: Chunk) -> None:
     for first, last in chunk.done:
-        job.completed.setdefault(number, set()).update(range(first, last + 1))
+        job.completed_by_chunk.setdefault(number, set()).update(range(first, last + 1))
         job.next_unstarted = max(job.next_unstarted, last + 1)
     for index, attempt, machine in chunk.bound:
         task = job.tasks[index] = Task(attempt)
         job.bind(index, machine)
-        task.stored = True
+        task.is_stored = True
         job.next_unstarted = max(job.next_unstarted, index + 1)
     for index, attempt in chunk.waiting_again:
         job.tasks[index] = Task(attempt)
         job.retry_queue.append(index)
         job.next_unstarted = max(job.next_unstarted, index + 1)
-    job.quota_usage.written(number, len(chunk.bound))
+    job.quota_usage.confirm_write(number, len(chunk.bound))
--- a/src/beamspar/jobs/job_store.py
+++ b/src/beamspar/jobs/job_store.py
@@ -24,10 +24,10 @@
 class WritableJobStore(JobStore, Protocol):
     """The jobs whose records are written, and the reactions to the contents of stored records."""
 
-    def touch(self, machine: str) -> None:
+    def mark_machine_changed(self, machine: str) -> None:
         """Publish the desired state of the machine to its machine controller."""
 
-    def forget(self, job: Job, ended: bool = False) -> None:
+    def remove_job(self, job: Job, ended: bool = False) -> None:
         """Remove a job from memory: it has ended, or another controller owns it."""
 
     def cancel(self, job: Job) -> None:
@@ -40,13 +40,13 @@
 class LoadableJobStore(JobStore, Protocol):
     """The store that receives jobs which were read from the state service."""
 
-    loaded: set[str]
+    loaded_partitions: set[str]
 
     @property
     def jobs_being_accepted(self) -> dict[str, Job]:
         """Jobs that this controller is accepting, by ID."""
 
-    def keep(self, job: Job) -> None:
+    def add_restored_job(self, job: Job) -> None:
         """Add a restored job to the jobs in memory."""
 
     def on_jobs_loaded(self) -> None:
@@ -65,14 +65,14 @@
     def unassign(self, machine: str, job: Job, index: int) -> None:
         """Remove the task from the machine's assignments."""
 
-    def touch(self, machine: str) -> None:
+    def mark_machine_changed(self, machine: str) -> None:
         """Publish the desired state of the machine to its machine controller."""
 
     def apply_cancellation(self, job_id: str) -> None:
         """Apply a stored cancellation to the job, if it is in memory."""
 
-    async def adopt(self, job_id: str) -> None:
+    async def load_stored_job(self, job_id: str) -> None:
         """Load a stored job of this controller's partitions that is not in memory."""
 
-    def schedule(self) -> None:
+    def schedule_placement(self) -> None:
         """Place pending tasks."""
--- a/src/beamspar/jobs/job_writer.py
+++ b/src/beamspar/jobs/job_writer.py
@@ -81,8 +81,8 @@
 
         A write that is already in progress continues with the new changes.
         """
-        if not job.writing and job.id in self._job_store.jobs and self._is_write_due(job):
-            job.writing = True
+        if not job.is_writing and job.id in self._job_store.jobs and self._is_write_due(job):
+            job.is_writing = True
             spawn(self._write(job), f"writing {job.id}")
 
     async def refresh(self, job: Job) -> None:
@@ -98,7 +98,7 @@
 
     def _is_write_due(self, job: Job) -> bool:
         return (
-            bool(job.dirty)
+            bool(job.dirty_chunks)
             or job.is_finished
             or (self._layouts.may_outgrow_limit(job) and self._layouts.was_readable_by_all)
         )
@@ -106,18 +106,18 @@
     async def _write(self, job: Job) -> None:
         """Write until nothing is due, one write at a time, each with all changes so far."""
         try:
-            while job.id in self._job_store.jobs and not self._registration.lost:
+            while job.id in self._job_store.jobs and not self._registration.is_ended:
                 if job.is_finished:
                     if await self._store_final_record(job):
                         return
                 elif self._layouts.may_outgrow_limit(job) and self._layouts.is_readable_by_all():
                     await self._migration.migrate(job)
-                elif job.dirty:
+                elif job.dirty_chunks:
                     await self._transactions.write_record(job)
                 else:
                     return
         finally:
-            job.writing = False
+            job.is_writing = False
 
     async def _store_final_record(self, job: Job) -> bool:
         """Replace the job's record by its final one; return True when the job has left memory.
@@ -139,12 +139,12 @@
                 job=job.id,
                 error=error,
             )
-            await sleep(self._clock, self._timeouts.retry)
+            await sleep(self._clock, self._timeouts.retry_delay_s)
             if isinstance(error, OutcomeUnknownError):
                 await self.refresh(job)
             return job.id not in self._job_store.jobs
         log.info("{job} finished, final record stored: {status}", job=job.id, status=status)
-        self._job_store.forget(job, ended=True)
+        self._job_store.remove_job(job, ended=True)
         if job.chunk_versions:
             removal = self._chunk_remover.remove(job.id, job.layout, job.chunk_versions)
             spawn(removal, "dropping chunks")
--- a/src/beamspar/jobs/layout_migration.py
+++ b/src/beamspar/jobs/layout_migration.py
@@ -63,8 +63,8 @@
 
         Returns whether all of them are known to be stored.
         """
-        while len(job.dirty - {0}) > self._chunks_at_once:
-            chunks = sorted(job.dirty - {0})[: self._chunks_at_once]
+        while len(job.dirty_chunks - {0}) > self._chunks_at_once:
+            chunks = sorted(job.dirty_chunks - {0})[: self._chunks_at_once]
             if not await self._transactions.write_chunks_of_new_layout(job, chunks):
                 return False
         return await self._transactions.write_record(job)
--- a/src/beamspar/jobs/placement_round.py
+++ b/src/beamspar/jobs/placement_round.py
@@ -54,7 +54,7 @@
 
     A service that must run in one zone and has lost some of its tasks gets only these replaced.
     """
-    return job.spec.grouped and not job.bound
+    return job.spec.grouped and not job.bound_count
 
 
 def select_jobs(jobs: list[Job]) -> list[Job]:
@@ -92,13 +92,13 @@
     a job, the whole job stayed pending for ever in spite of free capacity.
     """
     # A new attempt of a gang may use the machines of the previous one.
-    avoided: set[str] = set(job.gang.excluded_machines if job.bound else ())
+    avoided: set[str] = set(job.gang.excluded_machines if job.bound_count else ())
     if job.backoff.is_job_at_fault:
         return avoided
     for index in job.retry_queue:
         task = job.tasks[index]
-        if task.avoid and task.not_before > failed_after:
-            avoided |= task.avoid
+        if task.avoided_machines and task.not_before > failed_after:
+            avoided |= task.avoided_machines
     return avoided
 
 
@@ -106,7 +106,7 @@
     job: Job, tasks: int, avoid: set[str], zone_of: Callable[[str], str], now: float
 ) -> CapacityRequest:
     """Return the request to the leader for capacity for this number of the job's tasks."""
-    zones, machines = job.places(zone_of)
+    zones, machines = job.task_counts_by_location(zone_of)
     return CapacityRequest(
         spec=msgspec.to_builtins(job.spec),
         count=tasks,
--- a/src/beamspar/jobs/placer.py
+++ b/src/beamspar/jobs/placer.py
@@ -25,10 +25,10 @@
     tasks_per_round,
 )
 from beamspar.jobs.task_binder import TaskBinder
-from beamspar.placement import Preference, choose, choose_group
+from beamspar.placement import Preference, choose_group, choose_machine
 from beamspar.protocol.jobs import LOWEST_RANK, JobSpec
+from beamspar.protocol.machine_capacity import MachineCapacity
 from beamspar.protocol.peer_messages import CapacityRequest, PlacementOffer
-from beamspar.protocol.room import Room
 from beamspar.quota.quota_manager import QuotaManager
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock, spawn
@@ -42,7 +42,7 @@
 RequestCapacity = Callable[[list[CapacityRequest]], Deferred[list[PlacementOffer] | None]]
 
 
-class JobStore(Protocol):
+class PlacerJobStore(Protocol):
     """What the placer needs of the job controller."""
 
     jobs: dict[str, Job]
@@ -54,10 +54,10 @@
         """Return the machine's zone."""
 
 
-class LocalRooms(NamedTuple):
+class LocalCapacities(NamedTuple):
     """Free capacity of the machines that this member controls, at one time."""
 
-    rooms: list[Room]
+    capacities: list[MachineCapacity]
     # Names of these machines when the round began: they are preferred among cold machines.
     local: set[str]
 
@@ -76,7 +76,11 @@
     """
 
     def __init__(
-        self, clock: Clock, registration: Registration, timeouts: Timeouts, job_store: JobStore
+        self,
+        clock: Clock,
+        registration: Registration,
+        timeouts: Timeouts,
+        job_store: PlacerJobStore,
     ) -> None:
         self.clock = clock
         self.registration = registration
@@ -92,7 +96,7 @@
         # Set by the node: the free capacity of the machines that this member controls, the
         # criteria for a job's machines, and the request for the leader's placement offers, whose
         # result is None if the reply is lost.
-        self.local_rooms: Callable[[], list[Room]] = lambda: []
+        self.local_capacities: Callable[[], list[MachineCapacity]] = lambda: []
         self.preference: Callable[[JobSpec], Preference] = lambda spec: Preference()
         self.request_capacity: RequestCapacity | None = None
 
@@ -107,7 +111,7 @@
         # Every task that ends requests a round, so with thousands of short tasks, rounds without
         # a minimum interval took all processor time. New jobs don't wait for a round: they are
         # placed when they are accepted.
-        interval = self.timeouts.heartbeat * ROUND_INTERVAL_HEARTBEATS
+        interval = self.timeouts.member_heartbeat_interval_s * ROUND_INTERVAL_HEARTBEATS
         wait = self.round_began_at + interval - self.clock.seconds()
         if wait > 0:
             self.clock.callLater(wait, self._begin_round, self.clock.seconds() + wait)
@@ -136,18 +140,18 @@
 
     async def _place_pending_jobs(self) -> None:
         now = self.clock.seconds()
-        pending = [job for job in self.job_store.jobs.values() if job.waiting(now, 1)]
+        pending = [job for job in self.job_store.jobs.values() if job.placeable_indexes(now, 1)]
         self._flush_deferred(pending)
         jobs = [job for job in pending if self._may_place(job)]
         if not jobs or not self.registration.lease_is_valid():
             return
         jobs.sort(key=lambda job: (job.spec.rank, job.waiting_since))
         selected = select_jobs(jobs)
-        bound_before = sum(job.bound for job in selected)
+        bound_before = sum(job.bound_count for job in selected)
         await self.place(selected)
         for job in jobs:
             self.job_store.writer.flush(job)
-        if len(selected) < len(jobs) and sum(job.bound for job in selected) > bound_before:
+        if len(selected) < len(jobs) and sum(job.bound_count for job in selected) > bound_before:
             # Some tasks were placed, so there may be capacity for the jobs left out, too.
             self.is_round_wanted = True
 
@@ -165,7 +169,7 @@
         """
         if job.spec.rank < LOWEST_RANK:
             return True
-        return self.late_s <= self.timeouts.heartbeat * BUSY_LAG_HEARTBEATS
+        return self.late_s <= self.timeouts.member_heartbeat_interval_s * BUSY_LAG_HEARTBEATS
 
     # -- one round
 
@@ -175,10 +179,10 @@
         if not jobs or not self.registration.lease_is_valid():
             return
         now = self.clock.seconds()
-        rooms = self.local_rooms()
-        local = {room.name for room in rooms}
-        self._reserve_unpublished(rooms)
-        unplaced = self._place_on_warm_machines(jobs, LocalRooms(rooms, local), now)
+        capacities = self.local_capacities()
+        local = {capacity.name for capacity in capacities}
+        self._reserve_unpublished(capacities)
+        unplaced = self._place_on_warm_machines(jobs, LocalCapacities(capacities, local), now)
         if not unplaced:
             return
         requests = [request for _, request in unplaced]
@@ -186,14 +190,14 @@
         if not self.registration.lease_is_valid():
             return
         self._bind_offers([job for job, _ in unplaced], offers or [], now)
-        rooms = self.local_rooms()
-        self._reserve_unpublished(rooms)
-        local_rooms = LocalRooms(rooms, local)
+        capacities = self.local_capacities()
+        self._reserve_unpublished(capacities)
+        local_capacities = LocalCapacities(capacities, local)
         for job, _ in unplaced:
-            self._place_locally(job, local_rooms, now, warm_only=False)
+            self._place_locally(job, local_capacities, now, warm_only=False)
 
     def _place_on_warm_machines(
-        self, jobs: list[Job], local_rooms: LocalRooms, now: float
+        self, jobs: list[Job], local_capacities: LocalCapacities, now: float
     ) -> list[UnplacedJob]:
         """Bind tasks on local warm machines; return the jobs left over that their quota covers."""
         unplaced: list[UnplacedJob] = []
@@ -201,8 +205,8 @@
             # Local shards lie in few zones. Jobs that are spread over zones request offers from
             # the leader first, as it observes the warm machines of all controllers.
             if not (job.spec.spread and self.request_capacity):
-                self._place_locally(job, local_rooms, now, warm_only=True)
-            indexes = job.waiting(now, tasks_per_round(job))
+                self._place_locally(job, local_capacities, now, warm_only=True)
+            indexes = job.placeable_indexes(now, tasks_per_round(job))
             whole = is_placed_together(job)
             if indexes and self.binder.is_covered(job, indexes, whole):
                 zone_of, avoid = self.job_store.zone_of, self._avoided(job)
@@ -211,14 +215,14 @@
         return unplaced
 
     def _avoided(self, job: Job) -> set[str]:
-        return avoided_machines(job, self.clock.seconds() - self.timeouts.worker_lease)
+        return avoided_machines(job, self.clock.seconds() - self.timeouts.worker_lease_s)
 
-    def _reserve_unpublished(self, rooms: list[Room]) -> None:
+    def _reserve_unpublished(self, capacities: list[MachineCapacity]) -> None:
         """Reserve the capacity of bound tasks that are not published to machine controllers yet."""
         unpublished = self.job_store.assignments.unpublished
         if not unpublished:
             return
-        by_name = {room.name: room for room in rooms}
+        by_name = {capacity.name: capacity for capacity in capacities}
         for assigned in unpublished.values():
             machine = assigned.task.machine
             if machine in by_name:
@@ -230,58 +234,62 @@
         grouped = {job.id for job in jobs if is_placed_together(job)}
         for job_id, places in group_places(offers, grouped).items():
             job = by_id[job_id]
-            self.binder.bind_group(job, job.waiting(now, len(places)), places)
+            self.binder.bind_group(job, job.placeable_indexes(now, len(places)), places)
         for offer in offers:
             if offer.job in grouped:
                 continue
             offered = by_id.get(offer.job)
-            indexes = offered.waiting(now, 1) if offered else []
+            indexes = offered.placeable_indexes(now, 1) if offered else []
             if offered and indexes:
                 self.binder.bind_if_covered(offered, indexes[0], offer.machine, offer.preempt)
 
     # -- placement on local machines
 
     def _place_locally(
-        self, job: Job, local_rooms: LocalRooms, now: float, warm_only: bool
+        self, job: Job, local_capacities: LocalCapacities, now: float, warm_only: bool
     ) -> None:
         if is_placed_together(job):
-            self._place_group_locally(job, local_rooms, now, warm_only)
+            self._place_group_locally(job, local_capacities, now, warm_only)
             return
-        indexes = job.waiting(now, tasks_per_round(job))
+        indexes = job.placeable_indexes(now, tasks_per_round(job))
         if not indexes or not self.binder.is_covered(job, indexes):
             return
-        rooms, local = local_rooms
-        zones, machines = job.places(self.job_store.zone_of)
+        capacities, local = local_capacities
+        zones, machines = job.task_counts_by_location(self.job_store.zone_of)
         preference = self.preference(job.spec)
         avoid = self._avoided(job)
         for index in indexes:
-            room = choose(job.spec, rooms, zones, machines, avoid, local, warm_only, preference)
-            if room is None or not self.binder.bind_if_covered(job, index, room.name, False):
+            capacity = choose_machine(
+                job.spec, capacities, zones, machines, avoid, local, warm_only, preference
+            )
+            if capacity is None or not self.binder.bind_if_covered(
+                job, index, capacity.name, False
+            ):
                 return
-            if job.tasks[index].avoid:
+            if job.tasks[index].avoided_machines:
                 # The tasks that remain to be retried may avoid fewer machines than all of them.
                 avoid = self._avoided(job)
-            room.reserve(job.spec)
-            zones[room.zone] = zones.get(room.zone, 0) + 1
-            machines[room.name] = machines.get(room.name, 0) + 1
+            capacity.reserve(job.spec)
+            zones[capacity.zone] = zones.get(capacity.zone, 0) + 1
+            machines[capacity.name] = machines.get(capacity.name, 0) + 1
 
     def _place_group_locally(
-        self, job: Job, local_rooms: LocalRooms, now: float, warm_only: bool
+        self, job: Job, local_capacities: LocalCapacities, now: float, warm_only: bool
     ) -> None:
-        indexes = job.waiting(now, job.spec.tasks)
+        indexes = job.placeable_indexes(now, job.spec.tasks)
         if len(indexes) + job.done_count < job.spec.tasks:
             return
         chosen = choose_group(
             job.spec,
             len(indexes),
-            local_rooms.rooms,
+            local_capacities.capacities,
             {},
             {},
             self._avoided(job),
-            local_rooms.local,
+            local_capacities.local,
             warm_only,
             self.preference(job.spec),
         )
-        self.binder.bind_group(job, indexes, [OfferedPlace(room.name) for room in chosen])
-        for room in chosen if job.bound else ():
-            room.reserve(job.spec)
+        self.binder.bind_group(job, indexes, [OfferedPlace(capacity.name) for capacity in chosen])
+        for capacity in chosen if job.bound_count else ():
+            capacity.reserve(job.spec)
--- a/src/beamspar/jobs/quota_stops.py
+++ b/src/beamspar/jobs/quota_stops.py
@@ -28,21 +28,21 @@
     team: str
 
 
-class JobStore(Protocol):
+class QuotaStopsJobStore(Protocol):
     """What the quota stops need of the job controller."""
 
     jobs: dict[str, Job]
-    loaded: set[str]
+    loaded_partitions: set[str]
     spot_machines: set[str]
 
-    def touch(self, machine: str) -> None:
+    def mark_machine_changed(self, machine: str) -> None:
         """Publish the machine's desired state to its controller."""
 
 
 class QuotaStops:
     """Checks teams' quotas periodically, and tracks how long allocations have been exceeded."""
 
-    def __init__(self, timeouts: Timeouts, job_store: JobStore) -> None:
+    def __init__(self, timeouts: Timeouts, job_store: QuotaStopsJobStore) -> None:
         self.timeouts = timeouts
         self.job_store = job_store
         self.last_run_at = -1e9
@@ -51,7 +51,7 @@
 
     def run_if_due(self, quota_manager: QuotaManager, now: float) -> None:
         """Check the quotas of all teams, once per report interval."""
-        if now - self.last_run_at >= self.timeouts.report:
+        if now - self.last_run_at >= self.timeouts.worker_heartbeat_interval_s:
             self.last_run_at = now
             self._preempt(quota_manager)
             self._stop_excess(quota_manager, now)
@@ -67,7 +67,9 @@
                 continue
             jobs = [job for job in self.job_store.jobs.values() if job.spec.team == team]
             lacking = functools.partial(_amount_lacking, quota_manager, team, jobs)
-            for unit in quota_preemption.choose(jobs, self.job_store.spot_machines, lacking):
+            for unit in quota_preemption.choose_preempted(
+                jobs, self.job_store.spot_machines, lacking
+            ):
                 self._stop(unit, f"is preempted: higher work of {team} waits for quota")
 
     def _stop_excess(self, quota_manager: QuotaManager, now: float) -> None:
@@ -79,28 +81,28 @@
         """
         allocations = [
             AllocationKey(partition, team)
-            for partition in sorted(self.job_store.loaded)
+            for partition in sorted(self.job_store.loaded_partitions)
             for team in sorted(quota_manager.teams)
         ]
         for key in allocations:
             excess = quota_manager.excess(*key)
             if not any(excess):
                 self.exceeded_since.pop(key, None)
-            elif now - self.exceeded_since.setdefault(key, now) > self.timeouts.unstarted:
+            elif now - self.exceeded_since.setdefault(key, now) > self.timeouts.unstarted_timeout_s:
                 jobs = [
                     job
                     for job in self.job_store.jobs.values()
                     if (job.partition, job.spec.team) == key
                 ]
                 spot = self.job_store.spot_machines
-                for unit in quota_preemption.choose_unstarted(jobs, spot, excess):
+                for unit in quota_preemption.choose_unstarted_excess(jobs, spot, excess):
                     self._stop(unit, f"is unbound: exceeds the quota allocation of {key.team}")
 
     def _stop(self, unit: PreemptionUnit, why: str) -> None:
         for index, task in unit.tasks:
-            if not task.preempted_for_quota and task.machine is not None:
-                task.preempted_for_quota = True
-                self.job_store.touch(task.machine)
+            if not task.is_preempted_for_quota and task.machine is not None:
+                task.is_preempted_for_quota = True
+                self.job_store.mark_machine_changed(task.machine)
                 log.info("{job}/{index} {why}", job=unit.job.id, index=index, why=why)
 
 
@@ -113,7 +115,7 @@
     """
     cpus, gpus = quota_manager.amount_to_preempt(team, rank)
     for job in jobs:
-        released = job.quota_usage.tasks - job.bound
+        released = job.quota_usage.tasks - job.bound_count
         cpus -= released * job.spec.cpus
         gpus -= released * job.spec.gpus
     return max(cpus, 0.0), max(gpus, 0.0)
--- a/src/beamspar/jobs/record_refresh.py
+++ b/src/beamspar/jobs/record_refresh.py
@@ -56,11 +56,11 @@
             log.info(
                 "{job}: its record is gone, so it is finished; removing it from memory", job=job.id
             )
-            self._job_store.forget(job, ended=True)
+            self._job_store.remove_job(job, ended=True)
             return
         record = records.read_job(item)
         if record.partition not in self._job_store.partitions:
-            self._job_store.forget(job)
+            self._job_store.remove_job(job)
             return
         if item.version >= job.version:
             job.version = item.version
--- a/src/beamspar/jobs/record_transactions.py
+++ b/src/beamspar/jobs/record_transactions.py
@@ -86,7 +86,7 @@
         """Return a unique name for the next write."""
         self._write_count += 1
         registration = self._registration
-        return f"{registration.me}.{registration.incarnation}.{self._write_count}"
+        return f"{registration.own_name}.{registration.incarnation}.{self._write_count}"
 
     def conditions(self, job: Job) -> dict[str, int]:
         """Return the versions that each transaction on the job requires.
@@ -113,23 +113,23 @@
                 write.conditions, write.changes, RequestPriority.PLACEMENT, job.write_weight
             )
         except ConflictError as error:
-            job.dirty.update(write.chunks_to_retry)
+            job.dirty_chunks.update(write.chunks_to_retry)
             await self._refresh_after_conflict(job, error)
             return False
         except (StateUnavailableError, LeaseExpiredError) as error:
             # An indeterminate write may have been applied, or may be later. The next write is
             # conditional on the record's version, which shows whether it was.
-            job.dirty.update(write.chunks_to_retry)
+            job.dirty_chunks.update(write.chunks_to_retry)
             await self._delay_after_failure(job, error)
             return False
         self._apply_stored(job, write, version)
         return True
 
     def _prepare(self, job: Job) -> RecordWrite:
-        chunks = sorted(job.dirty)
+        chunks = sorted(job.dirty_chunks)
         if not job.is_changing_layout:
             chunks = chunks[: records.chunks_at_once(self._limits)]
-        job.dirty.difference_update(chunks)
+        job.dirty_chunks.difference_update(chunks)
         job.write_stamp = self.next_write_stamp()
         chunks_and_first = {0, *chunks}
         bound_by_chunk = self._begin_write(job, chunks_and_first)
@@ -152,7 +152,9 @@
             chunks_to_retry=chunks_and_first if job.is_changing_layout else chunks,
             bound_by_chunk=bound_by_chunk,
             attempts=_attempts_in_chunks(job, chunks_stored_after),
-            completed=[index for chunk in chunks for index in job.completed.get(chunk, ())],
+            completed=[
+                index for chunk in chunks for index in job.completed_by_chunk.get(chunk, ())
+            ],
         )
 
     def _apply_stored(self, job: Job, write: RecordWrite, version: int) -> None:
@@ -167,9 +169,9 @@
         for index, attempt, machine in write.attempts:
             task = job.tasks.get(index)
             is_same = task and task.attempt == attempt and task.machine == machine
-            if task and is_same and machine and not task.stored:
-                task.stored = True
-                self._job_store.touch(machine)
+            if task and is_same and machine and not task.is_stored:
+                task.is_stored = True
+                self._job_store.mark_machine_changed(machine)
         for index in write.completed:
             job.tasks.pop(index, None)
         self._complete_write(job, write.bound_by_chunk)
@@ -180,7 +182,7 @@
 
         Returns whether they are known to be stored.
         """
-        job.dirty.difference_update(chunks)
+        job.dirty_chunks.difference_update(chunks)
         bound_by_chunk = self._begin_write(job, chunks)
         changes = [
             put(job.layout.key(job.id, chunk), msgspec.to_builtins(job.chunk_record(chunk)))
@@ -196,7 +198,7 @@
                 job=job.id,
                 error=error,
             )
-            await sleep(self._clock, self._timeouts.retry)
+            await sleep(self._clock, self._timeouts.retry_delay_s)
             await self._refresher.refresh(job)
             return False
         for chunk in chunks:
@@ -210,23 +212,23 @@
         Until the outcome of the write is known, each chunk's larger count, before or after it,
         counts against the quota.
         """
-        bound_by_chunk = {chunk: job.quota_usage.writing(chunk) for chunk in chunks}
+        bound_by_chunk = {chunk: job.quota_usage.begin_write(chunk) for chunk in chunks}
         self._job_store.quota_usage_changed(job)
         return bound_by_chunk
 
     def _complete_write(self, job: Job, bound_by_chunk: dict[int, int]) -> None:
         """Stop counting against the quota what the stored chunks no longer bind."""
         for chunk, tasks in bound_by_chunk.items():
-            job.quota_usage.written(chunk, tasks)
-        if not job.dirty:
-            job.quota_usage.settle()
+            job.quota_usage.confirm_write(chunk, tasks)
+        if not job.dirty_chunks:
+            job.quota_usage.finish_layout_change()
         self._job_store.quota_usage_changed(job)
 
     def publish_clears(self, job: Job) -> None:
         """Let machines clear the job's ended attempts, as the ends of these are now stored."""
-        for machine in job.clearing:
-            self._job_store.touch(machine)
-        job.clearing.clear()
+        for machine in job.machines_to_clear:
+            self._job_store.mark_machine_changed(machine)
+        job.machines_to_clear.clear()
 
     # -- failed writes
 
@@ -239,12 +241,12 @@
         if keys.job(job.id) not in error.failed:
             # This controller's fence or partition has changed, or a late write changed a chunk. An
             # immediate retry would fail again: the mirror has yet to observe such a change.
-            await sleep(self._clock, self._timeouts.retry)
+            await sleep(self._clock, self._timeouts.retry_delay_s)
         await self._refresher.refresh_with_chunks(job)
 
     async def _delay_after_failure(self, job: Job, error: Exception) -> None:
         log.info("{job}: write failed, will retry: {error}", job=job.id, error=error)
-        await sleep(self._clock, self._timeouts.retry)
+        await sleep(self._clock, self._timeouts.retry_delay_s)
         if isinstance(error, TooLargeError):
             log.error(
                 "{job}: write exceeds the size limit of the state service, will retry", job=job.id
--- a/src/beamspar/jobs/task_binder.py
+++ b/src/beamspar/jobs/task_binder.py
@@ -14,7 +14,7 @@
 log = Logger(namespace="jobs")
 
 
-class JobStore(Protocol):
+class BinderJobStore(Protocol):
     """What the task binder needs of the job controller."""
 
     assignments: Assignments
@@ -24,7 +24,7 @@
 class TaskBinder:
     """Binds tasks; a bound task is started only after its job's record is stored."""
 
-    def __init__(self, job_store: JobStore) -> None:
+    def __init__(self, job_store: BinderJobStore) -> None:
         self.job_store = job_store
 
     def is_covered(self, job: Job, indexes: list[int], whole: bool = False) -> bool:
@@ -56,7 +56,7 @@
     def _bind(self, job: Job, index: int, machine: str, preempt: bool) -> None:
         """Bind a pending task; it is started only after the binding is stored."""
         gang_attempt = job.next_attempt if job.spec.is_gang else None
-        if job.spec.is_gang and not job.bound:
+        if job.spec.is_gang and not job.bound_count:
             job.gang.begin_attempt()
         task = job.dequeue(index)
         task.attempt = gang_attempt or task.attempt + 1
@@ -64,12 +64,12 @@
         if self.job_store.quota_manager is not None:
             # Jobs that are still being accepted count as well; they are not in the job store yet.
             self.job_store.quota_manager.recount(job)
-        task.stored = False
+        task.is_stored = False
         task.fencing_token = 0
-        task.preempt = preempt
-        task.preempted_for_quota = False
-        job.dirty.add(index // job.tasks_per_chunk)
-        if job.spec.is_gang and job.bound + job.done_count == job.spec.tasks:
+        task.may_preempt = preempt
+        task.is_preempted_for_quota = False
+        job.dirty_chunks.add(index // job.tasks_per_chunk)
+        if job.spec.is_gang and job.bound_count + job.done_count == job.spec.tasks:
             job.gang.mark_whole()
         self.job_store.assignments.assign_new(machine, job, index, task)
         log.info(
--- a/src/beamspar/jobs/task_retry.py
+++ b/src/beamspar/jobs/task_retry.py
@@ -48,6 +48,6 @@
 
 def avoid_machine(task: Task, machine: str) -> None:
     """Have the task avoid a machine where it failed; with too many, clear the set."""
-    task.avoid.add(machine)
-    if len(task.avoid) > MAX_AVOIDED_MACHINES:
-        task.avoid.clear()
+    task.avoided_machines.add(machine)
+    if len(task.avoided_machines) > MAX_AVOIDED_MACHINES:
+        task.avoided_machines.clear()
--- a/src/beamspar/leader/capacity_needs.py
+++ b/src/beamspar/leader/capacity_needs.py
@@ -84,7 +84,7 @@
         for name, job_class in running.items():
             size = job_class.largest_job
             known = self._largest_jobs.get(name, LargestJob(0, now))
-            if size >= known.tasks or now - known.seen_at > self.timeouts.largest_job_memory:
+            if size >= known.tasks or now - known.seen_at > self.timeouts.largest_job_memory_s:
                 self._largest_jobs[name] = LargestJob(size, now)
 
 
--- a/src/beamspar/leader/capacity_offers.py
+++ b/src/beamspar/leader/capacity_offers.py
@@ -13,15 +13,15 @@
 from beamspar.leader.gang_reservations import GangReservations
 from beamspar.placement import (
     Preference,
-    choose,
     choose_group,
     choose_group_preemption,
+    choose_machine,
     choose_preemption,
-    has_room,
+    has_capacity,
 )
 from beamspar.protocol.jobs import LOWEST_RANK, JobSpec
+from beamspar.protocol.machine_capacity import MachineCapacity
 from beamspar.protocol.peer_messages import CapacityRequest, PlacementOffer
-from beamspar.protocol.room import Room
 from beamspar.transport.clock import Clock
 
 # Maximum number of offers in the response to one job's request; groups are offered whole.
@@ -31,7 +31,7 @@
 class Placement(NamedTuple):
     """A machine that was chosen for a task, with its free capacity."""
 
-    room: Room
+    capacity: MachineCapacity
     # Whether tasks of lower priority must be stopped to free the capacity.
     preempt: bool
 
@@ -68,22 +68,22 @@
         first, then machines held by the requesting member, then all others.
         """
         now = self.clock.seconds()
-        rooms = self.fleet_view.rooms()
+        capacities = self.fleet_view.capacities()
         demands = [
             JobDemand(msgspec.convert(request.spec, JobSpec), request) for request in requests
         ]
         if only_zones is None:
-            self.gang_reservations.update(demands, rooms, now)
+            self.gang_reservations.update(demands, capacities, now)
         else:
-            rooms = [room for room in rooms if room.zone in only_zones]
+            capacities = [capacity for capacity in capacities if capacity.zone in only_zones]
         own_machines = self._machines_of(member)
         offers: list[PlacementOffer] = []
         for demand in demands:
-            open_rooms = self.gang_reservations.rooms_open_to(demand.spec, rooms)
+            open_capacities = self.gang_reservations.capacities_open_to(demand.spec, capacities)
             if demand.spec.grouped and not demand.request.zones:
-                offers += self._offer_group(demand, open_rooms, own_machines, now)
+                offers += self._offer_group(demand, open_capacities, own_machines, now)
             else:
-                offers += self._offer_individually(demand, open_rooms, own_machines, now)
+                offers += self._offer_individually(demand, open_capacities, own_machines, now)
         return offers
 
     def _machines_of(self, member: str) -> set[str]:
@@ -95,22 +95,30 @@
         }
 
     def _offer_group(
-        self, demand: JobDemand, rooms: list[Room], own_machines: Collection[str], now: float
+        self,
+        demand: JobDemand,
+        capacities: list[MachineCapacity],
+        own_machines: Collection[str],
+        now: float,
     ) -> list[PlacementOffer]:
         """Offer capacity for all of the group's tasks, or for none."""
         spec, request = demand
-        group = choose_rooms_for_group(demand, rooms, own_machines, self.preference(spec))
+        group = choose_capacities_for_group(demand, capacities, own_machines, self.preference(spec))
         offers: list[PlacementOffer] = []
-        for room in group:
+        for capacity in group:
             # A machine may be in the group several times: each reservation reduces the capacity
             # that the next one sees.
-            placement = Placement(room, preempt=not has_room(spec, room))
+            placement = Placement(capacity, preempt=not has_capacity(spec, capacity))
             offers.append(self._reserve(spec, placement, now))
         self.unmet_demand.record(spec, 0 if group else request.count, now)
         return offers
 
     def _offer_individually(
-        self, demand: JobDemand, rooms: list[Room], own_machines: Collection[str], now: float
+        self,
+        demand: JobDemand,
+        capacities: list[MachineCapacity],
+        own_machines: Collection[str],
+        now: float,
     ) -> list[PlacementOffer]:
         """Offer capacity for as many of the job's tasks as possible."""
         spec, request = demand
@@ -119,13 +127,15 @@
         offers: list[PlacementOffer] = []
         remaining = min(request.count, MAX_OFFERS_PER_REQUEST)
         while remaining:
-            placement = choose_free_room(demand, rooms, zones, machines, own_machines, preference)
+            placement = choose_free_capacity(
+                demand, capacities, zones, machines, own_machines, preference
+            )
             if placement is None:
-                placement = choose_by_preemption(demand, rooms, zones)
+                placement = choose_by_preemption(demand, capacities, zones)
             if placement is None:
                 break
             offers.append(self._reserve(spec, placement, now))
-            zone, machine = placement.room.zone, placement.room.name
+            zone, machine = placement.capacity.zone, placement.capacity.name
             zones[zone] = zones.get(zone, 0) + 1
             machines[machine] = machines.get(machine, 0) + 1
             remaining -= 1
@@ -133,17 +143,17 @@
         return offers
 
     def _reserve(self, spec: JobSpec, placement: Placement, now: float) -> PlacementOffer:
-        room, preempt = placement
-        self.fleet_view.reserve_tentatively(spec, room, now)
+        capacity, preempt = placement
+        self.fleet_view.reserve_tentatively(spec, capacity, now)
         if preempt:
             # The preemptible tasks on this machine are now reserved for this task.
-            room.preemptible = []
-        return PlacementOffer(spec.id, room.name, preempt)
+            capacity.preemptible = []
+        return PlacementOffer(spec.id, capacity.name, preempt)
 
 
-def choose_free_room(
+def choose_free_capacity(
     demand: JobDemand,
-    rooms: list[Room],
+    capacities: list[MachineCapacity],
     zones: Mapping[str, int],
     machines: Mapping[str, int],
     own_machines: Collection[str],
@@ -154,32 +164,37 @@
     `zones` and `machines` count the tasks that the job already has there.
     """
     spec, request = demand
-    room = choose(spec, rooms, zones, machines, request.avoid, own_machines, preference=preference)
-    return None if room is None else Placement(room, preempt=False)
+    capacity = choose_machine(
+        spec, capacities, zones, machines, request.avoid, own_machines, preference=preference
+    )
+    return None if capacity is None else Placement(capacity, preempt=False)
 
 
 def choose_by_preemption(
-    demand: JobDemand, rooms: list[Room], zones: Mapping[str, int]
+    demand: JobDemand, capacities: list[MachineCapacity], zones: Mapping[str, int]
 ) -> Placement | None:
     """Return a machine where preempting tasks of lower priority makes one more task fit, if any."""
     spec, request = demand
     if spec.rank >= LOWEST_RANK:
         return None
-    room = choose_preemption(spec, rooms, zones, request.avoid)
-    return None if room is None else Placement(room, preempt=True)
+    capacity = choose_preemption(spec, capacities, zones, request.avoid)
+    return None if capacity is None else Placement(capacity, preempt=True)
 
 
-def choose_rooms_for_group(
-    demand: JobDemand, rooms: list[Room], own_machines: Collection[str], preference: Preference
-) -> list[Room]:
+def choose_capacities_for_group(
+    demand: JobDemand,
+    capacities: list[MachineCapacity],
+    own_machines: Collection[str],
+    preference: Preference,
+) -> list[MachineCapacity]:
     """Return machines for all tasks of the group, or none.
 
     Only a gang may preempt tasks of lower priority.
     """
     spec, request = demand
     group = choose_group(
-        spec, request.count, rooms, {}, {}, request.avoid, own_machines, preference=preference
+        spec, request.count, capacities, {}, {}, request.avoid, own_machines, preference=preference
     )
     if not group and spec.is_gang and spec.rank < LOWEST_RANK:
-        return choose_group_preemption(spec, request.count, rooms, request.avoid)
+        return choose_group_preemption(spec, request.count, capacities, request.avoid)
     return group
--- a/src/beamspar/leader/draining.py
+++ b/src/beamspar/leader/draining.py
@@ -12,9 +12,9 @@
 from beamspar.leader.fleet_view import FleetView
 from beamspar.leader.instance_manager import InstanceManager
 from beamspar.leader.shard_leasing import ShardLeasing
-from beamspar.placement import copy
+from beamspar.placement import copy_capacity
+from beamspar.protocol.machine_capacity import MachineCapacity
 from beamspar.protocol.peer_messages import MachineStatus
-from beamspar.protocol.room import Room
 from beamspar.timeouts import Timeouts
 
 # Maximum share of the fleet that is draining at the same time.
@@ -42,7 +42,7 @@
     # Machines to delete now, because they are drained or unfit for use.
     to_delete: list[str] = msgspec.field(default_factory=list)
     # Copies of the rooms of machines that stay in any case.
-    kept_rooms: list[Room] = msgspec.field(default_factory=list)
+    kept_capacities: list[MachineCapacity] = msgspec.field(default_factory=list)
     idle: list[IdleMachine] = msgspec.field(default_factory=list)
 
 
@@ -65,14 +65,14 @@
         self.instance_manager = instance_manager
         self.timeouts = timeouts
         # Draining machines, which get no new tasks, mapped to their holders at that decision.
-        self.draining: dict[str, str] = {}
+        self.draining_machines: dict[str, str] = {}
 
     def draining_machines_of(self, member: str) -> list[str]:
         """Return the draining machines that the member holds now.
 
         A machine continues to drain when its shard moves to another holder.
         """
-        return [name for name in self.draining if self._holder(name) == member]
+        return [name for name in self.draining_machines if self._holder(name) == member]
 
     def _holder(self, machine: str) -> str:
         return (self.mirror.holder_of(machine) or ("", 0))[0]
@@ -87,14 +87,14 @@
         silent: dict[str, list[MachineStatus]] = {}
         total: dict[str, int] = {}
         for status in self.fleet_view.machine_statuses():
-            zone = status.room.zone
+            zone = status.capacity.zone
             total[zone] = total.get(zone, 0) + 1
-            holder = self._holder(status.room.name)
-            if status.silent_s > self.timeouts.silent and holder not in cut_off:
+            holder = self._holder(status.capacity.name)
+            if status.silent_s > self.timeouts.silence_timeout_s and holder not in cut_off:
                 silent.setdefault(zone, []).append(status)
         for zone, statuses in silent.items():
             failed = failed_machines(
-                statuses, total[zone], self.timeouts.worker_lease * PARTITION_SILENCE_LEASES
+                statuses, total[zone], self.timeouts.worker_lease_s * PARTITION_SILENCE_LEASES
             )
             if failed:
                 self.instance_manager.scale_in(failed)
@@ -107,23 +107,23 @@
         First the holder is instructed to place no tasks on the machine. Once the holder reports
         that the machine is draining and it is still empty, the machine is deleted.
         """
-        if not self.mirror.members <= self.shard_leasing.heard():
+        if not self.mirror.members <= self.shard_leasing.reachable_members():
             # The capacity and the needs of some member are unknown, so nothing counts as surplus.
-            self.draining.clear()
+            self.draining_machines.clear()
             return
         occupancy = self._occupancy(now)
         for name in occupancy.to_delete:
             # Queued one by one: the first is deleted at once, the others by later calls.
             self.instance_manager.scale_in([name])
-        if not any(machine.idle_s > self.timeouts.idle for machine in occupancy.idle):
-            self.draining.clear()
+        if not any(machine.idle_s > self.timeouts.idle_timeout_s for machine in occupancy.idle):
+            self.draining_machines.clear()
             return
         price = self.instance_manager.price
         occupancy.idle.sort(
-            key=lambda machine: (price(machine.status.room), machine.status.room.name)
+            key=lambda machine: (price(machine.status.capacity), machine.status.capacity.name)
         )
         unneeded = self._unneeded(occupancy)
-        self.draining = self._select_for_draining(occupancy.idle, unneeded)
+        self.draining_machines = self._select_for_draining(occupancy.idle, unneeded)
 
     def _occupancy(self, now: float) -> Occupancy:
         occupancy = Occupancy()
@@ -132,14 +132,14 @@
                 status = received.status
                 if self.mirror.holder_of(name) != (member, status.fencing_token):
                     continue
-                is_empty = status.fresh and not status.room.tasks
-                is_drained = name in self.draining and status.draining
+                is_empty = status.has_confirmed_token and not status.capacity.tasks
+                is_drained = name in self.draining_machines and status.is_draining
                 is_unfit = status.is_degraded and status.is_quarantined
                 if is_empty and (is_drained or is_unfit):
                     # An unfit machine takes the place of a healthy one that could be created.
                     occupancy.to_delete.append(name)
                 elif not is_empty or status.is_expired or status.is_quarantined:
-                    occupancy.kept_rooms.append(copy(status.room))
+                    occupancy.kept_capacities.append(copy_capacity(status.capacity))
                 else:
                     idle_s = status.idle_s + now - received.received_at
                     occupancy.idle.append(IdleMachine(status, idle_s))
@@ -147,16 +147,20 @@
 
     def _unneeded(self, occupancy: Occupancy) -> set[str]:
         """Return the idle machines that stay unused when the needs fill the rooms in order."""
-        idle_rooms = [copy(machine.status.room) for machine in occupancy.idle]
-        for room in idle_rooms:
-            room.usable = True
-        free_cpus = {room.name: room.cpus for room in idle_rooms}
-        rooms = occupancy.kept_rooms + idle_rooms
+        idle_capacities = [copy_capacity(machine.status.capacity) for machine in occupancy.idle]
+        for capacity in idle_capacities:
+            capacity.usable = True
+        free_cpus = {capacity.name: capacity.cpus for capacity in idle_capacities}
+        capacities = occupancy.kept_capacities + idle_capacities
         for spec, tasks in self.capacity_needs.current():
             kept = tasks * KEPT_CAPACITY_FACTOR
-            zone_spec = self.instance_manager.bind_to_zone(spec, kept, rooms)
-            self.instance_manager.reserve_capacity(zone_spec, kept, rooms)
-        return {room.name for room in idle_rooms if room.cpus == free_cpus[room.name]}
+            zone_spec = self.instance_manager.bind_to_zone(spec, kept, capacities)
+            self.instance_manager.reserve_capacity(zone_spec, kept, capacities)
+        return {
+            capacity.name
+            for capacity in idle_capacities
+            if capacity.cpus == free_cpus[capacity.name]
+        }
 
     def _select_for_draining(
         self, idle: Iterable[IdleMachine], unneeded: set[str]
@@ -165,9 +169,9 @@
         selected: dict[str, str] = {}
         limit = max(int(len(self.mirror.shard_of) * MAX_DRAINING_SHARE), 1)
         for machine in idle:
-            name = machine.status.room.name
+            name = machine.status.capacity.name
             held = self.mirror.holder_of(name)
-            if held and name in unneeded and machine.idle_s > self.timeouts.idle:
+            if held and name in unneeded and machine.idle_s > self.timeouts.idle_timeout_s:
                 selected[name] = held[0]
                 if len(selected) >= limit:
                     break
@@ -184,5 +188,5 @@
     them proves that their tasks have ended sooner than waiting for their leases to expire.
     """
     if len(silent) * PARTITION_DIVISOR <= machines_in_zone or len(silent) == 1:
-        return [status.room.name for status in silent]
-    return [status.room.name for status in silent if status.silent_s > partition_silence_s]
+        return [status.capacity.name for status in silent]
+    return [status.capacity.name for status in silent if status.silent_s > partition_silence_s]
--- a/src/beamspar/leader/fleet_view.py
+++ b/src/beamspar/leader/fleet_view.py
@@ -11,11 +11,11 @@
 from beamspar.decision_log.decisions import CacheChanged
 from beamspar.leader.member_view import MemberView
 from beamspar.leader.tentative_reservations import TentativeReservations
-from beamspar.placement import copy, evict_least_recently_used
+from beamspar.placement import copy_capacity, evict_least_recently_used
 from beamspar.protocol.cloud import MachineType
 from beamspar.protocol.jobs import JobSpec
+from beamspar.protocol.machine_capacity import MachineCapacity
 from beamspar.protocol.peer_messages import MachineStatus, MemberHeartbeat
-from beamspar.protocol.room import Room
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock
 
@@ -47,7 +47,7 @@
         # A sample job of each class that was ever reported, for the resources that a task requests.
         self.class_templates: dict[str, JobSpec] = {}
         self._tentative_reservations = TentativeReservations(
-            timeouts.heartbeat * RESERVATION_HEARTBEATS
+            timeouts.member_heartbeat_interval_s * RESERVATION_HEARTBEATS
         )
 
     # -- heartbeats
@@ -73,8 +73,8 @@
             if name in self.mirror.shard_of:
                 self._add_cached_images(name, images)
         for status in heartbeat.machines:
-            room = status.room
-            self._add_cached_images(room.name, room.images, room.kind)
+            capacity = status.capacity
+            self._add_cached_images(capacity.name, capacity.images, capacity.kind)
 
     def _add_cached_images(self, name: str, images: dict[str, float], kind: str = "") -> None:
         """Add images to the machine's entry in the cache map.
@@ -100,14 +100,14 @@
 
     def members_reported_since(self, since: float) -> set[str]:
         """Return the members with complete state whose last heartbeat is not older than `since`."""
-        return {name for name, member in self.members.items() if member.heard_at >= since}
+        return {name for name, member in self.members.items() if member.reported_at >= since}
 
     def recently_reported(self, now: float) -> list[tuple[str, MemberView]]:
         """Return the members that sent a heartbeat within one report interval, with their views."""
         return [
             (name, member)
             for name, member in self.members.items()
-            if now - member.heard_at <= self.timeouts.report
+            if now - member.reported_at <= self.timeouts.worker_heartbeat_interval_s
         ]
 
     def machine_statuses(self) -> list[MachineStatus]:
@@ -146,19 +146,19 @@
                 found.append(status)
         return unassigned
 
-    def rooms(self) -> list[Room]:
+    def capacities(self) -> list[MachineCapacity]:
         """Return copies of the machines' free capacity, less the tentative reservations.
 
         Callers may modify the copies.
         """
         now = self.clock.seconds()
-        rooms = []
+        capacities = []
         for status in self.machine_statuses():
-            room = copy(status.room)
-            self._tentative_reservations.subtract_from(room, now)
-            rooms.append(room)
-        return rooms
+            capacity = copy_capacity(status.capacity)
+            self._tentative_reservations.subtract_from(capacity, now)
+            capacities.append(capacity)
+        return capacities
 
-    def reserve_tentatively(self, spec: JobSpec, room: Room, now: float) -> None:
+    def reserve_tentatively(self, spec: JobSpec, capacity: MachineCapacity, now: float) -> None:
         """Reserve capacity for one task until the holder's heartbeats include its use."""
-        self._tentative_reservations.reserve(spec, room, now)
+        self._tentative_reservations.reserve(spec, capacity, now)
--- a/src/beamspar/leader/gang_reservations.py
+++ b/src/beamspar/leader/gang_reservations.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from beamspar.leader.demand import JobDemand
-from beamspar.placement import allowed, fitting
+from beamspar.placement import fitting_task_count, is_allowed
 from beamspar.protocol.jobs import JobSpec
-from beamspar.protocol.room import Room
+from beamspar.protocol.machine_capacity import MachineCapacity
 from beamspar.timeouts import Timeouts
 
 
@@ -34,18 +34,20 @@
         self.timeouts = timeouts
         self.current: GangReservation | None = None
 
-    def update(self, demands: list[JobDemand], rooms: list[Room], now: float) -> None:
+    def update(
+        self, demands: list[JobDemand], capacities: list[MachineCapacity], now: float
+    ) -> None:
         """Renew the reservation if its gang is among the demands, or reserve for a starving one."""
         if self.current is not None and self.current.expires_at < now:
             self.current = None
         gangs = [demand for demand in demands if demand.spec.is_gang and not demand.request.zones]
         for spec, request in sorted(gangs, key=lambda demand: -demand.request.waited_s):
             if self.current is not None and self.current.job == spec.id:
-                self.current.expires_at = now + self.timeouts.report
-            elif self.current is None and request.waited_s > self.timeouts.gang_starvation:
-                machines = _machines_for_gang(spec, request.count, rooms)
+                self.current.expires_at = now + self.timeouts.worker_heartbeat_interval_s
+            elif self.current is None and request.waited_s > self.timeouts.gang_starvation_s:
+                machines = _machines_for_gang(spec, request.count, capacities)
                 if machines:
-                    expires_at = now + self.timeouts.report
+                    expires_at = now + self.timeouts.worker_heartbeat_interval_s
                     self.current = GangReservation(spec.id, spec.rank, machines, expires_at)
 
     def reserved_machines(self, now: float) -> frozenset[str]:
@@ -54,15 +56,19 @@
             return frozenset()
         return self.current.machines
 
-    def rooms_open_to(self, spec: JobSpec, rooms: list[Room]) -> list[Room]:
+    def capacities_open_to(
+        self, spec: JobSpec, capacities: list[MachineCapacity]
+    ) -> list[MachineCapacity]:
         """Return the rooms that the current reservation leaves open to the job."""
         current = self.current
         if current is None or current.job == spec.id or spec.rank < current.rank:
-            return rooms
-        return [room for room in rooms if room.name not in current.machines]
+            return capacities
+        return [capacity for capacity in capacities if capacity.name not in current.machines]
 
 
-def _machines_for_gang(spec: JobSpec, count: int, rooms: list[Room]) -> frozenset[str]:
+def _machines_for_gang(
+    spec: JobSpec, count: int, capacities: list[MachineCapacity]
+) -> frozenset[str]:
     """Return machines on which the gang will fit once the tasks there have ended.
 
     Machines with the most free capacity come first. All are in one zone if the gang must share
@@ -70,14 +76,14 @@
     """
     best: frozenset[str] = frozenset()
     most_free = -1
-    for zone_rooms in _allowed_by_zone(spec, rooms):
-        zone_rooms.sort(key=lambda room: -fitting(spec, room))
+    for zone_capacities in _allowed_by_zone(spec, capacities):
+        zone_capacities.sort(key=lambda capacity: -fitting_task_count(spec, capacity))
         names: list[str] = []
         free_slots = later_slots = 0
-        for room in zone_rooms:
-            names.append(room.name)
-            free_slots += fitting(spec, room)
-            later_slots += fitting(spec, _room_when_work_ends(room))
+        for capacity in zone_capacities:
+            names.append(capacity.name)
+            free_slots += fitting_task_count(spec, capacity)
+            later_slots += fitting_task_count(spec, _capacity_when_work_ends(capacity))
             if later_slots >= count:
                 break
         if later_slots >= count and free_slots > most_free:
@@ -85,23 +91,28 @@
     return best
 
 
-def _allowed_by_zone(spec: JobSpec, rooms: list[Room]) -> list[list[Room]]:
+def _allowed_by_zone(
+    spec: JobSpec, capacities: list[MachineCapacity]
+) -> list[list[MachineCapacity]]:
     """Return the rooms that the gang may use, grouped by zone if it must share one."""
-    by_zone: dict[str, list[Room]] = {}
-    for room in rooms:
-        if allowed(spec, room, {}):
-            by_zone.setdefault(room.zone if spec.one_zone else "", []).append(room)
+    by_zone: dict[str, list[MachineCapacity]] = {}
+    for capacity in capacities:
+        if is_allowed(spec, capacity, {}):
+            by_zone.setdefault(capacity.zone if spec.one_zone else "", []).append(capacity)
     return list(by_zone.values())
 
 
-def _room_when_work_ends(room: Room) -> Room:
+def _capacity_when_work_ends(capacity: MachineCapacity) -> MachineCapacity:
     """Return the room's capacity once its preemptible tasks have ended.
 
     Critical tasks are services, which don't end.
     """
-    if not room.preemptible:
-        return room
-    cpus, gpus, memory = room.preemptible[0]
+    if not capacity.preemptible:
+        return capacity
+    cpus, gpus, memory = capacity.preemptible[0]
     return msgspec.structs.replace(
-        room, cpus=room.cpus + cpus, gpus=room.gpus + gpus, memory_gb=room.memory_gb + memory
+        capacity,
+        cpus=capacity.cpus + cpus,
+        gpus=capacity.gpus + gpus,
+        memory_gb=capacity.memory_gb + memory,
     )
--- a/src/beamspar/leader/instance_manager.py
+++ b/src/beamspar/leader/instance_manager.py
@@ -16,7 +16,7 @@
     InstancesGranted,
     InstancesRefused,
     InstancesRequested,
-    LeadState,
+    LeaderState,
     MachinesDeleted,
     MachinesStarted,
     Place,
@@ -30,12 +30,12 @@
 from beamspar.leader.scale_out_planning import (
     ScaleOut,
     ScaleOutPlanner,
-    empty_room,
+    empty_capacity,
     reserve_capacity,
 )
 from beamspar.protocol.cloud import Instance, MachineType
 from beamspar.protocol.jobs import JobSpec
-from beamspar.protocol.room import Room
+from beamspar.protocol.machine_capacity import MachineCapacity
 from beamspar.settings import Settings
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock, sleep, spawn
@@ -85,18 +85,18 @@
         self.call_interval_s = 2.0 / settings.platform.cloud.rps
         self.types = types
         self.planner = ScaleOutPlanner(types, self._is_refused)
-        self.listed: dict[str, Instance] = {}
+        self.listed_instances: dict[str, Instance] = {}
         # Number of listed instances; while pages are being read, at least those read so far.
         self.listed_count = 0
-        self.decisions = decisions or DecisionLog(clock, LeadState())
-        self.lead = self.decisions.state
+        self.decisions = decisions or DecisionLog(clock, LeaderState())
+        self.leader_state = self.decisions.state
         # Parts of the replicated state, which decisions modify. Only entries of `booting` are also
         # added and removed here without a decision, as the cloud's list and the time show.
-        self.booting = self.lead.booting
-        self.refused = self.lead.refused
-        self.deleted = self.lead.returned
+        self.booting = self.leader_state.booting
+        self.refusals = self.leader_state.refusals
+        self.deleted_machines = self.leader_state.deleted_machines
         # Requests of a former leader that failed before it received the response.
-        self.inherited: list[InstancesRequested] = []
+        self.inherited_requests: list[InstancesRequested] = []
         # Instances that are queued for deletion, and those in the deletion request in flight.
         self.to_delete: set[str] = set()
         self.deleting: set[str] = set()
@@ -111,10 +111,10 @@
         instances = await self._list_all()
         now = self.clock.seconds()
         self.listed_at = now
-        self.listed = {instance.machine: instance for instance in instances}
+        self.listed_instances = {instance.machine: instance for instance in instances}
         self.listed_count = len(instances)
         for instance in instances:
-            if instance.machine in self.deleted:
+            if instance.machine in self.deleted_machines:
                 continue
             if instance.status == "starting":
                 self._observe_starting(instance, now)
@@ -163,10 +163,10 @@
                 await sleep(self.clock, self.call_interval_s)
         return await self.cloud.list_instances(after)
 
-    def price(self, room: Room) -> float:
+    def price(self, capacity: MachineCapacity) -> float:
         """Return the price of the machine per hour."""
-        kind = self.types.get(room.kind)
-        return (kind.spot_price if room.spot else kind.price) if kind else 0.0
+        kind = self.types.get(capacity.kind)
+        return (kind.spot_price if capacity.spot else kind.price) if kind else 0.0
 
     def observe_running(self, name: str) -> None:
         """Record that the machine is up, as its worker sends heartbeats."""
@@ -175,7 +175,7 @@
 
     def inherit_requests(self) -> None:
         """Take over the pending requests that the former leader is known to have decided."""
-        self.inherited = list(self.lead.pending.values())
+        self.inherited_requests = list(self.leader_state.pending.values())
 
     # -- scaling in
 
@@ -184,7 +184,7 @@
 
         Instances whose deletion fails are dropped from the queue; the caller requests it again.
         """
-        self.to_delete.update(name for name in names if name not in self.deleted)
+        self.to_delete.update(name for name in names if name not in self.deleted_machines)
         if self.to_delete and not self.is_scaling_in:
             self.is_scaling_in = True
             spawn(self._scale_in(), "scaling in")
@@ -216,59 +216,59 @@
             return
         log.info("deleted {names}", names=names)
         # Places that were refused for lack of capacity may have some now.
-        known = [self.listed.get(name) or self.booting.get(name) for name in names]
+        known = [self.listed_instances.get(name) or self.booting.get(name) for name in names]
         freed = {(i.kind, i.zone, bool(i.spot)) for i in known if i is not None}
         self.decisions.decide(MachinesDeleted(names, sorted(freed)))
 
     # -- scaling out
 
     def plan_scale_out(
-        self, needs: list[tuple[JobSpec, int]], rooms: list[Room]
+        self, needs: list[tuple[JobSpec, int]], capacities: list[MachineCapacity]
     ) -> ScaleOut | None:
         """Plan the next request for needs that free capacity and booting machines don't cover.
 
         See `ScaleOutPlanner.plan`.
         """
-        return self.planner.plan(needs, rooms + self._booting_rooms())
+        return self.planner.plan(needs, capacities + self._booting_capacities())
 
-    def bind_to_zone(self, spec: JobSpec, count: int, rooms: list[Room]) -> JobSpec:
+    def bind_to_zone(self, spec: JobSpec, count: int, capacities: list[MachineCapacity]) -> JobSpec:
         """See `ScaleOutPlanner.bind_to_zone`."""
-        return self.planner.bind_to_zone(spec, count, rooms)
+        return self.planner.bind_to_zone(spec, count, capacities)
 
-    def reserve_capacity(self, spec: JobSpec, count: int, rooms: list[Room]) -> int:
+    def reserve_capacity(self, spec: JobSpec, count: int, capacities: list[MachineCapacity]) -> int:
         """See `reserve_capacity`."""
-        return reserve_capacity(spec, count, rooms)
+        return reserve_capacity(spec, count, capacities)
 
     def _is_refused(self, place: Place) -> bool:
-        until, _ = self.refused.get(place, (0.0, 0.0))
+        until, _ = self.refusals.get(place, (0.0, 0.0))
         return until > self.clock.seconds()
 
-    def _booting_rooms(self) -> list[Room]:
+    def _booting_capacities(self) -> list[MachineCapacity]:
         """Return the machines that are created but not up yet, as empty rooms.
 
         Machines that are no longer expected are removed from `booting`.
         """
         now = self.clock.seconds()
-        rooms = []
+        capacities = []
         for name, boot in list(self.booting.items()):
             kind = self.types.get(boot.kind)
             if kind is None or now - boot.since > kind.boot_s * ABANDONED_BOOT_FACTOR:
                 del self.booting[name]
             elif now - boot.since < kind.boot_s * LATE_BOOT_FACTOR:
-                rooms.append(empty_room(kind, name, boot.zone, boot.spot))
-        return rooms
+                capacities.append(empty_capacity(kind, name, boot.zone, boot.spot))
+        return capacities
 
     async def scale_out(self, place: Place, count: int) -> None:
         """Create up to `count` instances, with a request name that is never reused."""
         self.requests_made += 1
-        name = f"{self.registration.me}.{self.registration.incarnation}.{self.requests_made}"
+        name = f"{self.registration.own_name}.{self.registration.incarnation}.{self.requests_made}"
         request = InstancesRequested(name, place, count)
         self.decisions.decide(request)
         await self._carry_out(request)
 
     async def repeat_inherited_request(self) -> None:
         """Repeat a former leader's request under its name, which makes it idempotent."""
-        request = self.inherited.pop(0)
+        request = self.inherited_requests.pop(0)
         log.info("repeating scale-out {name} of a former leader", name=request.name)
         await self._carry_out(request)
 
@@ -295,7 +295,7 @@
 
     def _refusal_backoff_s(self, place: Place) -> float:
         """Return twice the last backoff of the place, within the bounds."""
-        _, last_s = self.refused.get(place, (0.0, self.list_lag_s * MIN_REFUSAL_BACKOFF_LAGS / 2))
+        _, last_s = self.refusals.get(place, (0.0, self.list_lag_s * MIN_REFUSAL_BACKOFF_LAGS / 2))
         return min(last_s * 2, self.list_lag_s * MAX_REFUSAL_BACKOFF_LAGS)
 
     async def _create(self, request: InstancesRequested) -> list[str]:
--- a/src/beamspar/leader/leader.py
+++ b/src/beamspar/leader/leader.py
@@ -26,7 +26,7 @@
 from beamspar.leader.scaling import Scaling
 from beamspar.leader.shard_leasing import ShardLeasing
 from beamspar.leader.shard_writer import ShardWriter
-from beamspar.placement import Preference, per_gpu
+from beamspar.placement import Preference, max_resources_per_gpu
 from beamspar.protocol.jobs import JobSpec
 from beamspar.protocol.peer_messages import (
     CapacityOffers,
@@ -72,10 +72,10 @@
         # Decisions that are not in the state service's records, such as the map of cached
         # images. They are replicated to the followers.
         self.decisions = instance_manager.decisions
-        self.lead = self.decisions.state
+        self.leader_state = self.decisions.state
         # Whether, after a failover, capacity is offered in zones that are already confirmed
         # while others are not.
-        self.offers_by_zone = False
+        self._offers_by_zone = False
         machine_types = instance_manager.types
         fleet_view = FleetView(clock, self.mirror, self.decisions, machine_types, timeouts)
         self.fleet_view = fleet_view
@@ -83,7 +83,7 @@
         self.shard_leasing = self._make_shard_leasing(settings, operator_settings)
         self.leadership = self._make_leadership(state, settings.platform.nodes)
         self.gang_reservations = GangReservations(timeouts)
-        unmet_demand = UnmetDemand(timeouts.report)
+        unmet_demand = UnmetDemand(timeouts.worker_heartbeat_interval_s)
         self.capacity_allocator = CapacityAllocator(
             clock, self.mirror, fleet_view, self.gang_reservations, unmet_demand
         )
@@ -139,26 +139,26 @@
         if not self.leadership.tick():
             return
         now = self.clock.seconds()
-        if not self.shard_leasing.running:
-            self.shard_leasing.running = True
+        if not self.shard_leasing.is_running:
+            self.shard_leasing.is_running = True
             spawn(self.shard_leasing.run(self.leadership.led_for_s()), "leasing shards")
         self.scaling.start_due_calls(now)
         self.drainer.delete_failed()
         self.drainer.drain_idle(now)
 
-    def heartbeat(self, heartbeat: MemberHeartbeat) -> HeartbeatResponse:
+    def handle_heartbeat(self, heartbeat: MemberHeartbeat) -> HeartbeatResponse:
         """Apply a member's heartbeat and return the response with instructions for the member."""
         now = self.clock.seconds()
         accepted = self.fleet_view.apply_heartbeat(heartbeat, now)
         self._observe_unassigned(heartbeat.unassigned_machines)
         return HeartbeatResponse(
-            leading=self.leading,
-            ready=self.ready,
-            accepted=accepted,
-            per_gpu=per_gpu(self.fleet_view.class_templates.values()),
+            is_leading=self.is_leading,
+            is_ready=self.is_ready,
+            is_accepted=accepted,
+            per_gpu=max_resources_per_gpu(self.fleet_view.class_templates.values()),
             machines_to_drain=self.drainer.draining_machines_of(heartbeat.member),
             caches=self.fleet_view.caches_changed_since(heartbeat.caches_known),
-            caches_known=self.lead.cache_changes,
+            caches_known=self.leader_state.cache_changes,
             reserved=sorted(self.gang_reservations.reserved_machines(now)),
         )
 
@@ -177,8 +177,8 @@
         Return no offers until this controller may make decisions.
         """
         only_zones = None
-        if not self.ready:
-            only_zones = self.leadership.confirmed_zones() if self.offers_by_zone else set()
+        if not self.is_ready:
+            only_zones = self.leadership.confirmed_zones() if self._offers_by_zone else set()
             if not only_zones:
                 return CapacityOffers([])
         return CapacityOffers(self.capacity_allocator.offer(member, capacity_requests, only_zones))
@@ -186,23 +186,23 @@
     # -- interface for the node, standby and sharing packages and their tests
 
     @property
-    def leading(self) -> bool:
+    def is_leading(self) -> bool:
         """Whether this controller leads according to its mirror."""
         return self.leadership.is_leading
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether this controller may make decisions as the leader."""
         return self.leadership.is_ready
 
     @property
-    def electing(self) -> bool:
+    def is_electing(self) -> bool:
         """Whether an election attempt of this controller is in progress."""
         return self.leadership.is_electing
 
-    def confirmed(self) -> set[str]:
+    def confirmed_members(self) -> set[str]:
         """Return the members whose complete state was received since the election."""
-        return self.leadership.confirmed()
+        return self.leadership.confirmed_members()
 
     def confirmed_zones(self) -> set[str]:
         """Return the zones in which the leader has confirmed every shard holder."""
@@ -212,27 +212,27 @@
         """Try to be elected; see `Leadership.elect`."""
         await self.leadership.elect(replaces, failed)
 
-    async def give_up(self) -> None:
-        """Step down as the leader; raises the errors of `Leadership.give_up`."""
-        await self.leadership.give_up()
+    async def step_down(self) -> None:
+        """Step down as the leader; raises the errors of `Leadership.step_down`."""
+        await self.leadership.step_down()
 
     @property
-    def paused_until(self) -> float:
+    def decisions_paused_until(self) -> float:
         """Clock time until which no decisions are made because leadership is being handed over."""
-        return self.leadership.paused_until
+        return self.leadership.decisions_paused_until
 
-    @paused_until.setter
-    def paused_until(self, until: float) -> None:
-        self.leadership.paused_until = until
+    @decisions_paused_until.setter
+    def decisions_paused_until(self, until: float) -> None:
+        self.leadership.decisions_paused_until = until
 
     @property
-    def stands(self) -> Callable[[], bool]:
+    def may_stand(self) -> Callable[[], bool]:
         """Callback that returns whether this controller may stand for election."""
         return self.leadership.may_stand
 
-    @stands.setter
-    def stands(self, may_stand: Callable[[], bool]) -> None:
-        self.leadership.may_stand = may_stand
+    @may_stand.setter
+    def may_stand(self, value: Callable[[], bool]) -> None:
+        self.leadership.may_stand = value
 
     @property
     def on_ready(self) -> Callable[[], None]:
@@ -244,13 +244,13 @@
         self.leadership.on_ready = on_ready
 
     @property
-    def lends_by_zone(self) -> bool:
+    def offers_by_zone(self) -> bool:
         """Whether capacity is offered in confirmed zones while others are not confirmed."""
-        return self.offers_by_zone
+        return self._offers_by_zone
 
-    @lends_by_zone.setter
-    def lends_by_zone(self, offers_by_zone: bool) -> None:
-        self.offers_by_zone = offers_by_zone
+    @offers_by_zone.setter
+    def offers_by_zone(self, value: bool) -> None:
+        self._offers_by_zone = value
 
     @property
     def preference(self) -> Callable[[JobSpec], Preference]:
@@ -262,6 +262,6 @@
         self.capacity_allocator.preference = preference
 
     @property
-    def draining(self) -> dict[str, str]:
+    def draining_machines(self) -> dict[str, str]:
         """Draining machines, which get no new tasks, mapped to their holders at that decision."""
-        return self.drainer.draining
+        return self.drainer.draining_machines
--- a/src/beamspar/leader/leadership.py
+++ b/src/beamspar/leader/leadership.py
@@ -64,7 +64,7 @@
         # Called once per term, as soon as decisions may be made.
         self.on_ready: Callable[[], None] = lambda: None
         # Clock time until which no decisions are made because leadership is being handed over.
-        self.paused_until = -1e9
+        self.decisions_paused_until = -1e9
         self.is_electing = False
         self.leading_since: float | None = None
         # A former leader that was confirmed to have failed: no heartbeat is expected from it.
@@ -78,7 +78,7 @@
     @property
     def is_leading(self) -> bool:
         """Whether this controller leads according to its mirror."""
-        return self.leading_since is not None and self.mirror.leader == self.registration.me
+        return self.leading_since is not None and self.mirror.leader == self.registration.own_name
 
     @property
     def is_in_charge(self) -> bool:
@@ -86,7 +86,7 @@
         its own election, and it is not handing over leadership."""
         if not self.is_leading or not self.registration.lease_is_valid():
             return False
-        if self.clock.seconds() < self.paused_until:
+        if self.clock.seconds() < self.decisions_paused_until:
             return False
         # The mirror must include the last writes of the former leader. Otherwise a machine that
         # was already leased would look new and would be put into a second shard.
@@ -98,20 +98,20 @@
         state, or has had enough time to do so."""
         if not self.is_in_charge or self.leading_since is None:
             return False
-        if self.clock.seconds() - self.leading_since > self.timeouts.report:
+        if self.clock.seconds() - self.leading_since > self.timeouts.worker_heartbeat_interval_s:
             return True
         # Every controller that ever registered has a fence record; those without a
         # registration lease are dead.
         known = sum(1 for key in self.mirror.values if key.startswith(keys.FENCE_PREFIX))
-        awaited = {m for m in self.mirror.members if not self.shard_leasing.out_of_reach(m)}
+        awaited = {m for m in self.mirror.members if not self.shard_leasing.is_unreachable(m)}
         awaited.discard(self.failed_leader)
-        return known >= self.controller_count and awaited <= self.confirmed()
+        return known >= self.controller_count and awaited <= self.confirmed_members()
 
     def led_for_s(self) -> float:
         """Return for how long this controller has led, 0 if it does not lead."""
         return 0.0 if self.leading_since is None else self.clock.seconds() - self.leading_since
 
-    def confirmed(self) -> set[str]:
+    def confirmed_members(self) -> set[str]:
         """Return the members whose complete state was received since the election."""
         if self.leading_since is None:
             return set()
@@ -124,7 +124,7 @@
         """
         if not self.is_in_charge:
             return set()
-        confirmed = self.confirmed()
+        confirmed = self.confirmed_members()
         zones: set[str] = set()
         unconfirmed: set[str] = set()
         for shard in self.mirror.shards.values():
@@ -146,7 +146,7 @@
             self.leading_since = None
             self._stand_for_election()
             return False
-        if record.get("name") != self.registration.me or (
+        if record.get("name") != self.registration.own_name or (
             record.get("inc") != self.registration.incarnation
         ):
             self.leading_since = None
@@ -178,8 +178,8 @@
         expected_version = self.mirror.version(keys.LEADER) if replaces else 0
         self.is_electing = True
         try:
-            record = LeaderRecord(self.registration.me, self.registration.incarnation)
-            lease_id = await self.state.grant_lease(self.timeouts.leader_lease)
+            record = LeaderRecord(self.registration.own_name, self.registration.incarnation)
+            lease_id = await self.state.grant_lease(self.timeouts.leader_lease_s)
             revision = await self.state.transact(
                 {keys.LEADER: expected_version, **self.registration.fence_condition()},
                 [put(keys.LEADER, msgspec.to_builtins(record), lease_id)],
@@ -199,11 +199,11 @@
         self.instance_manager.inherit_requests()
         self.mirror.observe(keys.LEADER, msgspec.to_builtins(record), revision)
         self._begin_leading()
-        log.info("{me} was elected leader", me=self.registration.me)
+        log.info("{me} was elected leader", me=self.registration.own_name)
         spawn(self._keep_renewing(lease_id), "leader lease renewal")
 
     async def _keep_renewing(self, lease_id: int) -> None:
-        while not self.registration.lost and self.mirror.leader == self.registration.me:
+        while not self.registration.is_ended and self.mirror.leader == self.registration.own_name:
             try:
                 await self.state.renew_lease(lease_id)
             except LeaseExpiredError:
@@ -211,18 +211,20 @@
                 return
             except StateUnavailableError as error:
                 log.info("renewing the leader's lease failed, will retry: {error}", error=error)
-            await sleep(self.clock, self.timeouts.leader_lease / RENEWALS_PER_LEASE)
+            await sleep(self.clock, self.timeouts.leader_lease_s / RENEWALS_PER_LEASE)
 
-    async def give_up(self) -> None:
+    async def step_down(self) -> None:
         """Step down so that another controller can lead; a no-op while shards are being leased.
 
         Can be repeated. Raises ConflictError, StateUnavailableError or LeaseExpiredError if the
         leader record could not be deleted.
         """
-        if self.shard_leasing.running:
+        if self.shard_leasing.is_running:
             return
         # Make no more decisions, as the next leader might not receive them.
-        self.paused_until = self.clock.seconds() + self.timeouts.request * STEP_DOWN_PAUSE_REQUESTS
+        self.decisions_paused_until = (
+            self.clock.seconds() + self.timeouts.request_timeout_s * STEP_DOWN_PAUSE_REQUESTS
+        )
         await self.state.transact(
             {
                 keys.LEADER: self.mirror.version(keys.LEADER),
@@ -231,4 +233,4 @@
             [drop(keys.LEADER)],
             RequestPriority.URGENT,
         )
-        log.info("{me} has stepped down as leader", me=self.registration.me)
+        log.info("{me} has stepped down as leader", me=self.registration.own_name)
--- a/src/beamspar/leader/member_reachability.py
+++ b/src/beamspar/leader/member_reachability.py
@@ -45,17 +45,20 @@
         return {
             m
             for m in self.mirror.members
-            if m in self.members and now - self.members[m].heard_at < self.timeouts.report
+            if m in self.members
+            and now - self.members[m].reported_at < self.timeouts.worker_heartbeat_interval_s
         }
 
     def is_unreachable(self, member: str) -> bool:
         """Return whether calls to the member have failed for longer than the allowed time."""
         since = self.unreachable_since(member)
-        return since is not None and self.clock.seconds() - since > self.timeouts.out_of_reach
+        return (
+            since is not None and self.clock.seconds() - since > self.timeouts.unreachable_timeout_s
+        )
 
     def mark_cut_off(self, member: str) -> None:
         """Record that the member's workers do not reach it, so it gets no shards for a while."""
-        lasts_s = self.timeouts.worker_lease * CUT_OFF_WORKER_LEASES
+        lasts_s = self.timeouts.worker_lease_s * CUT_OFF_WORKER_LEASES
         self.cut_off_until[member] = self.clock.seconds() + lasts_s
 
     def was_cut_off(self, member: str) -> bool:
@@ -70,9 +73,11 @@
         held: dict[str, int] = {}
         silent: dict[str, int] = {}
         for status in self.machine_statuses():
-            member = (self.mirror.holder_of(status.room.name) or ("", 0))[0]
+            member = (self.mirror.holder_of(status.capacity.name) or ("", 0))[0]
             held[member] = held.get(member, 0) + 1
-            silent[member] = silent.get(member, 0) + (status.silent_s > self.timeouts.silent / 2)
+            silent[member] = silent.get(member, 0) + (
+                status.silent_s > self.timeouts.silence_timeout_s / 2
+            )
         now = self.clock.seconds()
         known = {m for m, until in self.cut_off_until.items() if until > now}
         return known | {
--- a/src/beamspar/leader/member_view.py
+++ b/src/beamspar/leader/member_view.py
@@ -23,9 +23,9 @@
         self.incarnation = incarnation
         # The member's change count up to which its changes have been applied.
         self.count = 0
-        self.heard_at = NEVER
+        self.reported_at = NEVER
         # Whether every machine of the member was reported at least once.
-        self.complete = False
+        self.is_complete = False
         self.machines: dict[str, ReceivedStatus] = {}
         self.classes: dict[str, JobClass] = {}
         # Machines whose workers turned to this member because their holder does not answer them.
@@ -39,14 +39,14 @@
         if self.count != heartbeat.since:
             return False
         self.count, self.classes = heartbeat.count, heartbeat.classes
-        self.complete = self.complete or not heartbeat.partial
-        if self.complete:
+        self.is_complete = self.is_complete or not heartbeat.is_partial
+        if self.is_complete:
             # A member with incomplete state counts as not reporting. Otherwise instances would be
             # created to replace capacity that it has not reported yet.
-            self.heard_at = now
+            self.reported_at = now
         self.unserved = heartbeat.unserved_machines
         self.demand, self.late_s = heartbeat.demand, heartbeat.late_s
         self.machines.update(
-            {status.room.name: ReceivedStatus(status, now) for status in heartbeat.machines}
+            {status.capacity.name: ReceivedStatus(status, now) for status in heartbeat.machines}
         )
         return True
--- a/src/beamspar/leader/scale_out_planning.py
+++ b/src/beamspar/leader/scale_out_planning.py
@@ -9,15 +9,15 @@
 
 from beamspar.decision_log.decisions import Place
 from beamspar.placement import (
-    allowed,
-    copy,
+    copy_capacity,
     fits_type,
-    fitting,
-    slots,
+    fitting_task_count,
+    is_allowed,
+    total_fitting_task_count,
 )
 from beamspar.protocol.cloud import MachineType
 from beamspar.protocol.jobs import JobSpec
-from beamspar.protocol.room import Room
+from beamspar.protocol.machine_capacity import MachineCapacity
 
 # Maximum number of instances that the cloud creates in one request (PROTOCOL).
 MAX_CREATED_AT_ONCE = 50
@@ -81,34 +81,36 @@
         self.types = types
         self.is_refused = is_refused
 
-    def plan(self, needs: Iterable[tuple[JobSpec, int]], rooms: list[Room]) -> ScaleOut | None:
+    def plan(
+        self, needs: Iterable[tuple[JobSpec, int]], capacities: list[MachineCapacity]
+    ) -> ScaleOut | None:
         """Return the next request, None if there is nothing to create.
 
         It covers the first need that exceeds the free capacity, and all later such needs that the
         same machines suit. After many machines died, there are many small needs of one machine
         each, which would otherwise take one request each at half of the cloud's rate. Subtracts
-        the capacity that the needs use from `rooms`.
+        the capacity that the needs use from `capacities`.
         """
-        rooms = list(rooms)
+        capacities = list(capacities)
         group: _PlaceGroup | None = None
         total = 0
         for need, count in needs:
-            spec = self.bind_to_zone(need, count, rooms)
+            spec = self.bind_to_zone(need, count, capacities)
             # Capacity that this need uses is not available to the next one.
-            missing = count - reserve_capacity(spec, count, rooms)
+            missing = count - reserve_capacity(spec, count, capacities)
             if missing <= 0:
                 continue
-            places = self._places(spec, rooms)
+            places = self._places(spec, capacities)
             if not places or (group is not None and not group.matches(places)):
                 continue
-            group = group or _group_places(places, rooms)
-            created = self._empty_rooms(spec, missing, group.place)
+            group = group or _group_places(places, capacities)
+            created = self._empty_capacities(spec, missing, group.place)
             reserve_capacity(spec, missing, created)
-            rooms += created
+            capacities += created
             total += len(created)
         return group.next_request(total) if group is not None else None
 
-    def bind_to_zone(self, spec: JobSpec, count: int, rooms: list[Room]) -> JobSpec:
+    def bind_to_zone(self, spec: JobSpec, count: int, capacities: list[MachineCapacity]) -> JobSpec:
         """Return the spec with the best zone filled in if the tasks must share a zone.
 
         That is the zone with the most free capacity if all tasks fit there, else the zone with the
@@ -118,60 +120,67 @@
             return spec
         zones = sorted({zone for kind in self.types.values() for zone in kind.zones})
         choices = [msgspec.structs.replace(spec, zone=zone) for zone in zones]
-        choices.sort(key=lambda choice: -slots(choice, rooms))
+        choices.sort(key=lambda choice: -total_fitting_task_count(choice, capacities))
         if not choices:
             return spec
-        if slots(choices[0], rooms) >= count:
+        if total_fitting_task_count(choices[0], capacities) >= count:
             return choices[0]
-        return next((choice for choice in choices if self._places(choice, rooms)), choices[0])
+        return next((choice for choice in choices if self._places(choice, capacities)), choices[0])
 
-    def _places(self, spec: JobSpec, rooms: list[Room]) -> list[Place]:
+    def _places(self, spec: JobSpec, capacities: list[MachineCapacity]) -> list[Place]:
         """Return the places where machines for the job may be created, the best first."""
         candidates: list[_Candidate] = []
         for kind in self.types.values():
             if fits_type(spec, kind):
-                candidates.extend(self._candidates(spec, kind, rooms))
+                candidates.extend(self._candidates(spec, kind, capacities))
         return [candidate.place for candidate in sorted(candidates)]
 
     def _candidates(
-        self, spec: JobSpec, kind: MachineType, rooms: list[Room]
+        self, spec: JobSpec, kind: MachineType, capacities: list[MachineCapacity]
     ) -> Iterator[_Candidate]:
         anywhere = msgspec.structs.replace(spec, kinds=None, zone=None)
-        tasks = max(slots(anywhere, [empty_room(kind)]), 1)
+        tasks = max(total_fitting_task_count(anywhere, [empty_capacity(kind)]), 1)
         for zone in [spec.zone] if spec.zone else kind.zones:
-            present = sum(1 for room in rooms if room.zone == zone and room.kind == kind.name)
+            present = sum(
+                1 for capacity in capacities if capacity.zone == zone and capacity.kind == kind.name
+            )
             for spot in (True, False) if spec.spot else (False,):
                 if not self.is_refused((kind.name, zone, spot)):
                     price = kind.spot_price if spot else kind.price
                     yield _Candidate(price / tasks, present, kind.name, zone, spot)
 
-    def _empty_rooms(self, spec: JobSpec, tasks: int, place: Place) -> list[Room]:
+    def _empty_capacities(self, spec: JobSpec, tasks: int, place: Place) -> list[MachineCapacity]:
         """Return as many empty machines of the place as `tasks` tasks of the job need."""
         name, zone, spot = place
-        empty = empty_room(self.types[name], zone=zone, spot=spot)
-        return [copy(empty) for _ in range(-(-tasks // max(slots(spec, [empty]), 1)))]
+        empty = empty_capacity(self.types[name], zone=zone, spot=spot)
+        return [
+            copy_capacity(empty)
+            for _ in range(-(-tasks // max(total_fitting_task_count(spec, [empty]), 1)))
+        ]
 
 
-def reserve_capacity(spec: JobSpec, count: int, rooms: Iterable[Room]) -> int:
+def reserve_capacity(spec: JobSpec, count: int, capacities: Iterable[MachineCapacity]) -> int:
     """Subtract the capacity for up to `count` tasks from the rooms; return how many tasks fit."""
     reserved = 0
-    for room in rooms:
+    for capacity in capacities:
         if reserved >= count:
             break
-        if not allowed(spec, room, {}):
+        if not is_allowed(spec, capacity, {}):
             continue
-        fit = min(fitting(spec, room), count - reserved)
+        fit = min(fitting_task_count(spec, capacity), count - reserved)
         if fit > 0:
-            room.cpus -= fit * spec.cpus
-            room.gpus -= fit * spec.gpus
-            room.memory_gb -= fit * spec.memory_gb
+            capacity.cpus -= fit * spec.cpus
+            capacity.gpus -= fit * spec.gpus
+            capacity.memory_gb -= fit * spec.memory_gb
             reserved += fit
     return reserved
 
 
-def empty_room(kind: MachineType, name: str = "", zone: str = "", spot: bool = False) -> Room:
+def empty_capacity(
+    kind: MachineType, name: str = "", zone: str = "", spot: bool = False
+) -> MachineCapacity:
     """Return the capacity of a machine of this type without any tasks."""
-    return Room(name, kind.name, zone, spot, kind.cpus, kind.gpus, kind.memory_gb)
+    return MachineCapacity(name, kind.name, zone, spot, kind.cpus, kind.gpus, kind.memory_gb)
 
 
 def _type_and_spot(place: Place) -> tuple[str, bool]:
@@ -180,9 +189,13 @@
     return kind, spot
 
 
-def _group_places(places: list[Place], rooms: list[Room]) -> _PlaceGroup:
+def _group_places(places: list[Place], capacities: list[MachineCapacity]) -> _PlaceGroup:
     """Group the best of these places with those of the same machine type and price class."""
     best = places[0]
     zones = {place[1] for place in places if _type_and_spot(place) == _type_and_spot(best)}
-    present = [room.zone for room in rooms if room.kind == best[0] and room.zone in zones]
+    present = [
+        capacity.zone
+        for capacity in capacities
+        if capacity.kind == best[0] and capacity.zone in zones
+    ]
     return _PlaceGroup(best, zones, present)
--- a/src/beamspar/leader/scaling.py
+++ b/src/beamspar/leader/scaling.py
@@ -48,7 +48,8 @@
 
     def _list_is_due(self, now: float) -> bool:
         interval_s = max(
-            self.timeouts.report, self.instance_manager.call_interval_s * LIST_INTERVAL_CALLS
+            self.timeouts.worker_heartbeat_interval_s,
+            self.instance_manager.call_interval_s * LIST_INTERVAL_CALLS,
         )
         return now - self.instance_manager.listed_at > interval_s
 
@@ -64,13 +65,15 @@
     async def _scale_out(self) -> None:
         """Repeat a former leader's pending request, else create the next machines needed."""
         try:
-            if self.instance_manager.inherited:
+            if self.instance_manager.inherited_requests:
                 await self.instance_manager.repeat_inherited_request()
                 return
             needs = self.capacity_needs.current()
-            usable_rooms = [room for room in self.fleet_view.rooms() if room.usable]
+            usable_capacities = [
+                capacity for capacity in self.fleet_view.capacities() if capacity.usable
+            ]
             plan = self.instance_manager.plan_scale_out(
-                [(need.spec, need.tasks) for need in needs], usable_rooms
+                [(need.spec, need.tasks) for need in needs], usable_capacities
             )
             if plan is not None:
                 await self.instance_manager.scale_out(*plan)
--- a/src/beamspar/leader/shard_failover.py
+++ b/src/beamspar/leader/shard_failover.py
@@ -101,7 +101,7 @@
             status, _ = member.machines.get(machine.name, (None, 0.0)) if member else (None, 0.0)
             if (
                 status is None
-                or not status.fresh
+                or not status.has_confirmed_token
                 or status.fencing_token < shard.record_fencing_token
             ):
                 return True
--- a/src/beamspar/leader/shard_leasing.py
+++ b/src/beamspar/leader/shard_leasing.py
@@ -59,9 +59,9 @@
         # The state reported by each member's heartbeats; owned by the leader's fleet view.
         self.members = members
         self.sites = {**{p.member: p.site for p in settings.peers}, settings.member: settings.site}
-        self.running = False
+        self.is_running = False
         # Machines whose workers send heartbeats but that belong to no shard yet.
-        self.unassigned: dict[str, Machine] = {}
+        self.unassigned_machines: dict[str, Machine] = {}
         # Returns the time since which a peer has not answered this controller, None if it does.
         self.unreachable_since: Callable[[str], float | None] = lambda member: None
         # Returns the members that get no shards because they are leaving.
@@ -104,20 +104,20 @@
         except (StateUnavailableError, LeaseExpiredError) as error:
             log.info("shard leasing pass failed, will retry: {error}", error=error)
         finally:
-            self.running = False
+            self.is_running = False
 
     # -- interface for the leader and its parts
 
     def observe_unassigned(self, machine: Machine) -> None:
         """Record a machine without a holder whose worker sent a heartbeat to some member."""
-        if machine.name not in self.instance_manager.deleted:
-            self.unassigned[machine.name] = machine
+        if machine.name not in self.instance_manager.deleted_machines:
+            self.unassigned_machines[machine.name] = machine
 
-    def heard(self) -> set[str]:
+    def reachable_members(self) -> set[str]:
         """Return the live members that this leader and the workers can be expected to reach."""
         return self.reachability.reachable_members()
 
-    def out_of_reach(self, member: str) -> bool:
+    def is_unreachable(self, member: str) -> bool:
         """Return whether calls to the member have failed for longer than the allowed time."""
         return self.reachability.is_unreachable(member)
 
@@ -144,17 +144,20 @@
         return count_machines(self.mirror.shards.values(), members)
 
     async def _lease_new_machines(self, led_for_s: float) -> None:
-        if not self.instance_manager.listed and led_for_s < self.timeouts.report * 2:
+        if (
+            not self.instance_manager.listed_instances
+            and led_for_s < self.timeouts.worker_heartbeat_interval_s * 2
+        ):
             # The shard size depends on the fleet size, which is not known before the cloud's list
             # was read; after two report intervals, leasing starts without it.
             return
         machines = [
             machine
-            for machine in self.unassigned.values()
+            for machine in self.unassigned_machines.values()
             if machine.name not in self.mirror.shard_of
-            and machine.name not in self.instance_manager.deleted
+            and machine.name not in self.instance_manager.deleted_machines
         ]
-        self.unassigned.clear()
+        self.unassigned_machines.clear()
         if not machines:
             return
         machines.sort(key=lambda machine: machine.name)
@@ -197,7 +200,9 @@
         """
         changes: list[RecordChange] = []
         for name, shard in self.mirror.shards.items():
-            remaining = [m for m in shard.machines if m.name not in self.instance_manager.deleted]
+            remaining = [
+                m for m in shard.machines if m.name not in self.instance_manager.deleted_machines
+            ]
             if len(remaining) == len(shard.machines):
                 continue
             # The remaining machines keep their fencing token.
--- a/src/beamspar/leader/shard_writer.py
+++ b/src/beamspar/leader/shard_writer.py
@@ -48,7 +48,7 @@
         succeed, as each would find its own key free.
         """
         value, version = self.mirror.values.get(keys.LEADER, (None, 0))
-        if value is None or value.get("name") != self.registration.me:
+        if value is None or value.get("name") != self.registration.own_name:
             raise LeaseExpiredError("this controller is not the leader any more")
         revision = await self.state.transact(
             {**self.registration.fence_condition(), **conditions, keys.LEADER: version},
@@ -85,7 +85,10 @@
         size_kb = 0.0
         while groups and len(batch) + len(groups[0]) < self.limits.txn_ops:
             size_kb += sum(len(orjson.dumps(record)) for _, record in groups[0]) / 1024
-            if batch and size_kb > job_records.MAX_TRANSACTION_KB * job_records.MARGIN:
+            if (
+                batch
+                and size_kb > job_records.MAX_TRANSACTION_KB * job_records.TRANSACTION_FILL_RATIO
+            ):
                 # The shards of a very large fleet don't fit into one transaction.
                 break
             batch += groups.pop(0)
@@ -100,7 +103,7 @@
         whole = RecordChange(key, record)
         if not key.startswith(keys.SHARD_PREFIX) or record is None:
             return [whole]
-        limit_bytes = self.limits.value_kb * 1024 * job_records.MARGIN
+        limit_bytes = self.limits.value_kb * 1024 * job_records.TRANSACTION_FILL_RATIO
         parts = [record]
         while len(orjson.dumps(parts[0])) > limit_bytes and len(parts[0]["machines"]) > 1:
             parts = [half for part in parts for half in _halves(part)]
--- a/src/beamspar/leader/tentative_reservations.py
+++ b/src/beamspar/leader/tentative_reservations.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from beamspar.protocol.jobs import JobSpec
-from beamspar.protocol.room import Room
+from beamspar.protocol.machine_capacity import MachineCapacity
 
 
 class TentativeReservation(NamedTuple):
@@ -26,21 +26,21 @@
         self._lifetime_s = lifetime_s
         self._by_machine: dict[str, list[TentativeReservation]] = {}
 
-    def reserve(self, spec: JobSpec, room: Room, now: float) -> None:
+    def reserve(self, spec: JobSpec, capacity: MachineCapacity, now: float) -> None:
         """Reserve capacity for one task, in this room and in the machine's later copies."""
-        room.reserve(spec)
+        capacity.reserve(spec)
         reservation = TentativeReservation(spec, now + self._lifetime_s)
-        self._by_machine.setdefault(room.name, []).append(reservation)
+        self._by_machine.setdefault(capacity.name, []).append(reservation)
 
-    def subtract_from(self, room: Room, now: float) -> None:
+    def subtract_from(self, capacity: MachineCapacity, now: float) -> None:
         """Subtract the machine's reservations from the room; drop expired reservations."""
-        reservations = self._by_machine.get(room.name)
+        reservations = self._by_machine.get(capacity.name)
         if reservations is None:
             return
         reservations = [entry for entry in reservations if entry.expires_at >= now]
         if not reservations:
-            del self._by_machine[room.name]
+            del self._by_machine[capacity.name]
             return
-        self._by_machine[room.name] = reservations
+        self._by_machine[capacity.name] = reservations
         for entry in reservations:
-            room.reserve(entry.spec)
+            capacity.reserve(entry.spec)
--- a/src/beamspar/leader/unserved_machines.py
+++ b/src/beamspar/leader/unserved_machines.py
@@ -71,4 +71,4 @@
         """Return whether the holder got no heartbeat of the machine for longer than allowed."""
         member = self.members.get(holder)
         status, _ = member.machines.get(machine, (None, 0.0)) if member else (None, 0.0)
-        return status is not None and status.silent_s > self.timeouts.out_of_reach
+        return status is not None and status.silent_s > self.timeouts.unreachable_timeout_s
--- a/src/beamspar/machines/command_planning.py
+++ b/src/beamspar/machines/command_planning.py
@@ -76,13 +76,13 @@
             return 0.0
         desired = machine.desired_attempts.get(key)
         if desired is not None and desired.action == DesiredAction.STOP:
-            return stop_grace_s(desired, self.timeouts.gang_peer)
+            return stop_grace_s(desired, self.timeouts.gang_peer_s)
         if key in machine.preempted:
             return machine.preempted[key]
         if desired is not None and machine.termination_notice_s is not None:
             # The machine is about to be terminated: its attempts save their progress and continue
             # on other machines.
-            return stop_grace_s(desired, self.timeouts.gang_peer)
+            return stop_grace_s(desired, self.timeouts.gang_peer_s)
         return None
 
     # -- attempts that the worker does not report
@@ -182,7 +182,7 @@
             return False
         for victim, attempt in victims:
             if victim not in machine.preempted:
-                machine.preempted[victim] = stop_grace_s(attempt, self.timeouts.gang_peer)
+                machine.preempted[victim] = stop_grace_s(attempt, self.timeouts.gang_peer_s)
                 machine.mark_changed(victim)
                 log.info(
                     "{machine}: preempting {victim} for {task}, which has a higher priority",
--- a/src/beamspar/machines/command_sending.py
+++ b/src/beamspar/machines/command_sending.py
@@ -57,14 +57,14 @@
         # meanwhile.
         is_epoch_outdated = epoch != result.heartbeat.agent_epoch
         if not result.is_executed:
-            pause_s = 0.0 if is_epoch_outdated else self.timeouts.retry
+            pause_s = 0.0 if is_epoch_outdated else self.timeouts.retry_delay_s
             machine.next_send_at = self.clock.seconds() + pause_s
         self.observer.observe(machine, result.heartbeat)
-        may_repeat_at_once = is_epoch_outdated and self.reconciler.repeats_at_once
+        may_repeat_at_once = is_epoch_outdated and self.reconciler.resends_without_pause
         if not machine.has_confirmed_token and not may_repeat_at_once:
             # The worker has not confirmed the command token (an agent epoch may have to end
             # first), so there is no need to hurry.
-            earliest = self.clock.seconds() + self.timeouts.retry
+            earliest = self.clock.seconds() + self.timeouts.retry_delay_s
             machine.next_send_at = max(machine.next_send_at, earliest)
         self.reconciler.reconcile(machine)
 
@@ -80,7 +80,11 @@
         for start in sent.values():
             start.is_indeterminate = True
         machine.failed_sends += 1
-        pause_s = self.timeouts.retry if had_commands else self.timeouts.report
+        pause_s = (
+            self.timeouts.retry_delay_s
+            if had_commands
+            else self.timeouts.worker_heartbeat_interval_s
+        )
         machine.next_send_at = self.clock.seconds() + pause_s
         log.info(
             "{machine}: sending commands failed, will retry: {error}",
--- a/src/beamspar/machines/fault_evidence.py
+++ b/src/beamspar/machines/fault_evidence.py
@@ -17,7 +17,7 @@
 from beamspar.workload.failure_backoff import MACHINES_BEFORE_JOB_FAULT
 
 # The number of jobs whose failures are kept; the least recently updated are evicted first.
-MOST_JOBS = 1000
+MAX_TRACKED_JOBS = 1000
 # Different jobs that must fail on a machine before the machine counts as degraded.
 DEGRADED_AFTER_FAILED_JOBS = 2
 # How long failures count and a degraded machine is quarantined, as a multiple of the worker lease.
@@ -49,7 +49,7 @@
         if len(failed_on) < MACHINES_BEFORE_JOB_FAULT:
             failed_on.add(machine.info.name)
         self._record_failures(job, failed_on)
-        memory_s = self.timeouts.worker_lease * FAILURE_MEMORY_WORKER_LEASES
+        memory_s = self.timeouts.worker_lease_s * FAILURE_MEMORY_WORKER_LEASES
         machine.job_failures[job] = now
         machine.job_failures = {
             name: at for name, at in machine.job_failures.items() if now - at < memory_s
@@ -59,7 +59,7 @@
         is_first_failure = len(failed_jobs) == 1 and len(failed_on) == 1
         if not is_degraded and not is_first_failure:
             return []
-        quarantine_s = memory_s if is_degraded else self.timeouts.worker_lease
+        quarantine_s = memory_s if is_degraded else self.timeouts.worker_lease_s
         machine.quarantined_until = max(machine.quarantined_until, now + quarantine_s)
         machine.is_degraded = machine.is_degraded or is_degraded
         return failed_jobs
@@ -94,5 +94,5 @@
     def _record_failures(self, job: str, failed_on: set[str] | None) -> None:
         self._machines_of[job] = failed_on
         self._machines_of.move_to_end(job)
-        while len(self._machines_of) > MOST_JOBS:
+        while len(self._machines_of) > MAX_TRACKED_JOBS:
             self._machines_of.popitem(last=False)
--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -24,15 +24,15 @@
 from beamspar.machines.status_publishing import StatusPublisher
 from beamspar.machines.worker_client import WorkerClient
 from beamspar.machines.worker_observation import WorkerObserver
-from beamspar.placement import copy
+from beamspar.placement import copy_capacity
 from beamspar.protocol.cloud import MachineType
+from beamspar.protocol.machine_capacity import MachineCapacity
 from beamspar.protocol.peer_messages import (
     MAX_MACHINE_STATUSES,
     AttemptStatus,
     DesiredStateUpdate,
     MachineStatus,
 )
-from beamspar.protocol.room import Room
 from beamspar.protocol.workers import Command, WorkerHeartbeat
 from beamspar.state import keys
 from beamspar.state.control_records import Machine, MachineShard
@@ -61,13 +61,13 @@
 
     These attributes are set from outside once all components of the process exist:
 
-    - `push` sends statuses to the controller that owns their jobs;
-    - `on_room` is called when an attempt has ended;
+    - `push_statuses` sends statuses to the controller that owns their jobs;
+    - `on_capacity_freed` is called when an attempt has ended;
     - `on_released` is called for each machine that has moved to another controller, with the new
       holder and fencing token;
-    - `repeats_at_once` enables resending commands without a pause if they were refused only for
-      an outdated agent epoch;
-    - `caches` is the map of cached images that the leader distributes. Heartbeats don't list
+    - `resends_without_pause` enables resending commands without a pause if they were refused only
+      for an outdated agent epoch;
+    - `leader_caches` is the map of cached images that the leader distributes. Heartbeats don't list
       cached images, so without it a new holder would assume that its machines have none.
     """
 
@@ -85,18 +85,20 @@
         self.mirror = registration.mirror
         self.timeouts = timeouts
         self.machines: dict[str, ManagedMachine] = {}
-        self.push: PushStatuses = lambda owner, statuses: None
-        self.on_room: Callable[[], None] = lambda: None
+        self.push_statuses: PushStatuses = lambda owner, statuses: None
+        self.on_capacity_freed: Callable[[], None] = lambda: None
         self.on_released: OnReleased = lambda machine, holder, fencing_token: None
-        self.repeats_at_once = False
-        self.caches: dict[str, dict[str, float]] = {}
+        self.resends_without_pause = False
+        self.leader_caches: dict[str, dict[str, float]] = {}
         self.summaries = MachineSummaries(clock, timeouts, types)
         self.image_caches = ImageCaches(types)
         faults = FaultEvidence(timeouts)
         self.desired_state = DesiredState(self.machines, faults, self.image_caches)
-        self.observer = WorkerObserver(clock, faults, self.image_caches, lambda: self.on_room())
+        self.observer = WorkerObserver(
+            clock, faults, self.image_caches, lambda: self.on_capacity_freed()
+        )
         self.publisher = StatusPublisher(
-            self.desired_state.owner_of, lambda owner, statuses: self.push(owner, statuses)
+            self.desired_state.owner_of, lambda owner, statuses: self.push_statuses(owner, statuses)
         )
         self.planner = CommandPlanner(clock, self.mirror, self.summaries, timeouts)
         self.sender = CommandSender(clock, workers, self.observer, timeouts, self)
@@ -124,7 +126,7 @@
         machines that it no longer holds."""
         shard = self.mirror.shards.get(shard_name)
         names: set[str] = set()
-        if shard and shard.holder == self.registration.me and self.registration.registered:
+        if shard and shard.holder == self.registration.own_name and self.registration.is_registered:
             for info in shard.machines:
                 names.add(info.name)
                 previous = self.machines.get(info.name)
@@ -159,11 +161,11 @@
 
     def _stop_managing_if_moved(self, name: str) -> None:
         holder = self.mirror.holder_of(name)
-        if holder == (self.registration.me, self.machines[name].fencing_token):
+        if holder == (self.registration.own_name, self.machines[name].fencing_token):
             return
         log.info("no longer managing {machine}", machine=name)
         machine = self.machines.pop(name)
-        if holder is not None and holder[0] != self.registration.me:
+        if holder is not None and holder[0] != self.registration.own_name:
             self.on_released(machine, *holder)
 
     def managed(self, name: str) -> ManagedMachine | None:
@@ -172,11 +174,11 @@
         if machine is None or not self.registration.lease_is_valid():
             return None
         holder = self.mirror.holder_of(name)
-        return machine if holder == (self.registration.me, machine.fencing_token) else None
+        return machine if holder == (self.registration.own_name, machine.fencing_token) else None
 
     # -- messages
 
-    def report(self, heartbeat: WorkerHeartbeat) -> HeartbeatReply | None:
+    def handle_heartbeat(self, heartbeat: WorkerHeartbeat) -> HeartbeatReply | None:
         """Process a heartbeat that a worker sent and return the reply to it, or None if this
         controller must not reply."""
         machine = self.managed(heartbeat.machine)
@@ -192,7 +194,7 @@
         self.reconcile(machine)
         return HeartbeatReply(machine.command_token, commands)
 
-    def sync(self, update: DesiredStateUpdate) -> list[AttemptStatus]:
+    def apply_desired_state(self, update: DesiredStateUpdate) -> list[AttemptStatus]:
         """Apply a job controller's desired state of one partition; ignore outdated updates.
 
         Returns the known statuses of the attempts that the update lists.
@@ -206,7 +208,7 @@
                 self.reconcile(machine)
         return self.publisher.statuses_of(update.partition, applied.attempts, self.machines)
 
-    def unacknowledged(self, statuses: list[AttemptStatus]) -> None:
+    def mark_undelivered(self, statuses: list[AttemptStatus]) -> None:
         """Schedule statuses that did not reach their job controller to be pushed again with the
         next heartbeat."""
         self.publisher.mark_undelivered(statuses, self.machines)
@@ -257,9 +259,9 @@
         # Since the mirror was last up to date, another controller may have become the holder of
         # a machine and answered its worker. Without this bound, a controller that resumed after
         # being frozen would treat machines that had moved as silent.
-        mirror_valid_until = min(now, self.mirror.watched_at)
+        mirror_valid_until = min(now, self.mirror.current_as_of)
         for machine in list(self.machines.values()):
-            lease_end = machine.last_possible_answer_at + self.timeouts.worker_gone
+            lease_end = machine.last_possible_answer_at + self.timeouts.worker_expiry_s
             if not machine.is_expired and mirror_valid_until > lease_end:
                 self.observer.expire(machine)
                 self.publisher.publish(machine)
@@ -271,14 +273,14 @@
 
     # -- cached images
 
-    def recall(self, caches: dict[str, dict[str, float]]) -> None:
+    def restore_images(self, caches: dict[str, dict[str, float]]) -> None:
         """Add the cached images that the changed entries of the cache map list for machines
         managed here."""
         for name in caches.keys() & self.machines.keys():
             self._restore_images(self.machines[name])
 
     def _restore_images(self, machine: ManagedMachine) -> None:
-        self.add_known_images(machine, self.caches.get(machine.info.name, {}))
+        self.add_known_images(machine, self.leader_caches.get(machine.info.name, {}))
 
     def add_known_images(self, machine: ManagedMachine, known: dict[str, float]) -> None:
         """Add cached images that another controller recorded and this one has not."""
@@ -287,18 +289,18 @@
     # -- summaries
 
     @property
-    def changes(self) -> int:
+    def change_count(self) -> int:
         """The number of changes of machines counted so far."""
         return self.summaries.changes
 
-    def views(
-        self, since: int = 0, most: int = MAX_MACHINE_STATUSES
+    def changed_statuses(
+        self, since: int = 0, max_count: int = MAX_MACHINE_STATUSES
     ) -> tuple[list[MachineStatus], int]:
         """Return the statuses of machines that changed after the count of changes `since`, and the
         count up to which these statuses are complete."""
-        return self.summaries.changed_statuses(self.machines.values(), since, most)
+        return self.summaries.changed_statuses(self.machines.values(), since, max_count)
 
-    def drain(self, names: list[str]) -> None:
+    def set_draining(self, names: list[str]) -> None:
         """Replace the set of draining machines by the leader's list.
 
         A machine that is no longer listed accepts new work again.
@@ -308,9 +310,11 @@
                 machine.is_draining = name in names
                 machine.mark_changed()
 
-    def rooms(self) -> list[Room]:
+    def free_capacities(self) -> list[MachineCapacity]:
         """Return copies of the machines' free capacity, from which the job controller in this
         process makes reservations."""
         if not self.registration.lease_is_valid():
             return []
-        return [copy(self.summaries.room(machine)) for machine in self.machines.values()]
+        return [
+            copy_capacity(self.summaries.capacity(machine)) for machine in self.machines.values()
+        ]
--- a/src/beamspar/machines/machine_summaries.py
+++ b/src/beamspar/machines/machine_summaries.py
@@ -7,12 +7,13 @@
 from beamspar.machines.managed_machine import AttemptKey, Attempts, ManagedMachine
 from beamspar.machines.resources import NO_RESOURCES, Resources
 from beamspar.protocol.cloud import MachineType
+from beamspar.protocol.machine_capacity import MachineCapacity
 from beamspar.protocol.peer_messages import MachineStatus
-from beamspar.protocol.room import Room
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock
 
-# The number of priority ranks for which a `Room` lists the resources that preemption would free.
+# The number of priority ranks for which a `MachineCapacity` lists the resources that preemption
+# would free.
 PRIORITY_RANKS = 4
 # The number of consecutive failed sends after which a machine gets no new work.
 MAX_FAILED_SENDS = 2
@@ -41,7 +42,7 @@
             # A machine that commands don't reach, or whose worker's lease is running out because
             # its heartbeats don't arrive, gets no new work either.
             and machine.failed_sends < MAX_FAILED_SENDS
-            and self.clock.seconds() - machine.last_heartbeat_at < self.timeouts.silent
+            and self.clock.seconds() - machine.last_heartbeat_at < self.timeouts.silence_timeout_s
         )
 
     def free_resources(
@@ -57,16 +58,16 @@
         cpus, gpus, memory_gb = machine.reserved_resources(excluding)
         return Resources(kind.cpus - cpus, kind.gpus - gpus, kind.memory_gb - memory_gb)
 
-    def room(self, machine: ManagedMachine) -> Room:
+    def capacity(self, machine: ManagedMachine) -> MachineCapacity:
         """Return the machine's free capacity, recomputed only if the machine has changed."""
-        if machine.room is None or machine.info.kind not in self.types():
-            machine.room = _compute_room(machine, self.free_resources(machine))
+        if machine.capacity is None or machine.info.kind not in self.types():
+            machine.capacity = _compute_capacity(machine, self.free_resources(machine))
             self._record_change(machine)
         is_usable = self.is_usable(machine)
-        if machine.room.usable != is_usable:
-            machine.room.usable = is_usable
+        if machine.capacity.usable != is_usable:
+            machine.capacity.usable = is_usable
             self._record_change(machine)
-        return machine.room
+        return machine.capacity
 
     def _record_change(self, machine: ManagedMachine) -> None:
         self.changes += 1
@@ -86,7 +87,7 @@
         silent: list[ManagedMachine] = []
         for machine in machines:
             # This updates `machine.last_change` if the machine has changed.
-            self.room(machine)
+            self.capacity(machine)
             if machine.last_change > since:
                 changed.append(machine)
             elif self._is_silent(machine, now) or machine.was_reported_silent:
@@ -103,13 +104,13 @@
     def _is_silent(self, machine: ManagedMachine, now: float) -> bool:
         """Return whether there has been no heartbeat for so long that it is reported to the
         leader."""
-        return now - machine.last_heartbeat_at > self.timeouts.silent / 2
+        return now - machine.last_heartbeat_at > self.timeouts.silence_timeout_s / 2
 
     def _status(self, machine: ManagedMachine, now: float) -> MachineStatus:
         # A silent machine is reported as long as it is silent, and once more afterwards.
         machine.was_reported_silent = self._is_silent(machine, now)
         return MachineStatus(
-            self.room(machine),
+            self.capacity(machine),
             machine.fencing_token,
             machine.has_confirmed_token,
             machine.is_expired,
@@ -122,12 +123,12 @@
         )
 
 
-def _compute_room(machine: ManagedMachine, free: Resources) -> Room:
+def _compute_capacity(machine: ManagedMachine, free: Resources) -> MachineCapacity:
     live = {
         key: desired for key, desired in machine.desired_attempts.items() if machine.is_live(key)
     }
     info = machine.info
-    return Room(
+    return MachineCapacity(
         info.name,
         info.kind,
         info.zone,
--- a/src/beamspar/machines/managed_machine.py
+++ b/src/beamspar/machines/managed_machine.py
@@ -9,8 +9,8 @@
 from twisted.logger import Logger
 
 from beamspar.machines.resources import Resources
+from beamspar.protocol.machine_capacity import MachineCapacity
 from beamspar.protocol.peer_messages import AttemptState, DesiredAction, DesiredAttempt
-from beamspar.protocol.room import Room
 from beamspar.protocol.workers import TaskStatus
 from beamspar.state.control_records import Machine
 
@@ -109,7 +109,7 @@
     # No controller has answered the worker for longer than its lease.
     is_expired: bool = False
     # The state of the previous holder has been transferred to this controller.
-    is_taken_over: bool = False
+    is_state_transferred: bool = False
 
     # -- attempts
 
@@ -163,7 +163,7 @@
     # -- the summary
 
     # Recomputed after a change: the free capacity, and the resources that live attempts use.
-    room: Room | None = None
+    capacity: MachineCapacity | None = None
     reserved: Resources | None = None
     # The count of changes as of this machine's last one, and whether the machine was reported to
     # the leader as silent.
@@ -178,7 +178,7 @@
         """Record that the machine's state has changed: its free capacity is recomputed, and the
         next reconciliation checks these attempts."""
         self.pending_keys.update(dict.fromkeys(attempts))
-        self.room = None
+        self.capacity = None
         self.reserved = None
         self.is_converged = False
 
--- a/src/beamspar/machines/orphan_detection.py
+++ b/src/beamspar/machines/orphan_detection.py
@@ -44,7 +44,7 @@
             if not _is_unknown(machine, key):
                 continue
             since = machine.unknown_since.setdefault(key, now)
-            is_due = now - since > self.timeouts.unknown_task
+            is_due = now - since > self.timeouts.unknown_task_timeout_s
             if is_due and key not in machine.being_checked:
                 machine.unknown_since[key] = now
                 spawn(self._check_task(machine, key), "orphan check")
--- a/src/beamspar/machines/reconciler.py
+++ b/src/beamspar/machines/reconciler.py
@@ -12,7 +12,7 @@
 
     # Whether commands that were refused only for an outdated agent epoch are resent without a
     # pause.
-    repeats_at_once: bool
+    resends_without_pause: bool
 
     def reconcile(self, machine: ManagedMachine) -> None:
         """Take the actions that are due for the machine; do nothing if this controller may not
--- a/src/beamspar/machines/resources.py
+++ b/src/beamspar/machines/resources.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from beamspar.placement import EPS
+from beamspar.placement import RESOURCE_TOLERANCE
 from beamspar.protocol.peer_messages import DesiredAttempt
 
 
@@ -18,9 +18,9 @@
     def covers(self, desired: DesiredAttempt) -> bool:
         """Return whether there is enough of each resource for the attempt."""
         return (
-            desired.cpus <= self.cpus + EPS
-            and desired.gpus <= self.gpus + EPS
-            and desired.memory_gb <= self.memory_gb + EPS
+            desired.cpus <= self.cpus + RESOURCE_TOLERANCE
+            and desired.gpus <= self.gpus + RESOURCE_TOLERANCE
+            and desired.memory_gb <= self.memory_gb + RESOURCE_TOLERANCE
         )
 
     def plus(self, desired: DesiredAttempt) -> Resources:
--- a/src/beamspar/node/cancellations.py
+++ b/src/beamspar/node/cancellations.py
@@ -35,7 +35,7 @@
         until its leases end.
         """
         registration = self.current.registration
-        if registration is not None and not registration.lost:
+        if registration is not None and not registration.is_ended:
             registration.mirror.observe_cancellations({job: revision})
         for pending in self.unacknowledged.values():
             pending[job] = revision
@@ -54,7 +54,7 @@
 
     def _drop_ended(self, pending: dict[str, int]) -> None:
         registration = self.current.registration
-        if registration is None or not registration.started:
+        if registration is None or not registration.is_started:
             return
         mirror = registration.mirror
         for job in [job for job, revision in pending.items() if revision <= mirror.revision]:
--- a/src/beamspar/node/capacity_client.py
+++ b/src/beamspar/node/capacity_client.py
@@ -27,7 +27,7 @@
     def __init__(
         self, me: str, current: CurrentIncarnation, peers: PeerClient, timeouts: Timeouts
     ) -> None:
-        self.me = me
+        self.own_name = me
         self.current = current
         self.peers = peers
         self.timeouts = timeouts
@@ -44,14 +44,17 @@
         leader = actors.registration.mirror.leader if actors is not None else None
         if actors is None or leader is None:
             return None
-        if leader == self.me:
+        if leader == self.own_name:
             return actors.leader.offer_capacity(leader, requests).offers
         if self.peers.has_just_failed(leader):
             return None
-        message = CapacityRequestBatch(self.me, requests)
+        message = CapacityRequestBatch(self.own_name, requests)
         try:
             body = await self.peers.call(
-                leader, PeerPath.CAPACITY_REQUESTS, message, self.timeouts.heartbeat
+                leader,
+                PeerPath.CAPACITY_REQUESTS,
+                message,
+                self.timeouts.member_heartbeat_interval_s,
             )
             offers: CapacityOffers = decode(body, CapacityOffers)
         except (CallFailedError, ValueError) as error:
--- a/src/beamspar/node/departure.py
+++ b/src/beamspar/node/departure.py
@@ -21,7 +21,7 @@
     def __init__(
         self, me: str, state: StateClient, current: CurrentIncarnation, rejoin: Callable[[], None]
     ) -> None:
-        self.me = me
+        self.own_name = me
         self.state = state
         self.current = current
         self.rejoin = rejoin
@@ -37,7 +37,7 @@
         self.current.has_left, self.current.is_loaded = True, False
         lease_id = registration.lease_id
         registration.end("it has left the service")
-        log.warn("{me} has left: the process may be stopped", me=registration.me)
+        log.warn("{me} has left: the process may be stopped", me=registration.own_name)
         try:
             await self.state.revoke_lease(lease_id)
         except (StateUnavailableError, LeaseExpiredError) as error:
@@ -55,10 +55,10 @@
             return None
         # Imported only when needed, because each module lengthens the start of the process.
         from beamspar.sharing.messages import CommandReply, LeaveRequest
-        from beamspar.sharing.service import shares_of_one_that_left
+        from beamspar.sharing.service import shares_after_leave
 
         if name == PeerPath.SHARES:
-            return encode(shares_of_one_that_left(self.me))
+            return encode(shares_after_leave(self.own_name))
         if name == PeerPath.LEAVE:
             if decode(body, LeaveRequest).undo:
                 self.current.has_left = False
--- a/src/beamspar/node/desired_state_delivery.py
+++ b/src/beamspar/node/desired_state_delivery.py
@@ -25,7 +25,9 @@
     machine_controller: MachineController, updates: list[DesiredStateUpdate]
 ) -> list[AttemptStatus]:
     """Apply the updates to the machine controller and return the statuses that it reports."""
-    return [status for update in updates for status in machine_controller.sync(update)]
+    return [
+        status for update in updates for status in machine_controller.apply_desired_state(update)
+    ]
 
 
 class DesiredStateDelivery:
@@ -34,7 +36,7 @@
     def __init__(
         self, me: str, current: CurrentIncarnation, peers: PeerClient, timeouts: Timeouts
     ) -> None:
-        self.me = me
+        self.own_name = me
         self.current = current
         self.peers = peers
         self.timeouts = timeouts
@@ -48,14 +50,14 @@
     async def _send(
         self, member: str, updates: list[DesiredStateUpdate]
     ) -> list[AttemptStatus] | None:
-        if member == self.me:
+        if member == self.own_name:
             machine_controller = self.current.machine_controller
             if machine_controller is None:
                 return None
             return apply_updates(machine_controller, updates)
         try:
             body = await self.peers.call(
-                member, PeerPath.DESIRED_STATE, updates, self.timeouts.request
+                member, PeerPath.DESIRED_STATE, updates, self.timeouts.request_timeout_s
             )
             batch: AttemptStatusBatch = decode(body, AttemptStatusBatch)
         except (CallFailedError, ValueError) as error:
--- a/src/beamspar/node/forwarding.py
+++ b/src/beamspar/node/forwarding.py
@@ -12,7 +12,7 @@
 from beamspar.protocol.peer_messages import ForwardedRequest, ForwardedResponse, decode, encode
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock
-from beamspar.transport.http import Answer, Call, CallFailedError
+from beamspar.transport.http import CallFailedError, HttpRequest, HttpResponse
 
 log = Logger(namespace="node")
 
@@ -29,14 +29,14 @@
         self.peers = peers
         self.timeouts = timeouts
 
-    async def forward(self, member: str, call: Call) -> Answer | None:
+    async def forward(self, member: str, call: HttpRequest) -> HttpResponse | None:
         """Return the peer's response, or None if there is none that may be passed on."""
         sent = self.clock.seconds()
         try:
             data = unpack(call.body) if call.body else None
             message = ForwardedRequest(call.method, call.path, data)
             body = await self.peers.call(
-                member, PeerPath.FORWARDED_REQUEST, message, self.timeouts.request
+                member, PeerPath.FORWARDED_REQUEST, message, self.timeouts.request_timeout_s
             )
             answer: ForwardedResponse = decode(body, ForwardedResponse)
         except (CallFailedError, ValueError, TypeError) as error:
@@ -47,18 +47,23 @@
             )
             return None
         age_s = self.clock.seconds() - sent
-        if answer.status == 200 and age_s > self.timeouts.heartbeat * MAX_ANSWER_AGE_HEARTBEATS:
+        if (
+            answer.status == 200
+            and age_s > self.timeouts.member_heartbeat_interval_s * MAX_ANSWER_AGE_HEARTBEATS
+        ):
             # The response was delayed: another controller may have sent the user a newer state.
             return None
-        return Answer(answer.status, pack(answer.data), tuple(answer.headers))
+        return HttpResponse(answer.status, pack(answer.data), tuple(answer.headers))
 
 
-async def answer_forwarded(body: bytes, handle: Callable[[Call], Awaitable[Answer]]) -> bytes:
+async def answer_forwarded(
+    body: bytes, handle: Callable[[HttpRequest], Awaitable[HttpResponse]]
+) -> bytes:
     """Answer a request that a peer has forwarded.
 
     Raises ValidationError or JSONDecodeError if the message is malformed.
     """
     request: ForwardedRequest = decode(body, ForwardedRequest)
     raw = pack(request.data) if request.data is not None else b""
-    answer = await handle(Call(request.method, request.path, {}, raw))
+    answer = await handle(HttpRequest(request.method, request.path, {}, raw))
     return encode(ForwardedResponse(answer.status, unpack(answer.body), list(answer.headers)))
--- a/src/beamspar/node/health.py
+++ b/src/beamspar/node/health.py
@@ -59,14 +59,17 @@
         None unless it has failed here for a heartbeat interval and served a peer in that time.
         """
         failing_since = self.state.failing_since
-        if failing_since is None or self.clock.seconds() - failing_since < self.timeouts.heartbeat:
+        if (
+            failing_since is None
+            or self.clock.seconds() - failing_since < self.timeouts.member_heartbeat_interval_s
+        ):
             return None
         served = [member for member, at in self.served_at.items() if at > failing_since]
         return min(served, key=lambda m: (-self.served_at[m], m)) if served else None
 
     def probe_response(self) -> HealthProbeResponse:
         """Return the response to a peer's health probe."""
-        return HealthProbeResponse(self.clock.seconds() - self.state.served_at)
+        return HealthProbeResponse(self.clock.seconds() - self.state.last_success_at)
 
     def probe(self) -> None:
         """Start a round of probes, unless one is running."""
@@ -83,14 +86,16 @@
         try:
             for member in self.peers.addresses:
                 await self._probe_peer(member)
-            await sleep(self.clock, self.timeouts.heartbeat)
+            await sleep(self.clock, self.timeouts.member_heartbeat_interval_s)
         finally:
             self.is_probing = False
 
     async def _probe_peer(self, member: str) -> None:
         sent_at = self.clock.seconds()
         try:
-            body = await self.peers.call(member, PeerPath.HEALTH_PROBE, {}, self.timeouts.heartbeat)
+            body = await self.peers.call(
+                member, PeerPath.HEALTH_PROBE, {}, self.timeouts.member_heartbeat_interval_s
+            )
             response: HealthProbeResponse = decode(body, HealthProbeResponse)
         except (CallFailedError, ValueError) as error:
             log.debug(
--- a/src/beamspar/node/heartbeats.py
+++ b/src/beamspar/node/heartbeats.py
@@ -81,7 +81,7 @@
         leader = registration.mirror.leader
         if leader is None or not registration.lease_is_valid() or self.is_sending:
             return
-        if leader != registration.me and not self.peers.is_reachable(leader):
+        if leader != registration.own_name and not self.peers.is_reachable(leader):
             # Building the full state for each heartbeat to a leader that is down would be wasted.
             self.acknowledged_count = 0
             return
@@ -89,10 +89,10 @@
         heartbeat = summarize(actors, self.guidance, self.contacts, since)
         self.contacts.unassigned.clear()
         self.sent_to, self.acknowledged_count = leader, 0
-        if leader == registration.me:
-            response = actors.leader.heartbeat(heartbeat)
+        if leader == registration.own_name:
+            response = actors.leader.handle_heartbeat(heartbeat)
             self._apply_response(response)
-            if response.accepted:
+            if response.is_accepted:
                 self.acknowledged_count = heartbeat.count
         else:
             self.is_sending = True
@@ -101,11 +101,11 @@
     async def _send_to(self, leader: str, heartbeat: MemberHeartbeat) -> None:
         try:
             body = await self.peers.call(
-                leader, PeerPath.HEARTBEAT, heartbeat, self.timeouts.request
+                leader, PeerPath.HEARTBEAT, heartbeat, self.timeouts.request_timeout_s
             )
             response: HeartbeatResponse = decode(body, HeartbeatResponse)
             self._apply_response(response)
-            if response.accepted and self.sent_to == leader:
+            if response.is_accepted and self.sent_to == leader:
                 self.acknowledged_count = heartbeat.count
         except (CallFailedError, ValueError) as error:
             log.debug(
@@ -119,5 +119,5 @@
         actors = self.current.actors
         self.guidance.observe(response, actors.registration.mirror.shard_of if actors else {})
         if actors is not None:
-            actors.machine_controller.drain(response.machines_to_drain)
-            actors.machine_controller.recall(response.caches)
+            actors.machine_controller.set_draining(response.machines_to_drain)
+            actors.machine_controller.restore_images(response.caches)
--- a/src/beamspar/node/incarnation.py
+++ b/src/beamspar/node/incarnation.py
@@ -31,7 +31,7 @@
 
     def is_registered(self) -> bool:
         """Whether the registration is complete and has not been lost."""
-        return self.registration.started and not self.registration.lost
+        return self.registration.is_started and not self.registration.is_ended
 
 
 class CurrentIncarnation:
--- a/src/beamspar/node/job_lookup.py
+++ b/src/beamspar/node/job_lookup.py
@@ -96,7 +96,7 @@
         owned = job_controller.jobs.get(job) if job_controller is not None else None
         if owned is not None and owned.version and owned.status == JobStatus.LIVE:
             if await self._is_current(job, owned.version):
-                return live_state(job, owned.done_count, owned.running)
+                return live_state(job, owned.done_count, owned.running_count)
         else:
             stored = self.stored.get(job)
             if (
@@ -164,4 +164,4 @@
             and record.partition in job_controller.partitions
             and job not in job_controller.jobs
         ):
-            spawn(job_controller.adopt(job), f"adopting {job}")
+            spawn(job_controller.load_stored_job(job), f"adopting {job}")
--- a/src/beamspar/node/leader_guidance.py
+++ b/src/beamspar/node/leader_guidance.py
@@ -5,8 +5,8 @@
 from collections.abc import Container
 
 from beamspar.machines.machine_controller import MachineController
+from beamspar.protocol.machine_capacity import MachineCapacity
 from beamspar.protocol.peer_messages import HeartbeatResponse
-from beamspar.protocol.room import Room
 
 
 class LeaderGuidance:
@@ -36,6 +36,10 @@
             for name in [name for name in self.caches if name not in assigned]:
                 del self.caches[name]
 
-    def unreserved_rooms(self, machine_controller: MachineController) -> list[Room]:
+    def unreserved_capacities(self, machine_controller: MachineController) -> list[MachineCapacity]:
         """Return the free capacity that the job controller here may use without the leader."""
-        return [room for room in machine_controller.rooms() if room.name not in self.reserved]
+        return [
+            capacity
+            for capacity in machine_controller.free_capacities()
+            if capacity.name not in self.reserved
+        ]
--- a/src/beamspar/node/machine_types.py
+++ b/src/beamspar/node/machine_types.py
@@ -51,11 +51,11 @@
                 return
             except (CloudUnavailableError, NoCapacityError) as error:
                 log.info("fetching machine types failed, will retry: {error}", error=error)
-            await sleep(self.clock, self.timeouts.report)
+            await sleep(self.clock, self.timeouts.worker_heartbeat_interval_s)
 
     async def _store(self) -> None:
-        while self.current.registration is None or not self.current.registration.started:
-            await sleep(self.clock, self.timeouts.report)
+        while self.current.registration is None or not self.current.registration.is_started:
+            await sleep(self.clock, self.timeouts.worker_heartbeat_interval_s)
         if keys.MACHINE_TYPES in self.current.registration.mirror.values:
             return
         value = [msgspec.to_builtins(kind) for kind in self.by_name.values()]
--- a/src/beamspar/node/member_summary.py
+++ b/src/beamspar/node/member_summary.py
@@ -18,10 +18,10 @@
 ) -> MemberHeartbeat:
     """Return a heartbeat with the changes after the change count `since`; with 0 the full state."""
     registration, machine_controller = actors.registration, actors.machine_controller
-    machines, count = machine_controller.views(since)
+    machines, count = machine_controller.changed_statuses(since)
     may_move_machines = actors.sharing is not None
     return MemberHeartbeat(
-        registration.me,
+        registration.own_name,
         registration.incarnation,
         machines,
         since,
@@ -31,7 +31,7 @@
         guidance.caches_known if since else 0,
         {} if since else guidance.caches,
         contacts.unserved_machines(),
-        partial=count < machine_controller.changes,
+        is_partial=count < machine_controller.change_count,
         demand=demand(actors.job_controller) if may_move_machines else 0,
         late_s=actors.job_controller.placer.late_s if may_move_machines else 0.0,
     )
@@ -44,7 +44,7 @@
         job_class = classes.get(job.spec.job_class)
         if job_class is None:
             job_class = classes[job.spec.job_class] = JobClass(msgspec.to_builtins(job.spec))
-        zones, _ = job.places(job_controller.zone_of)
+        zones, _ = job.task_counts_by_location(job_controller.zone_of)
         for zone, count in zones.items():
             job_class.zones[zone] = job_class.zones.get(zone, 0) + count
         job_class.largest = max(job_class.largest, job.spec.tasks)
--- a/src/beamspar/node/node.py
+++ b/src/beamspar/node/node.py
@@ -34,8 +34,8 @@
 from beamspar.placement import Preference, slow_kinds
 from beamspar.protocol.codec import BODY_LIMIT
 from beamspar.protocol.jobs import JobSpec
+from beamspar.protocol.machine_capacity import MachineCapacity
 from beamspar.protocol.peer_messages import MAX_PEER_MESSAGE_BYTES
-from beamspar.protocol.room import Room
 from beamspar.quota.quota_manager import QuotaManager
 from beamspar.settings import OperatorSettings, Settings
 from beamspar.state import job_records as records
@@ -71,7 +71,7 @@
         self.rng = rng
         self.timeouts = Timeouts(settings, operator_settings)
         self.state = StateClient(clock, net, settings, self.timeouts)
-        self.cloud = CloudClient(net, settings.services.cloud, self.timeouts.request)
+        self.cloud = CloudClient(net, settings.services.cloud, self.timeouts.request_timeout_s)
         self.current = CurrentIncarnation()
         self.machine_types = MachineTypes(
             clock, self.cloud, self.state, self.current, self.timeouts
@@ -218,11 +218,11 @@
         """
         clock, state, settings, timeouts = self.clock, self.state, self.settings, self.timeouts
         registration = Registration(clock, state, settings, timeouts)
-        registration.on_lease_lost = lambda reason: clock.callLater(0, self._restart, registration)
+        registration.on_ended = lambda reason: clock.callLater(0, self._restart, registration)
         machine_controller = MachineController(
             clock,
             registration,
-            WorkerClient(self.net, timeouts.command),
+            WorkerClient(self.net, timeouts.command_timeout_s),
             timeouts,
             lambda: self.machine_types.by_name,
             self._is_bound,
@@ -264,16 +264,16 @@
         """Connect each actor to the other actors, in this process and at peers."""
         job_controller, quota_manager = actors.job_controller, actors.quota_manager
         job_controller.quota_manager = quota_manager
-        quota_manager.loaded = lambda: job_controller.loaded
-        quota_manager.on_share = job_controller.schedule
-        job_controller.placer.local_rooms = self._unreserved_rooms
+        quota_manager.loaded_partitions = lambda: job_controller.loaded_partitions
+        quota_manager.on_record_written = job_controller.schedule_placement
+        job_controller.placer.local_capacities = self._unreserved_capacities
         job_controller.placer.request_capacity = self.capacity_client.request
         job_controller.assignments.send = self.desired_state_delivery.send
         job_controller.placer.preference = actors.leader.preference = self._preference
         actors.leader.shard_leasing.unreachable_since = self.peers.unreachable_since
-        actors.machine_controller.caches = self.guidance.caches
-        actors.machine_controller.push = self.status_delivery.publish
-        actors.machine_controller.on_room = job_controller.schedule
+        actors.machine_controller.leader_caches = self.guidance.caches
+        actors.machine_controller.push_statuses = self.status_delivery.publish
+        actors.machine_controller.on_capacity_freed = job_controller.schedule_placement
 
     def _build_standby(self, actors: Actors) -> Standby:
         # Loaded only where it is on: each module costs time at the start.
@@ -306,11 +306,11 @@
 
     # -- callbacks of the actors
 
-    def _unreserved_rooms(self) -> list[Room]:
+    def _unreserved_capacities(self) -> list[MachineCapacity]:
         machine_controller = self.machine_controller
         if machine_controller is None:
             return []
-        return self.guidance.unreserved_rooms(machine_controller)
+        return self.guidance.unreserved_capacities(machine_controller)
 
     def _preference(self, spec: JobSpec) -> Preference:
         """Return the placement preference for the job.
@@ -343,7 +343,7 @@
         `due` is the time for which this tick was scheduled. The interval varies at random
         by up to 10 %.
         """
-        interval_s = self.timeouts.heartbeat * (0.9 + 0.2 * self.rng.random())
+        interval_s = self.timeouts.member_heartbeat_interval_s * (0.9 + 0.2 * self.rng.random())
         self.clock.callLater(interval_s, self._tick, self.clock.seconds() + interval_s)
         if due is not None and self.job_controller is not None:
             self.job_controller.placer.observe_timer(due)
--- a/src/beamspar/node/peer_client.py
+++ b/src/beamspar/node/peer_client.py
@@ -68,7 +68,7 @@
     async def notify(self, member: str, path: str, message: Any) -> bool:
         """Send the message once; return False if it may be lost."""
         try:
-            await self.call(member, path, message, self.timeouts.request)
+            await self.call(member, path, message, self.timeouts.request_timeout_s)
         except CallFailedError as error:
             log.debug("message to a peer may be lost: {error}", error=error)
             return False
@@ -83,7 +83,10 @@
         """Whether the peer is unreachable and a call failed within the last heartbeat interval."""
         if self.is_reachable(member):
             return False
-        return self.clock.seconds() - self.last_failed[member] < self.timeouts.heartbeat
+        return (
+            self.clock.seconds() - self.last_failed[member]
+            < self.timeouts.member_heartbeat_interval_s
+        )
 
     def was_refused(self, member: str) -> bool:
         """Whether the last failed call was refused, rather than lost or timed out."""
