--- a/src/beamspar/node/peer_dispatch.py
+++ b/src/beamspar/node/peer_dispatch.py
@@ -25,7 +25,7 @@
     decode,
     encode,
 )
-from beamspar.transport.http import Answer, Call
+from beamspar.transport.http import HttpRequest, HttpResponse
 
 log = Logger(namespace="node")
 
@@ -50,7 +50,7 @@
 
 def _observe_heartbeat(actors: Actors, body: bytes) -> bytes:
     heartbeat: MemberHeartbeat = decode(body, MemberHeartbeat)
-    return encode(actors.leader.heartbeat(heartbeat))
+    return encode(actors.leader.handle_heartbeat(heartbeat))
 
 
 def _observe_cancellations(actors: Actors, body: bytes) -> bytes:
@@ -83,7 +83,7 @@
         current: CurrentIncarnation,
         health: Health,
         departure: Departure,
-        answer_user: Callable[[Call], Awaitable[Answer]],
+        answer_user: Callable[[HttpRequest], Awaitable[HttpResponse]],
     ) -> None:
         self.current = current
         self.health = health
@@ -91,19 +91,19 @@
         # Answers a user's request that a peer has forwarded, without forwarding it again.
         self.answer_user = answer_user
 
-    async def handle(self, call: Call) -> Answer:
+    async def handle(self, call: HttpRequest) -> HttpResponse:
         """Answer a message; reject and log one that is malformed or has no handler here."""
         try:
-            return Answer(200, await self._answer(call))
+            return HttpResponse(200, await self._answer(call))
         except (msgspec.ValidationError, orjson.JSONDecodeError, KeyError) as error:
             log.info(
                 "rejected message {path}, malformed or without a handler here: {error}",
                 path=call.path,
                 error=error,
             )
-            return Answer(400)
+            return HttpResponse(400)
 
-    async def _answer(self, call: Call) -> bytes:
+    async def _answer(self, call: HttpRequest) -> bytes:
         if call.path == f"{PEER_PREFIX}{PeerPath.FORWARDED_REQUEST}":
             return await answer_forwarded(call.body, self.answer_user)
         name = call.path.removeprefix(PEER_PREFIX)
--- a/src/beamspar/node/polls.py
+++ b/src/beamspar/node/polls.py
@@ -13,7 +13,7 @@
 from beamspar.state.job_records import JobStatus
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock
-from beamspar.transport.http import Answer
+from beamspar.transport.http import HttpResponse
 
 log = Logger(namespace="requests")
 
@@ -39,18 +39,18 @@
         self.timeouts = timeouts
         self.current = current
         self.jobs = jobs
-        self.max_wait_s = timeouts.heartbeat * MAX_WAIT_HEARTBEATS
+        self.max_wait_s = timeouts.member_heartbeat_interval_s * MAX_WAIT_HEARTBEATS
         # Polls that were rejected, and when that count was last logged.
         self.rejected_count = 0
         self.rejections_logged_at = NEVER
 
-    async def poll(self, job: str) -> Answer:
+    async def poll(self, job: str) -> HttpResponse:
         """Respond with the job's state, or ask the client to retry if it is unavailable."""
         if not JOB_ID.match(job):
             return no_such_job()
         received_at = self.clock.seconds()
         if self._is_overloaded(job):
-            return busy(self.timeouts.report)
+            return busy(self.timeouts.worker_heartbeat_interval_s)
         try:
             job_state = await self.jobs.state_of(job)
         except StateUnavailableError as error:
@@ -83,7 +83,7 @@
             return False
         self.rejected_count += 1
         now = self.clock.seconds()
-        if now - self.rejections_logged_at > self.timeouts.worker_lease:
+        if now - self.rejections_logged_at > self.timeouts.worker_lease_s:
             self.rejections_logged_at = now
             log.warn(
                 "{n} polls rejected so far, as their reads could not be sent in time",
--- a/src/beamspar/node/public_api.py
+++ b/src/beamspar/node/public_api.py
@@ -21,7 +21,7 @@
 from beamspar.state.client import StateClient
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock
-from beamspar.transport.http import Answer, Call
+from beamspar.transport.http import HttpRequest, HttpResponse
 
 
 class PublicApi:
@@ -51,15 +51,15 @@
         self.cancellations = UserCancellations(state, current, self.jobs, notices)
         self.worker_heartbeats = WorkerHeartbeats(current, peers, contacts)
 
-    async def handle(self, call: Call) -> Answer:
+    async def handle(self, call: HttpRequest) -> HttpResponse:
         """Answer a request of a user, a worker or the load balancer."""
         return await self._answer(call, may_forward=True)
 
-    async def answer_forwarded(self, call: Call) -> Answer:
+    async def answer_forwarded(self, call: HttpRequest) -> HttpResponse:
         """Answer a request that a peer has forwarded, without forwarding it again."""
         return await self._answer(call, may_forward=False)
 
-    async def _answer(self, call: Call, may_forward: bool) -> Answer:
+    async def _answer(self, call: HttpRequest, may_forward: bool) -> HttpResponse:
         if call.path == "/v1/report":
             return self.worker_heartbeats.answer(call) if call.method == "POST" else respond(405)
         if call.path == "/up":
@@ -74,12 +74,12 @@
                 return answer
         return await self._answer_user(call, parts[1:])
 
-    def _answer_health_check(self, call: Call) -> Answer:
+    def _answer_health_check(self, call: HttpRequest) -> HttpResponse:
         if call.method != "GET":
             return respond(405)
         return respond(200 if self.health.is_healthy() else 503)
 
-    async def _answer_user(self, call: Call, parts: list[str]) -> Answer:
+    async def _answer_user(self, call: HttpRequest, parts: list[str]) -> HttpResponse:
         """Answer a request below `/submissions`."""
         match parts:
             case []:
--- a/src/beamspar/node/responses.py
+++ b/src/beamspar/node/responses.py
@@ -6,25 +6,25 @@
 from typing import Any
 
 from beamspar.protocol.codec import pack
-from beamspar.transport.http import Answer
+from beamspar.transport.http import HttpResponse
 
 
-def respond(status: int, data: Any = None, retry_s: int = 0) -> Answer:
+def respond(status: int, data: Any = None, retry_s: int = 0) -> HttpResponse:
     """Return a response with a MessagePack body."""
     headers = (("retry-after", str(retry_s)),) if retry_s else ()
-    return Answer(status, pack(data if data is not None else {}), headers)
+    return HttpResponse(status, pack(data if data is not None else {}), headers)
 
 
-def error(status: int, text: str) -> Answer:
+def error(status: int, text: str) -> HttpResponse:
     """Return a response that describes what is wrong with the request."""
     return respond(status, {"error": text})
 
 
-def busy(retry_s: float = 1.0) -> Answer:
+def busy(retry_s: float = 1.0) -> HttpResponse:
     """Return a response that asks the client to retry after `retry_s` seconds."""
     return respond(503, {"error": "try again"}, max(math.ceil(retry_s), 1))
 
 
-def no_such_job() -> Answer:
+def no_such_job() -> HttpResponse:
     """Return the response for a job ID that does not exist."""
     return error(404, "no such job")
--- a/src/beamspar/node/status_delivery.py
+++ b/src/beamspar/node/status_delivery.py
@@ -16,7 +16,7 @@
         self, clock: Clock, me: str, current: CurrentIncarnation, peers: PeerClient
     ) -> None:
         self.clock = clock
-        self.me = me
+        self.own_name = me
         self.current = current
         self.peers = peers
         # By the member that owns the jobs of the attempts.
@@ -35,7 +35,7 @@
     def _send_queued(self) -> None:
         queued, self.queued = self.queued, {}
         for member, statuses in queued.items():
-            if member == self.me:
+            if member == self.own_name:
                 if self.current.job_controller is not None:
                     self.current.job_controller.observe_statuses(statuses)
             else:
@@ -49,4 +49,4 @@
                 member, PeerPath.ATTEMPT_STATUSES, AttemptStatusBatch(batch)
             )
             if not is_acknowledged and machine_controller is not None:
-                machine_controller.unacknowledged(batch)
+                machine_controller.mark_undelivered(batch)
--- a/src/beamspar/node/submissions.py
+++ b/src/beamspar/node/submissions.py
@@ -20,7 +20,7 @@
 from beamspar.state import keys
 from beamspar.state.client import StateClient
 from beamspar.state.errors import ConflictError, LeaseExpiredError, StateUnavailableError
-from beamspar.transport.http import Answer, Call
+from beamspar.transport.http import HttpRequest, HttpResponse
 
 log = Logger(namespace="requests")
 
@@ -56,7 +56,7 @@
         memory_mb = settings.platform.limits.memory_mb
         self.max_in_progress = max(int(memory_mb * SUBMISSIONS_PER_MB), MIN_SUBMISSIONS)
 
-    async def submit(self, call: Call) -> Answer:
+    async def submit(self, call: HttpRequest) -> HttpResponse:
         """Accept the job.
 
         Submitting is idempotent: for a job that exists already the response is that of a poll.
@@ -94,7 +94,7 @@
             job_controller is not None and job in job_controller.jobs
         )
 
-    async def _state_or(self, job: str, answer: Answer) -> Answer:
+    async def _state_or(self, job: str, answer: HttpResponse) -> HttpResponse:
         """Respond as to a poll if the job exists, and with `answer` otherwise.
 
         An existing job is never refused, whatever the repeated body says.
@@ -102,7 +102,7 @@
         state = await self.polls.poll(job)
         return answer if state.status == 404 else state
 
-    async def _accept(self, job: str, spec: JobSpec) -> Answer:
+    async def _accept(self, job: str, spec: JobSpec) -> HttpResponse:
         job_controller = self.current.job_controller
         if job_controller is None or job in job_controller.jobs_being_accepted:
             return busy()
--- a/src/beamspar/node/user_cancellations.py
+++ b/src/beamspar/node/user_cancellations.py
@@ -16,7 +16,7 @@
 from beamspar.state.job_records import JobRecord, JobStatus
 from beamspar.state.messages import put
 from beamspar.state.request_queue import RequestPriority
-from beamspar.transport.http import Answer
+from beamspar.transport.http import HttpResponse
 
 log = Logger(namespace="requests")
 
@@ -40,7 +40,7 @@
         self.jobs = jobs
         self.notices = notices
 
-    async def cancel(self, job: str) -> Answer:
+    async def cancel(self, job: str) -> HttpResponse:
         """Cancel the job.
 
         Cancelling is idempotent, and a job that has ended keeps its final state.
@@ -60,7 +60,7 @@
             )
         return busy()
 
-    async def _try_to_cancel(self, job: str) -> Answer | None:
+    async def _try_to_cancel(self, job: str) -> HttpResponse | None:
         """Make one attempt; return None if the record changed in the meantime."""
         end_record = self.jobs.finished.get(job)
         if end_record is not None:
--- a/src/beamspar/node/version_checks.py
+++ b/src/beamspar/node/version_checks.py
@@ -43,7 +43,7 @@
         self.pending_checks.setdefault(KeyVersion(key, version), []).append(result)
         if not self.is_running:
             self.is_running = True
-            self.clock.callLater(self.timeouts.poll_batching, self._start_pending)
+            self.clock.callLater(self.timeouts.poll_batching_s, self._start_pending)
         return result
 
     def _start_pending(self) -> None:
--- a/src/beamspar/node/worker_contacts.py
+++ b/src/beamspar/node/worker_contacts.py
@@ -24,7 +24,7 @@
 
     def observe_unassigned(self, machine: Machine, leader: Leader | None) -> None:
         """Record a machine that is in no shard, so that the leader leases it."""
-        if leader is not None and leader.leading:
+        if leader is not None and leader.is_leading:
             leader.shard_leasing.observe_unassigned(machine)
         elif len(self.unassigned) < MAX_UNASSIGNED:
             self.unassigned[machine.name] = machine
@@ -37,6 +37,6 @@
         """Return the names of recently unserved machines, whose workers retry every few seconds."""
         now = self.clock.seconds()
         for name, last_contact in list(self.unserved.items()):
-            if now - last_contact > self.timeouts.unserved_machine:
+            if now - last_contact > self.timeouts.unserved_machine_window_s:
                 del self.unserved[name]
         return sorted(self.unserved)
--- a/src/beamspar/node/worker_heartbeats.py
+++ b/src/beamspar/node/worker_heartbeats.py
@@ -16,7 +16,7 @@
     redirect_response,
 )
 from beamspar.state.control_records import Machine
-from beamspar.transport.http import Answer, Call
+from beamspar.transport.http import HttpRequest, HttpResponse
 
 log = Logger(namespace="requests")
 
@@ -31,7 +31,7 @@
         self.peers = peers
         self.contacts = contacts
 
-    def answer(self, call: Call) -> Answer:
+    def answer(self, call: HttpRequest) -> HttpResponse:
         """Respond with the worker's commands, or with the controller that holds its machine.
 
         The response is 503 if this controller can't act now or no controller holds the machine.
@@ -49,11 +49,11 @@
             self.contacts.observe_unassigned(_machine_of(heartbeat), actors.leader)
             return respond(503)
         holder, _ = holder_and_token
-        if holder != actors.registration.me:
+        if holder != actors.registration.own_name:
             return self._redirect(heartbeat.machine, holder)
         return _answer_held_machine(actors, heartbeat)
 
-    def _redirect(self, machine: str, holder: str) -> Answer:
+    def _redirect(self, machine: str, holder: str) -> HttpResponse:
         is_reachable = self.peers.is_reachable(holder)
         if is_reachable or not self.peers.was_refused(holder):
             # The worker may be about to reach its holder; the leader can tell whether it does.
@@ -61,8 +61,8 @@
         return respond(421, redirect_response(holder if is_reachable else None))
 
 
-def _answer_held_machine(actors: Actors, heartbeat: WorkerHeartbeat) -> Answer:
-    answer = actors.machine_controller.report(heartbeat)
+def _answer_held_machine(actors: Actors, heartbeat: WorkerHeartbeat) -> HttpResponse:
+    answer = actors.machine_controller.handle_heartbeat(heartbeat)
     if answer is None:
         return respond(503)
     fencing_token, commands = answer
--- a/src/beamspar/placement.py
+++ b/src/beamspar/placement.py
@@ -14,10 +14,10 @@
 
 from beamspar.protocol.cloud import MachineType
 from beamspar.protocol.jobs import JobSpec
-from beamspar.protocol.room import Room
+from beamspar.protocol.machine_capacity import MachineCapacity
 
 # Resource amounts are sums of floating-point numbers; smaller differences are rounding errors.
-EPS = 1e-6
+RESOURCE_TOLERANCE = 1e-6
 # Fetching an image at the machine type's nominal rate may take at most this share of the time
 # within which a job of the class should start; actual rates differ by a third.
 MAX_FETCH_SHARE = 0.6
@@ -25,14 +25,14 @@
 PREEMPTED_CPUS_PER_GPU = 16
 
 
-def copy(room: Room) -> Room:
+def copy_capacity(capacity: MachineCapacity) -> MachineCapacity:
     """Return a copy of a machine's free capacity; reservations on it don't affect the original.
 
     The copy shares the cached images and the preemptible resources with the original.
     """
-    # `copy.copy` ends up in this method; it is called directly because each placement round
-    # copies the free capacity of every machine.
-    duplicate: Room = room.__copy__()  # type: ignore[attr-defined]
+    # `copy.copy_capacity` ends up in this method; it is called directly because each placement
+    # round copies the free capacity of every machine.
+    duplicate: MachineCapacity = capacity.__copy__()  # type: ignore[attr-defined]
     return duplicate
 
 
@@ -52,35 +52,35 @@
     if spec.zone is not None and spec.zone not in kind.zones:
         return False
     return (
-        spec.cpus <= kind.cpus + EPS
-        and spec.gpus <= kind.gpus + EPS
-        and spec.memory_gb <= kind.memory_gb + EPS
+        spec.cpus <= kind.cpus + RESOURCE_TOLERANCE
+        and spec.gpus <= kind.gpus + RESOURCE_TOLERANCE
+        and spec.memory_gb <= kind.memory_gb + RESOURCE_TOLERANCE
     )
 
 
-def allowed(spec: JobSpec, room: Room, zones: Mapping[str, int]) -> bool:
+def is_allowed(spec: JobSpec, capacity: MachineCapacity, zones: Mapping[str, int]) -> bool:
     """Return whether the job's constraints allow one more task on the machine.
 
     Free resources are not considered. `zones` counts, by zone, the job's tasks that are or may
     be placed there.
     """
-    if not room.usable or (room.spot and not spec.spot):
+    if not capacity.usable or (capacity.spot and not spec.spot):
         return False
-    if spec.kinds is not None and room.kind not in spec.kinds:
+    if spec.kinds is not None and capacity.kind not in spec.kinds:
         return False
-    if spec.zone is not None and room.zone != spec.zone:
+    if spec.zone is not None and capacity.zone != spec.zone:
         return False
-    if spec.one_zone and any(count and zone != room.zone for zone, count in zones.items()):
+    if spec.one_zone and any(count and zone != capacity.zone for zone, count in zones.items()):
         return False
-    return not spec.spread or zones.get(room.zone, 0) < (spec.tasks + 1) // 2
+    return not spec.spread or zones.get(capacity.zone, 0) < (spec.tasks + 1) // 2
 
 
-def has_room(spec: JobSpec, room: Room) -> bool:
+def has_capacity(spec: JobSpec, capacity: MachineCapacity) -> bool:
     """Return whether the machine has enough free resources for a task of the job."""
     return (
-        spec.cpus <= room.cpus + EPS
-        and spec.gpus <= room.gpus + EPS
-        and spec.memory_gb <= room.memory_gb + EPS
+        spec.cpus <= capacity.cpus + RESOURCE_TOLERANCE
+        and spec.gpus <= capacity.gpus + RESOURCE_TOLERANCE
+        and spec.memory_gb <= capacity.memory_gb + RESOURCE_TOLERANCE
     )
 
 
@@ -96,16 +96,17 @@
 NO_PREFERENCE = Preference()
 
 
-def would_strand_gpus(spec: JobSpec, room: Room, preference: Preference) -> bool:
+def would_strand_gpus(spec: JobSpec, capacity: MachineCapacity, preference: Preference) -> bool:
     """Return whether a task without accelerators would make free accelerators unusable.
 
     An accelerator is usable only with enough free CPUs and memory on the same machine.
     """
-    if spec.gpus > EPS or room.gpus < EPS:
+    if spec.gpus > RESOURCE_TOLERANCE or capacity.gpus < RESOURCE_TOLERANCE:
         return False
     return (
-        room.cpus - spec.cpus + EPS < room.gpus * preference.per_gpu[0]
-        or room.memory_gb - spec.memory_gb + EPS < room.gpus * preference.per_gpu[1]
+        capacity.cpus - spec.cpus + RESOURCE_TOLERANCE < capacity.gpus * preference.per_gpu[0]
+        or capacity.memory_gb - spec.memory_gb + RESOURCE_TOLERANCE
+        < capacity.gpus * preference.per_gpu[1]
     )
 
 
@@ -119,7 +120,7 @@
 
 
 def _spreading_key(
-    spec: JobSpec, room: Room, zone_key: tuple[int, int], machines: Mapping[str, int]
+    spec: JobSpec, capacity: MachineCapacity, zone_key: tuple[int, int], machines: Mapping[str, int]
 ) -> tuple[int, int, int]:
     """Return a sort key for a machine given the job's placed tasks; the smallest is the best.
 
@@ -127,21 +128,21 @@
     possible, because it runs at the speed of the slowest and loses its progress with any of them.
     """
     if not spec.is_gang:
-        return *zone_key, machines.get(room.name, 0)
+        return *zone_key, machines.get(capacity.name, 0)
     unplaced = spec.tasks - sum(machines.values())
-    return int(room.name not in machines), -min(fitting(spec, room), unplaced), 0
+    return int(capacity.name not in machines), -min(fitting_task_count(spec, capacity), unplaced), 0
 
 
-def choose(
+def choose_machine(
     spec: JobSpec,
-    rooms: Iterable[Room],
+    capacities: Iterable[MachineCapacity],
     zones: Mapping[str, int],
     machines: Mapping[str, int],
     avoid: Collection[str] = (),
-    near: Collection[str] = (),
+    preferred: Collection[str] = (),
     warm_only: bool = False,
     preference: Preference = NO_PREFERENCE,
-) -> Room | None:
+) -> MachineCapacity | None:
     """Return the best machine for one more task, or None if no machine has the capacity.
 
     `zones` and `machines` count the job's placed tasks. Machines in `avoid` are excluded, and
@@ -155,65 +156,69 @@
     compared first, and the others only for machines that are not worse by these, and the loop
     makes as few calls as possible.
     """
-    best: Room | None = None
+    best: MachineCapacity | None = None
     best_first: tuple[int, ...] = ()
     best_rest: tuple[object, ...] = ()
     zone_keys: dict[str, tuple[int, int]] = {}
-    for room in rooms:
-        if not has_room(spec, room) or room.name in avoid or not allowed(spec, room, zones):
+    for capacity in capacities:
+        if (
+            not has_capacity(spec, capacity)
+            or capacity.name in avoid
+            or not is_allowed(spec, capacity, zones)
+        ):
             continue
-        cold = spec.image not in room.images
+        cold = spec.image not in capacity.images
         if warm_only and cold:
             continue
         first = (
-            would_strand_gpus(spec, room, preference),
+            would_strand_gpus(spec, capacity, preference),
             cold,
-            cold and room.kind in preference.slow,
-            spec.spot and not room.spot,
-            room.fetching if cold else 0,
+            cold and capacity.kind in preference.slow,
+            spec.spot and not capacity.spot,
+            capacity.fetching if cold else 0,
         )
         if best is not None and first > best_first:
             continue
-        zone_key = zone_keys.get(room.zone)
+        zone_key = zone_keys.get(capacity.zone)
         if zone_key is None:
-            zone_key = zones.get(room.zone, 0), zone_tie_break(spec, room.zone)
-            zone_keys[room.zone] = zone_key
+            zone_key = zones.get(capacity.zone, 0), zone_tie_break(spec, capacity.zone)
+            zone_keys[capacity.zone] = zone_key
         rest = (
-            *_spreading_key(spec, room, zone_key, machines),
-            cold and room.name not in near,
-            room.gpus - spec.gpus,
-            room.cpus - spec.cpus,
-            room.name,
+            *_spreading_key(spec, capacity, zone_key, machines),
+            cold and capacity.name not in preferred,
+            capacity.gpus - spec.gpus,
+            capacity.cpus - spec.cpus,
+            capacity.name,
         )
         if best is None or first < best_first or rest < best_rest:
-            best, best_first, best_rest = room, first, rest
+            best, best_first, best_rest = capacity, first, rest
     return best
 
 
 def choose_group(
     spec: JobSpec,
     count: int,
-    rooms: list[Room],
+    capacities: list[MachineCapacity],
     zones: Mapping[str, int],
     machines: Mapping[str, int],
     avoid: Collection[str] = (),
-    near: Collection[str] = (),
+    preferred: Collection[str] = (),
     warm_only: bool = False,
     preference: Preference = NO_PREFERENCE,
-) -> list[Room]:
+) -> list[MachineCapacity]:
     """Return machines for `count` tasks that are placed together, or an empty list.
 
     If all tasks must share a zone, choose the zone in which the most of them go to machines that
-    cache the image. The other arguments are those of `choose`.
+    cache the image. The other arguments are those of `choose_machine`.
     """
-    best: list[Room] = []
+    best: list[MachineCapacity] = []
     best_warm = -1
-    for zone in sorted({room.zone for room in rooms}) if spec.one_zone else [""]:
-        candidates = [room for room in rooms if not zone or room.zone == zone]
+    for zone in sorted({capacity.zone for capacity in capacities}) if spec.one_zone else [""]:
+        candidates = [capacity for capacity in capacities if not zone or capacity.zone == zone]
         chosen = _choose_one_by_one(
-            spec, count, candidates, zones, machines, avoid, near, warm_only, preference
+            spec, count, candidates, zones, machines, avoid, preferred, warm_only, preference
         )
-        warm = sum(1 for room in chosen if spec.image in room.images)
+        warm = sum(1 for capacity in chosen if spec.image in capacity.images)
         if len(chosen) == count and warm > best_warm:
             best, best_warm = chosen, warm
     return best
@@ -222,101 +227,113 @@
 def _choose_one_by_one(
     spec: JobSpec,
     count: int,
-    candidates: list[Room],
+    candidates: list[MachineCapacity],
     zones: Mapping[str, int],
     machines: Mapping[str, int],
     avoid: Collection[str],
-    near: Collection[str],
+    preferred: Collection[str],
     warm_only: bool,
     preference: Preference,
-) -> list[Room]:
+) -> list[MachineCapacity]:
     """Choose machines for `count` tasks one by one, reserving the resources of each.
 
     Return fewer machines if the capacity does not suffice for all tasks. The candidates are not
     modified.
     """
-    rooms = [copy(room) for room in candidates]
-    originals = {room.name: room for room in candidates}
+    capacities = [copy_capacity(capacity) for capacity in candidates]
+    originals = {capacity.name: capacity for capacity in candidates}
     in_zone, on_machine = dict(zones), dict(machines)
-    chosen: list[Room] = []
+    chosen: list[MachineCapacity] = []
     while len(chosen) < count:
-        room = choose(spec, rooms, in_zone, on_machine, avoid, near, warm_only, preference)
-        if room is None:
+        capacity = choose_machine(
+            spec, capacities, in_zone, on_machine, avoid, preferred, warm_only, preference
+        )
+        if capacity is None:
             break
-        room.reserve(spec)
-        in_zone[room.zone] = in_zone.get(room.zone, 0) + 1
-        on_machine[room.name] = on_machine.get(room.name, 0) + 1
-        chosen.append(originals[room.name])
+        capacity.reserve(spec)
+        in_zone[capacity.zone] = in_zone.get(capacity.zone, 0) + 1
+        on_machine[capacity.name] = on_machine.get(capacity.name, 0) + 1
+        chosen.append(originals[capacity.name])
     return chosen
 
 
 def choose_group_preemption(
-    spec: JobSpec, count: int, rooms: list[Room], avoid: Collection[str] = ()
-) -> list[Room]:
+    spec: JobSpec, count: int, capacities: list[MachineCapacity], avoid: Collection[str] = ()
+) -> list[MachineCapacity]:
     """Return machines where preempting lower-priority work frees capacity for `count` tasks.
 
     The tasks are placed together; the list is empty if not all of them fit. On every machine, all
     lower-priority work is assumed to be stopped. Machines that already have enough free capacity
     need no preemption.
     """
-    by_name = {room.name: room for room in rooms}
-    enlarged = [_after_preemption(spec, room) for room in rooms]
-    return [by_name[room.name] for room in choose_group(spec, count, enlarged, {}, {}, avoid)]
+    by_name = {capacity.name: capacity for capacity in capacities}
+    enlarged = [_after_preemption(spec, capacity) for capacity in capacities]
+    return [
+        by_name[capacity.name] for capacity in choose_group(spec, count, enlarged, {}, {}, avoid)
+    ]
 
 
-def _after_preemption(spec: JobSpec, room: Room) -> Room:
+def _after_preemption(spec: JobSpec, capacity: MachineCapacity) -> MachineCapacity:
     """Return the machine's free capacity with all work of lower priority than the job stopped."""
-    enlarged = copy(room)
-    if spec.rank < len(room.preemptible):
-        cpus, gpus, memory_gb = room.preemptible[spec.rank]
+    enlarged = copy_capacity(capacity)
+    if spec.rank < len(capacity.preemptible):
+        cpus, gpus, memory_gb = capacity.preemptible[spec.rank]
         enlarged.cpus += cpus
         enlarged.gpus += gpus
         enlarged.memory_gb += memory_gb
     return enlarged
 
 
-def _fits_after_preemption(spec: JobSpec, room: Room) -> bool:
+def _fits_after_preemption(spec: JobSpec, capacity: MachineCapacity) -> bool:
     """Return whether a task would fit once all lower-priority work is preempted.
 
     This is called often, so it does not copy the machine's free capacity.
     """
-    if spec.rank >= len(room.preemptible):
+    if spec.rank >= len(capacity.preemptible):
         return False
-    cpus, gpus, memory_gb = room.preemptible[spec.rank]
+    cpus, gpus, memory_gb = capacity.preemptible[spec.rank]
     return (
-        spec.cpus <= room.cpus + cpus + EPS
-        and spec.gpus <= room.gpus + gpus + EPS
-        and spec.memory_gb <= room.memory_gb + memory_gb + EPS
+        spec.cpus <= capacity.cpus + cpus + RESOURCE_TOLERANCE
+        and spec.gpus <= capacity.gpus + gpus + RESOURCE_TOLERANCE
+        and spec.memory_gb <= capacity.memory_gb + memory_gb + RESOURCE_TOLERANCE
     )
 
 
 def choose_preemption(
-    spec: JobSpec, rooms: Iterable[Room], zones: Mapping[str, int], avoid: Collection[str] = ()
-) -> Room | None:
+    spec: JobSpec,
+    capacities: Iterable[MachineCapacity],
+    zones: Mapping[str, int],
+    avoid: Collection[str] = (),
+) -> MachineCapacity | None:
     """Return a machine where preempting lower-priority work would make one task fit, or None.
 
     Prefer a machine that caches the image, then the one where the least work has to be stopped.
     """
-    best: Room | None = None
+    best: MachineCapacity | None = None
     best_key: tuple[object, ...] = ()
-    for room in rooms:
-        if room.name in avoid or not allowed(spec, room, zones):
+    for capacity in capacities:
+        if capacity.name in avoid or not is_allowed(spec, capacity, zones):
             continue
-        if not _fits_after_preemption(spec, room):
+        if not _fits_after_preemption(spec, capacity):
             continue
-        missing_gpus = max(spec.gpus - room.gpus, 0.0)
-        missing = missing_gpus * PREEMPTED_CPUS_PER_GPU + max(spec.cpus - room.cpus, 0.0)
-        key = (spec.image not in room.images, missing, zones.get(room.zone, 0), room.name)
+        missing_gpus = max(spec.gpus - capacity.gpus, 0.0)
+        missing = missing_gpus * PREEMPTED_CPUS_PER_GPU + max(spec.cpus - capacity.cpus, 0.0)
+        key = (
+            spec.image not in capacity.images,
+            missing,
+            zones.get(capacity.zone, 0),
+            capacity.name,
+        )
         if best is None or key < best_key:
-            best, best_key = room, key
+            best, best_key = capacity, key
     return best
 
 
-def per_gpu(specs: Iterable[JobSpec]) -> tuple[float, float]:
+def max_resources_per_gpu(specs: Iterable[JobSpec]) -> tuple[float, float]:
     """Return the most CPUs and memory (GB) that any of these jobs needs for each accelerator."""
     cpus = memory = 0.0
     for spec in specs:
-        if spec.gpus > EPS:
+        if spec.gpus > RESOURCE_TOLERANCE:
             cpus = max(cpus, spec.cpus / spec.gpus)
             memory = max(memory, spec.memory_gb / spec.gpus)
     return cpus, memory
@@ -331,20 +348,24 @@
     )
 
 
-def fitting(spec: JobSpec, room: Room) -> int:
+def fitting_task_count(spec: JobSpec, capacity: MachineCapacity) -> int:
     """Return how many tasks of the job fit into the free resources, ignoring its constraints."""
     counts = [
-        int((free + EPS) / needed)
+        int((free + RESOURCE_TOLERANCE) / needed)
         for free, needed in (
-            (room.cpus, spec.cpus),
-            (room.gpus, spec.gpus),
-            (room.memory_gb, spec.memory_gb),
+            (capacity.cpus, spec.cpus),
+            (capacity.gpus, spec.gpus),
+            (capacity.memory_gb, spec.memory_gb),
         )
         if needed > 0
     ]
     return max(min(counts, default=0), 0)
 
 
-def slots(spec: JobSpec, rooms: Iterable[Room]) -> int:
+def total_fitting_task_count(spec: JobSpec, capacities: Iterable[MachineCapacity]) -> int:
     """Return how many tasks of the job would fit on these machines if it had no others."""
-    return sum(fitting(spec, room) for room in rooms if allowed(spec, room, {}))
+    return sum(
+        fitting_task_count(spec, capacity)
+        for capacity in capacities
+        if is_allowed(spec, capacity, {})
+    )
--- a/src/beamspar/protocol/room.py
+++ b/src/beamspar/protocol/machine_capacity.py
@@ -7,7 +7,7 @@
 from beamspar.protocol.jobs import JobSpec
 
 
-class Room(msgspec.Struct):
+class MachineCapacity(msgspec.Struct):
     """The free resources and cached images of one machine, reported by its machine controller."""
 
     # The machine's name, type and zone.
--- a/src/beamspar/protocol/peer_messages.py
+++ b/src/beamspar/protocol/peer_messages.py
@@ -13,7 +13,7 @@
 import msgspec
 import orjson
 
-from beamspar.protocol.room import Room
+from beamspar.protocol.machine_capacity import MachineCapacity
 
 # The prefix of the paths of all calls between controllers.
 PEER_PATH_PREFIX = "/peer/"
@@ -181,10 +181,10 @@
     """One machine in the heartbeat of the member that controls it."""
 
     # Its free resources and cached images.
-    room: Room
+    capacity: MachineCapacity = msgspec.field(name="room")
     fencing_token: int = msgspec.field(name="number")
     # Its worker has reported the fencing token of the latest commands, so its reports are complete.
-    fresh: bool
+    has_confirmed_token: bool = msgspec.field(name="fresh")
     # Its worker has sent no heartbeat for so long that its lease has expired.
     is_expired: bool = msgspec.field(name="lost")
     is_quarantined: bool = msgspec.field(name="sick")
@@ -193,7 +193,7 @@
     # The cloud has announced that it will terminate the machine.
     has_termination_notice: bool = msgspec.field(name="leaving")
     # It takes no new tasks and is to be scaled in.
-    draining: bool = msgspec.field(name="retiring")
+    is_draining: bool = msgspec.field(name="retiring")
     # Time since its worker's last heartbeat, and since its last task ended.
     silent_s: float
     idle_s: float
@@ -232,7 +232,7 @@
     # Machines whose workers sent heartbeats here because their own controller doesn't respond.
     unserved_machines: list[str] = msgspec.field(name="strays", default_factory=list)
     # There are more changes than fit into one message; the next heartbeat continues from here.
-    partial: bool = False
+    is_partial: bool = msgspec.field(name="partial", default=False)
     # The number of its jobs' tasks that are bound or pending, and the lateness of its timers.
     demand: int = 0
     late_s: float = 0.0
@@ -242,12 +242,12 @@
     """The response to a member's heartbeat to the leader."""
 
     # Whether the receiver of the heartbeat leads.
-    leading: bool
+    is_leading: bool = msgspec.field(name="leading")
     # Every live member has sent its heartbeat or the time for it is over, so the leader offers
     # capacity.
-    ready: bool = False
+    is_ready: bool = msgspec.field(name="ready", default=False)
     # The heartbeat's changes were applied; otherwise the next heartbeat must be a full snapshot.
-    accepted: bool = msgspec.field(name="taken", default=False)
+    is_accepted: bool = msgspec.field(name="taken", default=False)
     # CPUs and memory that jobs with accelerators take per accelerator.
     per_gpu: tuple[float, float] = (0.0, 0.0)
     # Idle machines of this member that are to take no new tasks and to be scaled in.
--- a/src/beamspar/quota/allocation_planner.py
+++ b/src/beamspar/quota/allocation_planner.py
@@ -10,7 +10,7 @@
 from beamspar.cluster.registration import Registration
 from beamspar.quota.allocation_requests import AllocationRequests
 from beamspar.quota.allocations import Allocation, AllocationKey, TeamQuota
-from beamspar.quota.amounts import EPS
+from beamspar.quota.amounts import AMOUNT_TOLERANCE
 from beamspar.quota.fair_share import desired_allocation
 from beamspar.quota.indeterminate_writes import IndeterminateWrites
 from beamspar.quota.quota_records import QuotaRecords
@@ -69,7 +69,7 @@
         used = self._usage.used_by(key)
         requests = self._requests.requests_of(key)
         is_former = partition != self._registration.partition
-        if is_former and not requests and max(used) <= EPS:
+        if is_former and not requests and max(used) <= AMOUNT_TOLERANCE:
             # The partition of an earlier incarnation accepts no new jobs. Its entry is removed once
             # its usage is zero, or each restart would leave one more entry behind.
             return None
--- a/src/beamspar/quota/allocations.py
+++ b/src/beamspar/quota/allocations.py
@@ -10,7 +10,7 @@
 import math
 from typing import Any, NamedTuple
 
-from beamspar.quota.amounts import EPS, Amounts, quota_of
+from beamspar.quota.amounts import AMOUNT_TOLERANCE, Amounts, quota_of
 from beamspar.settings import Team
 
 # Lengths of a stored entry: the allocation alone, with rank and lacking amounts of pending work,
@@ -118,7 +118,7 @@
     def exceeds_quota(self, team: Team) -> bool:
         """Return whether the allocations add up to more than the team's quota."""
         return any(
-            limit and total > limit + EPS
+            limit and total > limit + AMOUNT_TOLERANCE
             for limit, total in zip(quota_of(team), self.total, strict=True)
         )
 
--- a/src/beamspar/quota/amounts.py
+++ b/src/beamspar/quota/amounts.py
@@ -7,7 +7,7 @@
 from beamspar.settings import Team
 
 # Tolerance when sums of fractional CPUs are compared.
-EPS = 1e-6
+AMOUNT_TOLERANCE = 1e-6
 
 
 class Amounts(NamedTuple):
--- a/src/beamspar/quota/fair_share.py
+++ b/src/beamspar/quota/fair_share.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from beamspar.quota.allocations import Allocation, TeamQuota
-from beamspar.quota.amounts import EPS, NO_AMOUNTS, Amounts, quota_of
+from beamspar.quota.amounts import AMOUNT_TOLERANCE, NO_AMOUNTS, Amounts, quota_of
 from beamspar.settings import Team
 
 # Decimal places of stored allocations, and of the amounts that work of the highest rank lacks.
@@ -146,7 +146,7 @@
     sizes = (request.cpus, request.gpus)
     for size, left, taken in zip(sizes, available, needed, strict=True):
         if size > 0 and left < math.inf:
-            fitting = min(fitting, int((left - taken + EPS) / size))
+            fitting = min(fitting, int((left - taken + AMOUNT_TOLERANCE) / size))
     return max(fitting, 0)
 
 
--- a/src/beamspar/quota/quota_manager.py
+++ b/src/beamspar/quota/quota_manager.py
@@ -15,7 +15,7 @@
 from beamspar.quota.allocation_requests import AllocationRequests
 from beamspar.quota.allocation_writer import AllocationWriter
 from beamspar.quota.allocations import AllocationKey, TeamQuota
-from beamspar.quota.amounts import EPS, NO_AMOUNTS, Amounts, quota_of
+from beamspar.quota.amounts import AMOUNT_TOLERANCE, NO_AMOUNTS, Amounts, quota_of
 from beamspar.quota.fair_share import AllocationRequest, WaitingOrder, has_precedence
 from beamspar.quota.indeterminate_writes import IndeterminateWrites
 from beamspar.quota.quota_records import QuotaRecords
@@ -45,11 +45,11 @@
         platform = settings.platform
         # Teams with a quota, by name.
         self.teams = {team.name: team for team in platform.teams if any(quota_of(team))}
-        # Set by the owner of this object: `loaded` returns the partitions whose jobs are all in
-        # memory; `on_share` is called when a write of a record that has requests of this
-        # controller was applied or has failed.
-        self.loaded: Callable[[], set[str]] = set
-        self.on_share: Callable[[], None] = lambda: None
+        # Set by the owner of this object: `loaded_partitions` returns the partitions whose jobs are
+        # all in memory; `on_record_written` is called when a write of a record that has requests of
+        # this controller was applied or has failed.
+        self.loaded_partitions: Callable[[], set[str]] = set
+        self.on_record_written: Callable[[], None] = lambda: None
         self._registration = registration
         self._mirror = registration.mirror
         self._controllers = max(platform.nodes, 1)
@@ -86,14 +86,14 @@
         key = AllocationKey(partition, team)
         return self._indeterminate_writes.certain_amounts(key, self._records.read(team))
 
-    def holds_none(self, partition: str) -> bool:
+    def has_no_allocations(self, partition: str) -> bool:
         """Return whether no team's record has an entry of the partition, so it may be deleted."""
         return not any(partition in self._records.read(team).raw for team in self.teams)
 
     # -- usage
 
     @property
-    def used(self) -> dict[AllocationKey, Amounts]:
+    def usage(self) -> dict[AllocationKey, Amounts]:
         """Usage of the jobs of this controller's partitions, by partition and team."""
         return self._usage.used
 
@@ -105,7 +105,7 @@
         """Stop counting a job that has ended, has another owner, or was never stored."""
         self._usage.release(job)
 
-    def forget(self, partition: str) -> None:
+    def remove_partition(self, partition: str) -> None:
         """Drop all state of a partition that has another owner now."""
         self._usage.forget(partition)
         self._requests.forget(partition)
@@ -128,7 +128,7 @@
             max(used.cpus - allocated.cpus, 0.0) if settings.cpus_max else 0.0,
             max(used.gpus - allocated.gpus, 0.0) if settings.gpus_max else 0.0,
         )
-        is_over = max(excess) > EPS
+        is_over = max(excess) > AMOUNT_TOLERANCE
         fault = f"jobs of {partition} use {used} of an allocation of {allocated}" if is_over else ""
         self._records.report_fault(key, fault)
         return excess if is_over else NO_AMOUNTS
@@ -154,10 +154,15 @@
         if team.name in self._records.blocked_teams or not self._owns(job.partition):
             return False
         if self._fits(
-            job, team, quota, job.extra_use(indexes if is_all_or_nothing else indexes[:1])
+            job,
+            team,
+            quota,
+            job.additional_quota_tasks(indexes if is_all_or_nothing else indexes[:1]),
         ):
             return True
-        self._request(job, job.extra_use(indexes), is_all_or_nothing and len(indexes) > 1)
+        self._request(
+            job, job.additional_quota_tasks(indexes), is_all_or_nothing and len(indexes) > 1
+        )
         return False
 
     def _fits(self, job: Job, team: Team, quota: TeamQuota, tasks: int) -> bool:
@@ -195,7 +200,10 @@
             # The job needs no further quota and only waits for work that has precedence.
             return
         spec, key = job.spec, AllocationKey(job.partition, job.spec.team)
-        heartbeat, now = self._registration.timeouts.heartbeat, self._registration.clock.seconds()
+        heartbeat, now = (
+            self._registration.timeouts.member_heartbeat_interval_s,
+            self._registration.clock.seconds(),
+        )
         expires_at = now + heartbeat * REQUEST_HEARTBEATS
         earlier = self._requests.request_of(key, job.id)
         if earlier and earlier.tasks >= tasks and earlier.expires_at > expires_at - heartbeat / 2:
@@ -220,7 +228,7 @@
         if not self.is_covered(job, indexes, is_all_or_nothing=True):
             return False
         now = self._registration.clock.seconds()
-        if now - job.quota_served_at >= self._registration.timeouts.report:
+        if now - job.quota_served_at >= self._registration.timeouts.worker_heartbeat_interval_s:
             # Limited to one update per heartbeat, as each one is written into the team's record.
             job.quota_served_revision, job.quota_served_at = self._mirror.revision, now
         key = AllocationKey(job.partition, job.spec.team)
@@ -231,7 +239,7 @@
         """Return whether work of the partition waits for more of the team's quota."""
         return self._requests.is_waiting(AllocationKey(partition, team))
 
-    def others_wait(self, job: Job) -> bool:
+    def other_work_waits(self, job: Job) -> bool:
         """Return whether other work waits for more of the quota of the job's team."""
         team = job.spec.team
         if team not in self.teams:
@@ -280,7 +288,7 @@
 
     def _record_written(self, team: str) -> None:
         if self._requests.is_listed(team):
-            self.on_share()
+            self.on_record_written()
 
     def _owns(self, partition: str) -> bool:
         """Return whether this controller owns the partition and has its jobs and records.
@@ -292,10 +300,10 @@
         since.
         """
         record = self._mirror.partitions.get(partition)
-        if record is None or record.owner != self._registration.me:
+        if record is None or record.owner != self._registration.own_name:
             return False
-        return record.owned_since <= self._mirror.revision and partition in self.loaded()
+        return record.owned_since <= self._mirror.revision and partition in self.loaded_partitions()
 
 
 def _is_within(amount: float, allocated: float, limit: float) -> bool:
-    return not limit or amount <= allocated + EPS
+    return not limit or amount <= allocated + AMOUNT_TOLERANCE
--- a/src/beamspar/quota/quota_preemption.py
+++ b/src/beamspar/quota/quota_preemption.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Collection, Iterable
 from typing import NamedTuple
 
-from beamspar.placement import EPS
+from beamspar.placement import RESOURCE_TOLERANCE
 from beamspar.quota.amounts import Amounts
 from beamspar.state.job_records import JobStatus
 from beamspar.workload.job import Job
@@ -50,7 +50,7 @@
     tasks: list[BoundTask]
 
 
-def choose(
+def choose_preempted(
     jobs: Iterable[Job],
     spot: Collection[str],
     lacking: Callable[[int], tuple[float, float]],
@@ -69,7 +69,7 @@
     return _until_freed(units, lambda unit: lacking_above[unit.rank])
 
 
-def choose_unstarted(
+def choose_unstarted_excess(
     jobs: Iterable[Job], spot: Collection[str], excess: tuple[float, float]
 ) -> list[PreemptionUnit]:
     """Return units whose tasks were never observed on a machine, as many as free the excess."""
@@ -89,7 +89,7 @@
     tasks = [
         BoundTask(index, task)
         for index, task in job.tasks.items()
-        if task.machine is not None and task.stored
+        if task.machine is not None and task.is_stored
     ]
     groups = [tasks] if job.spec.is_gang and tasks else [[task] for task in tasks]
     return [_unit(job, group, spot) for group in groups]
@@ -103,7 +103,7 @@
     cpus = gpus = 0.0
     for unit in sorted(units, key=lambda unit: unit.order):
         needed = to_free(unit)
-        if cpus + EPS >= needed.cpus and gpus + EPS >= needed.gpus:
+        if cpus + RESOURCE_TOLERANCE >= needed.cpus and gpus + RESOURCE_TOLERANCE >= needed.gpus:
             break
         cpus, gpus = cpus + unit.cpus, gpus + unit.gpus
         chosen.append(unit)
--- a/src/beamspar/sharing/command.py
+++ b/src/beamspar/sharing/command.py
@@ -17,7 +17,7 @@
 from beamspar.sharing.messages import (
     CommandReply,
     MemberShare,
-    MoveShown,
+    MoveView,
     SharesReply,
     SharingPath,
     Standing,
@@ -59,7 +59,7 @@
     )
 
 
-def describe_move(move: MoveShown) -> str:
+def describe_move(move: MoveView) -> str:
     """Return a line of text that describes a move."""
     return f"{move.stage}: {move.shard} from {move.source} to {move.target} ({move.reason})"
 
--- a/src/beamspar/sharing/handover.py
+++ b/src/beamspar/sharing/handover.py
@@ -18,8 +18,8 @@
 from beamspar.leader.shard_writer import RecordChange
 from beamspar.protocol.peer_messages import decode
 from beamspar.sharing.messages import (
-    MoveShown,
     MoveStage,
+    MoveView,
     PrepareReply,
     PrepareRequest,
     SharingPath,
@@ -63,13 +63,13 @@
         # Returns whether the deletion of one of the shard's machines is in progress.
         self.is_pinned = is_pinned
         self.moved_at: dict[str, float] = {}
-        self.in_progress: dict[str, MoveShown] = {}
-        self.completed: deque[MoveShown] = deque(maxlen=MAX_COMPLETED_SHOWN)
+        self.in_progress: dict[str, MoveView] = {}
+        self.completed: deque[MoveView] = deque(maxlen=MAX_COMPLETED_SHOWN)
 
     def is_in_cooldown(self, shard: str) -> bool:
         """Return whether the shard has moved recently."""
         moved_at = self.moved_at.get(shard)
-        cooldown_s = self.timeouts.worker_lease * COOLDOWN_LEASES
+        cooldown_s = self.timeouts.worker_lease_s * COOLDOWN_LEASES
         return moved_at is not None and self.clock.seconds() - moved_at < cooldown_s
 
     def remove_stale_cooldowns(self) -> None:
@@ -134,9 +134,11 @@
 
     async def _prepare(self, source: str, shards: dict[str, int], ready: set[str]) -> None:
         # Twice the time for which a source waits for its starts; it resumes by itself after it.
-        for_s = self.timeouts.heartbeat * 2
+        for_s = self.timeouts.member_heartbeat_interval_s * 2
         try:
-            reply = await self.prepare(source, PrepareRequest(self.registration.me, shards, for_s))
+            reply = await self.prepare(
+                source, PrepareRequest(self.registration.own_name, shards, for_s)
+            )
         except (CallFailedError, ValueError) as error:
             log.info(
                 "{source} failed to prepare, only forced moves of its shards go on: {error}",
@@ -177,7 +179,7 @@
             self.moved_at[move.shard] = self.clock.seconds()
             self.completed.append(_shown(move, MoveStage.MOVED))
 
-    def list_moves(self, wanted: Iterable[Move]) -> list[MoveShown]:
+    def list_moves(self, wanted: Iterable[Move]) -> list[MoveView]:
         """Return the moves that are completed, in progress and wanted, the newest last."""
         return [
             *self.completed,
@@ -205,5 +207,5 @@
     return shard.fencing_token if shard is not None else 0
 
 
-def _shown(move: Move, stage: MoveStage) -> MoveShown:
-    return MoveShown(move.shard, move.source, move.target, move.reason, stage)
+def _shown(move: Move, stage: MoveStage) -> MoveView:
+    return MoveView(move.shard, move.source, move.target, move.reason, stage)
--- a/src/beamspar/sharing/leave.py
+++ b/src/beamspar/sharing/leave.py
@@ -95,7 +95,7 @@
 
     def is_leaving(self) -> bool:
         """Return whether this controller is leaving."""
-        return self.registration.me in leaving_members(self.registration)
+        return self.registration.own_name in leaving_members(self.registration)
 
     async def request(self, undo: bool) -> CommandReply:
         """Begin to leave, or with `undo` serve again."""
@@ -103,9 +103,9 @@
             if not self.registration.lease_is_valid():
                 return CommandReply(False, "this controller is not registered at present")
             entries = _entries(self.registration)
-            if (self.registration.me in entries) != undo:
+            if (self.registration.own_name in entries) != undo:
                 return CommandReply(True)
-            others = self.mirror.members - set(entries) - {self.registration.me}
+            others = self.mirror.members - set(entries) - {self.registration.own_name}
             if not undo and not others:
                 return CommandReply(False, "no other controller would serve")
             try:
@@ -121,7 +121,9 @@
             except (StateUnavailableError, LeaseExpiredError) as error:
                 return CommandReply(False, str(error))
             else:
-                log.info("{me} {what}", me=self.registration.me, what="stays" if undo else "leaves")
+                log.info(
+                    "{me} {what}", me=self.registration.own_name, what="stays" if undo else "leaves"
+                )
                 return CommandReply(True)
         return CommandReply(False, "the record keeps changing: try again")
 
@@ -129,9 +131,9 @@
         _, version = self.mirror.values.get(keys.LEAVING_MEMBERS, (None, 0))
         conditions = {keys.LEAVING_MEMBERS: version, **self.registration.fence_condition()}
         if undo:
-            del entries[self.registration.me]
+            del entries[self.registration.own_name]
         else:
-            entries[self.registration.me] = self.registration.incarnation
+            entries[self.registration.own_name] = self.registration.incarnation
             # Ensures that a controller that keeps serving is registered when the write is applied.
             key = keys.member(min(others))
             conditions[key] = self.mirror.values.get(key, (None, 0))[1]
@@ -157,16 +159,17 @@
             return
         now = self.clock.seconds()
         self.leaving_since = now if self.leaving_since is None else self.leaving_since
-        if self.leader.leading:
+        if self.leader.is_leading:
             try:
-                await self.leader.give_up()
+                await self.leader.step_down()
             except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
                 log.info("failed to give up leadership, will retry: {error}", error=error)
             return
-        if any(shard.holder == self.registration.me for shard in self.mirror.shards.values()):
+        if any(shard.holder == self.registration.own_name for shard in self.mirror.shards.values()):
             return
         if (
-            now - self.leaving_since < self.timeouts.report * MIN_UNHEALTHY_HEARTBEATS
+            now - self.leaving_since
+            < self.timeouts.worker_heartbeat_interval_s * MIN_UNHEALTHY_HEARTBEATS
             or not self.registration.lease_is_valid()
         ):
             return
--- a/src/beamspar/sharing/messages.py
+++ b/src/beamspar/sharing/messages.py
@@ -135,7 +135,7 @@
     leaving: bool
 
 
-class MoveShown(msgspec.Struct, frozen=True):
+class MoveView(msgspec.Struct, frozen=True):
     """A move that is requested, in progress or recently completed."""
 
     shard: str = msgspec.field(name="block")
@@ -155,4 +155,4 @@
     # A `Standing`; a string, as other releases may send further ones.
     standing: str
     shares: list[MemberShare] = []
-    moves: list[MoveShown] = []
+    moves: list[MoveView] = []
--- a/src/beamspar/sharing/move_requests.py
+++ b/src/beamspar/sharing/move_requests.py
@@ -31,7 +31,7 @@
         The replies are shown to operators, for whom a shard is called a block.
         """
         shard = self.mirror.shards.get(request.shard)
-        if not self.leader.ready:
+        if not self.leader.is_ready:
             return CommandReply(False, "this controller does not lead")
         if shard is None:
             return CommandReply(False, f"no block {request.shard}")
--- a/src/beamspar/sharing/planner_inputs.py
+++ b/src/beamspar/sharing/planner_inputs.py
@@ -27,7 +27,7 @@
 
     def is_draining(self, shard: str) -> bool:
         """Return whether one of the shard's machines is cordoned because it is to be deleted."""
-        return self._has_any_of(shard, self.leader.draining.keys())
+        return self._has_any_of(shard, self.leader.draining_machines.keys())
 
     def is_pinned(self, shard: str) -> bool:
         """Return whether the deletion of one of the shard's machines is requested or in progress.
@@ -62,7 +62,7 @@
         self.timeouts = timeouts
         self.handover = handover
         self.scale_in = scale_in
-        self.demand = DemandAverage(timeouts.worker_lease * AVERAGE_LEASES)
+        self.demand = DemandAverage(timeouts.worker_lease_s * AVERAGE_LEASES)
 
     def loads(self) -> list[Load]:
         """Return the loads of the reachable controllers."""
@@ -81,7 +81,7 @@
                     member,
                     self.shard_leasing.sites.get(member, ""),
                     self.demand.value(member),
-                    view.late_s / self.timeouts.heartbeat,
+                    view.late_s / self.timeouts.member_heartbeat_interval_s,
                     member in leaving,
                 )
             )
--- a/src/beamspar/sharing/service.py
+++ b/src/beamspar/sharing/service.py
@@ -66,7 +66,7 @@
         self.is_step_in_progress = False
         self.shard_leasing.rebalance = self.balance
         self.shard_leasing.excluded_members = self._excluded
-        leader.stands = lambda: not self.leave.is_leaving()
+        leader.may_stand = lambda: not self.leave.is_leaving()
 
     def tick(self) -> None:
         """Take the next step if this controller is leaving, unless a step is in progress."""
@@ -105,7 +105,7 @@
                 self.move_requests.discard(moves)
 
     async def _prepare(self, source: str, request: PrepareRequest) -> PrepareReply:
-        if source == self.registration.me:
+        if source == self.registration.own_name:
             return await self.transfer.prepare(request)
         return await send_prepare(self.send, source, request)
 
@@ -114,8 +114,10 @@
     def shares(self) -> SharesReply:
         """Return what operators see; only the leader's reply has the shares and moves."""
         standing = Standing.LEAVING if self.leave.is_leaving() else Standing.SERVING
-        reply = SharesReply(self.registration.me, self.mirror.leader, self.leader.ready, standing)
-        if not self.leader.ready:
+        reply = SharesReply(
+            self.registration.own_name, self.mirror.leader, self.leader.is_ready, standing
+        )
+        if not self.leader.is_ready:
             return reply
         loads = self.inputs.loads()
         targets = target_shares(loads, len(self.mirror.shard_of))
@@ -129,7 +131,7 @@
                 machines[load.member],
                 shards[load.member],
                 round(load.demand, 1),
-                round(load.lateness * self.timeouts.heartbeat, 3),
+                round(load.lateness * self.timeouts.member_heartbeat_interval_s, 3),
                 round(targets.get(load.member, 0.0), 1),
                 load.is_leaving,
             )
@@ -156,6 +158,6 @@
         return None
 
 
-def shares_of_one_that_left(member: str) -> SharesReply:
+def shares_after_leave(member: str) -> SharesReply:
     """Return what operators see of a controller that has left and whose process may be stopped."""
     return SharesReply(member, None, False, Standing.LEFT)
--- a/src/beamspar/sharing/transfer.py
+++ b/src/beamspar/sharing/transfer.py
@@ -59,7 +59,7 @@
         # How many machines were taken over with the state that their former holder passed on.
         self.taken_over_count = 0
         machine_controller.on_released = self._queue_release
-        machine_controller.repeats_at_once = True
+        machine_controller.resends_without_pause = True
 
     # -- before the move
 
@@ -77,12 +77,12 @@
             )
             return PrepareReply([])
         now = self.clock.seconds()
-        for_s = min(max(request.for_s, 0.0), self.timeouts.report)
+        for_s = min(max(request.for_s, 0.0), self.timeouts.worker_heartbeat_interval_s)
         pending = {}
         for name, fencing_token in request.shards.items():
             shard = self.mirror.shards.get(name)
             if shard is None or (shard.holder, shard.fencing_token) != (
-                self.registration.me,
+                self.registration.own_name,
                 fencing_token,
             ):
                 log.info(
@@ -107,7 +107,7 @@
                 ready.append(name)
             if not pending or self.clock.seconds() >= now + for_s / 2:
                 break
-            await sleep(self.clock, self.timeouts.heartbeat / 20)
+            await sleep(self.clock, self.timeouts.member_heartbeat_interval_s / 20)
         return PrepareReply(sorted(ready))
 
     # -- after the move, at the former holder
@@ -127,15 +127,19 @@
         Until then the successor treats the machines like those of a holder that passes nothing on.
         """
         # The state is of no use once the longest lease that this controller may have had is over.
-        give_up_at = self.clock.seconds() + self.timeouts.registration_lease
+        give_up_at = self.clock.seconds() + self.timeouts.registration_lease_s
         unsent = self.unsent_releases[successor]
-        while unsent and not self.registration.lost and self.clock.seconds() < give_up_at:
-            pause_s = self.timeouts.heartbeat / 10
+        while unsent and not self.registration.is_ended and self.clock.seconds() < give_up_at:
+            pause_s = self.timeouts.member_heartbeat_interval_s / 10
             batch = list(unsent.items())[:MAX_MACHINE_STATUSES]
             states = [self._state(machine, fencing_token) for _, (machine, fencing_token) in batch]
-            request = ReleaseRequest(self.registration.me, self.registration.incarnation, states)
+            request = ReleaseRequest(
+                self.registration.own_name, self.registration.incarnation, states
+            )
             try:
-                body = await self.send(successor, "release", request, self.timeouts.request)
+                body = await self.send(
+                    successor, "release", request, self.timeouts.request_timeout_s
+                )
                 reply: ReleaseReply = decode(body, ReleaseReply)
             except (CallFailedError, ValueError) as error:
                 log.info(
@@ -143,7 +147,7 @@
                     member=successor,
                     error=error,
                 )
-                pause_s = self.timeouts.retry
+                pause_s = self.timeouts.retry_delay_s
             else:
                 to_resend = set(reply.unknown_yet)
                 for name, sent in batch:
@@ -202,8 +206,8 @@
                 )
             else:
                 accepted.append(state.machine)
-                if not machine.is_taken_over:
-                    machine.is_taken_over = True
+                if not machine.is_state_transferred:
+                    machine.is_state_transferred = True
                     self.taken_over_count += 1
                     self._take_over(machine, state)
         return ReleaseReply(accepted, unknown_yet)
--- a/src/beamspar/standby/context.py
+++ b/src/beamspar/standby/context.py
@@ -28,6 +28,6 @@
     send: Send
 
     @property
-    def me(self) -> str:
+    def own_name(self) -> str:
         """The name of this controller."""
-        return self.registration.me
+        return self.registration.own_name
--- a/src/beamspar/standby/failover.py
+++ b/src/beamspar/standby/failover.py
@@ -52,9 +52,9 @@
         suspected_record = self._leader_record()
         await self._wait_for_turn(succession)
         now = self._context.clock.seconds
-        if not self._leader.stands() or not self._history.may_fail_over(now()):
+        if not self._leader.may_stand() or not self._history.may_fail_over(now()):
             return
-        others = sorted(self._mirror.members - {self._context.me, leader})
+        others = sorted(self._mirror.members - {self._context.own_name, leader})
         if not await self._detector.has_failed(leader, others):
             return
         if not self._may_be_elected():
@@ -66,7 +66,7 @@
             "leader {leader} has failed; {me} stands for election, replicated up to index {index} "
             "of term {term}",
             leader=leader,
-            me=self._context.me,
+            me=self._context.own_name,
             index=self._replica.index,
             term=self._replica.term,
         )
@@ -77,23 +77,31 @@
         """Take the lead from a leader that hands over, if its whole log is replicated here."""
         replica = self._replica
         is_complete = replica.term == request.term and replica.index >= request.index
-        if not is_complete or self._mirror.leader != request.member or self._leader.electing:
+        if not is_complete or self._mirror.leader != request.member or self._leader.is_electing:
             return TakeLeadReply(False)
         await self._leader.elect(replaces=request.member, failed=False)
         self._confirm_members()
-        return TakeLeadReply(self._mirror.leader == self._context.me)
+        return TakeLeadReply(self._mirror.leader == self._context.own_name)
 
     async def _wait_for_turn(self, succession: list[str]) -> None:
         """Give each preferred successor the time to be elected first."""
-        me = self._context.me
+        me = self._context.own_name
         position = succession.index(me) if me in succession else len(succession)
         if position:
-            pause_s = self._context.timeouts.heartbeat * SUCCESSOR_WAIT_HEARTBEATS * position
+            pause_s = (
+                self._context.timeouts.member_heartbeat_interval_s
+                * SUCCESSOR_WAIT_HEARTBEATS
+                * position
+            )
             await sleep(self._context.clock, pause_s)
 
     def _may_be_elected(self) -> bool:
         registration = self._registration
-        return not registration.lost and registration.lease_is_valid() and not self._leader.electing
+        return (
+            not registration.is_ended
+            and registration.lease_is_valid()
+            and not self._leader.is_electing
+        )
 
     def _leader_record(self) -> object:
         return self._mirror.values.get(keys.LEADER, (None, 0))[0]
@@ -104,13 +112,13 @@
         Members send one by themselves once their mirror names the new leader. The request saves
         waiting for a member whose mirror is late.
         """
-        if self._leader.leading:
-            for member in sorted(self._mirror.members - {self._context.me, except_for}):
+        if self._leader.is_leading:
+            for member in sorted(self._mirror.members - {self._context.own_name, except_for}):
                 spawn(self._confirm(member), f"confirming {member}")
 
     async def _confirm(self, member: str) -> None:
         heartbeat = await self._probes.confirm(member)
         if heartbeat is None:
             return
-        if self._leader.leading and member not in self._leader.confirmed():
-            self._leader.heartbeat(heartbeat)
+        if self._leader.is_leading and member not in self._leader.confirmed_members():
+            self._leader.handle_heartbeat(heartbeat)
--- a/src/beamspar/standby/failover_history.py
+++ b/src/beamspar/standby/failover_history.py
@@ -31,11 +31,11 @@
 
         The first MAX_FAILOVERS_WITHOUT_DELAY need no delay; it doubles with each further one.
         """
-        history_s = self._timeouts.worker_lease * HISTORY_WORKER_LEASES
+        history_s = self._timeouts.worker_lease_s * HISTORY_WORKER_LEASES
         self.times = [at for at in self.times if now - at < history_s]
         if len(self.times) < MAX_FAILOVERS_WITHOUT_DELAY:
             return True
-        delay_s = self._timeouts.leader_lease * 2.0 ** (
+        delay_s = self._timeouts.leader_lease_s * 2.0 ** (
             len(self.times) - MAX_FAILOVERS_WITHOUT_DELAY
         )
         return now - self.times[-1] > delay_s
--- a/src/beamspar/standby/failure_detector.py
+++ b/src/beamspar/standby/failure_detector.py
@@ -47,7 +47,7 @@
         """Return whether the suspect has failed; takes a few heartbeat intervals."""
         for round_number in range(CONFIRMING_ROUNDS):
             if round_number:
-                await sleep(self._clock, self._timeouts.heartbeat / 2)
+                await sleep(self._clock, self._timeouts.member_heartbeat_interval_s / 2)
             if not await self._is_unreachable_for_all(suspect, others):
                 return False
         return True
--- a/src/beamspar/standby/hand_over.py
+++ b/src/beamspar/standby/hand_over.py
@@ -45,7 +45,7 @@
         fewest machines.
         """
         now = self._context.clock.seconds()
-        own_zone = self._zones.get(self._context.me)
+        own_zone = self._zones.get(self._context.own_name)
         followers = self._decision_log.followers
         machines = dict.fromkeys(followers, 0)
         for shard in self._mirror.shards.values():
@@ -59,7 +59,7 @@
                 member,
             )
             for member, progress in followers.items()
-            if now - progress.last_seen_at < self._timeouts.report
+            if now - progress.last_seen_at < self._timeouts.worker_heartbeat_interval_s
             and member in self._mirror.members
         ]
         return [member for *_, member in sorted(ranked)]
@@ -69,13 +69,15 @@
 
         No decisions are made meanwhile. If no follower takes the lead, this controller keeps it.
         """
-        if not self._leader.ready:
+        if not self._leader.is_ready:
             leader = self._mirror.leader or ""
             return HandOverReply(False, leader, "this controller does not lead")
         now = self._context.clock.seconds()
-        self._leader.paused_until = now + self._timeouts.request * PAUSE_REQUESTS
+        self._leader.decisions_paused_until = (
+            now + self._timeouts.request_timeout_s * PAUSE_REQUESTS
+        )
         try:
-            deadline = now + self._timeouts.request * CATCH_UP_REQUESTS
+            deadline = now + self._timeouts.request_timeout_s * CATCH_UP_REQUESTS
             successor = await self._wait_for_complete_follower(request.to, deadline)
             if successor is None:
                 return self._not_handed_over("no such follower has the whole log")
@@ -84,7 +86,7 @@
             log.info("handing the lead over failed, resuming decisions: {error}", error=error)
             return self._not_handed_over("the follower did not answer")
         finally:
-            self._leader.paused_until = self._context.clock.seconds()
+            self._leader.decisions_paused_until = self._context.clock.seconds()
         if not has_taken:
             return self._not_handed_over(f"{successor} could not take the lead")
         log.info("handed the lead over to {member}", member=successor)
@@ -92,7 +94,7 @@
 
     def _not_handed_over(self, reason: str) -> HandOverReply:
         """Return the reply for a lead that was not handed over."""
-        return HandOverReply(False, self._context.me, reason)
+        return HandOverReply(False, self._context.own_name, reason)
 
     async def _offer_lead(self, successor: str) -> bool:
         """Request that the follower take the lead, and return whether it has.
@@ -100,8 +102,8 @@
         Raises CallFailedError.
         """
         index = self._decision_log.followers[successor].index
-        request = TakeLeadRequest(self._context.me, self._decision_log.term, index)
-        timeout_s = self._timeouts.request * ELECTION_REQUESTS
+        request = TakeLeadRequest(self._context.own_name, self._decision_log.term, index)
+        timeout_s = self._timeouts.request_timeout_s * ELECTION_REQUESTS
         body = await self._context.send(successor, StandbyPath.TAKE_LEAD, request, timeout_s)
         reply: TakeLeadReply = decode(body, TakeLeadReply)
         return reply.is_taken
@@ -120,4 +122,4 @@
                     return member
             if self._context.clock.seconds() >= deadline:
                 return None
-            await sleep(self._context.clock, self._timeouts.heartbeat / 4)
+            await sleep(self._context.clock, self._timeouts.member_heartbeat_interval_s / 4)
--- a/src/beamspar/standby/leader_follower.py
+++ b/src/beamspar/standby/leader_follower.py
@@ -41,20 +41,20 @@
 
     async def run(self) -> None:
         """Follow the current leader until the registration ends."""
-        while not self._registration.lost:
+        while not self._registration.is_ended:
             leader = self._mirror.leader
             if (
                 leader is None
-                or leader == self._context.me
+                or leader == self._context.own_name
                 or not self._registration.lease_is_valid()
             ):
-                await sleep(self._context.clock, self._timeouts.heartbeat)
+                await sleep(self._context.clock, self._timeouts.member_heartbeat_interval_s)
                 continue
             await sleep(self._context.clock, await self._follow(leader))
 
     async def _follow(self, leader: str) -> float:
         """Fetch once and return the pause until the next fetch, in seconds."""
-        pause_s = self._timeouts.heartbeat / 2
+        pause_s = self._timeouts.member_heartbeat_interval_s / 2
         try:
             if await self._fetch(leader):
                 pause_s /= 10
@@ -66,25 +66,25 @@
                 leader=leader,
                 error=error,
             )
-            pause_s = self._timeouts.heartbeat * REFUSED_PAUSE_HEARTBEATS
+            pause_s = self._timeouts.member_heartbeat_interval_s * REFUSED_PAUSE_HEARTBEATS
         except (CallFailedError, ValueError) as error:
             log.debug(
                 "fetching decisions of leader {leader} failed: {error}", leader=leader, error=error
             )
-            if leader == self._mirror.leader and not self._registration.lost:
+            if leader == self._mirror.leader and not self._registration.is_ended:
                 await self._on_unreachable(leader, self.succession)
         return pause_s
 
     async def _fetch(self, leader: str) -> bool:
         """Fetch entries that the replica lacks; return whether to fetch more at once."""
-        request = self._replica.request(self._context.me)
-        timeout_s = self._timeouts.heartbeat * FETCH_TIMEOUT_HEARTBEATS
+        request = self._replica.request(self._context.own_name)
+        timeout_s = self._timeouts.member_heartbeat_interval_s * FETCH_TIMEOUT_HEARTBEATS
         body = await self._context.send(leader, StandbyPath.FOLLOW, request, timeout_s)
         reply: FollowReply = decode(body, FollowReply)
         if not reply.term:
             # The member does not lead yet, or no longer leads.
             return False
-        if self._mirror.leader == self._context.me:
+        if self._mirror.leader == self._context.own_name:
             # This controller was elected meanwhile, so a former leader's entries no longer apply.
             return False
         try:
--- a/src/beamspar/standby/probes.py
+++ b/src/beamspar/standby/probes.py
@@ -25,7 +25,7 @@
 
     async def is_reachable(self, member: str) -> bool:
         """Return whether the member responds to a health probe of this controller."""
-        timeout_s = self._timeouts.heartbeat * PROBE_HEARTBEATS
+        timeout_s = self._timeouts.member_heartbeat_interval_s * PROBE_HEARTBEATS
         try:
             body = await self._context.send(member, HEALTH_PROBE_PATH, {}, timeout_s)
             decode(body, HealthProbeResponse)
@@ -36,7 +36,7 @@
 
     async def is_reachable_from(self, peer: str, member: str) -> bool | None:
         """Return whether the peer can reach the member; None if the peer does not respond."""
-        timeout_s = self._timeouts.heartbeat * PEER_PROBE_HEARTBEATS
+        timeout_s = self._timeouts.member_heartbeat_interval_s * PEER_PROBE_HEARTBEATS
         try:
             body = await self._context.send(
                 peer, StandbyPath.PROBE, ProbeRequest(member), timeout_s
@@ -49,10 +49,10 @@
 
     async def confirm(self, member: str) -> MemberHeartbeat | None:
         """Request the member's full heartbeat; return None if it does not respond."""
-        request = ConfirmRequest(self._context.me)
+        request = ConfirmRequest(self._context.own_name)
         try:
             body = await self._context.send(
-                member, StandbyPath.CONFIRM, request, self._timeouts.request
+                member, StandbyPath.CONFIRM, request, self._timeouts.request_timeout_s
             )
             heartbeat: MemberHeartbeat = decode(body, MemberHeartbeat)
         except (CallFailedError, ValueError) as error:
--- a/src/beamspar/standby/standby.py
+++ b/src/beamspar/standby/standby.py
@@ -71,7 +71,7 @@
         self._hand_over = LeadershipHandOver(context, self.log, zones)
         registration.mirror.listeners.append(self._on_record_changed)
         leader.on_ready = self._log_replicated_state
-        leader.lends_by_zone = True
+        leader.offers_by_zone = True
 
     def start(self) -> None:
         """Follow the leader, in the background, until the registration ends."""
@@ -79,7 +79,7 @@
 
     def follow(self, request: FollowRequest) -> FollowReply:
         """Return the entries that a follower lacks; of term 0 if this controller does not lead."""
-        if not self._leader.leading:
+        if not self._leader.is_leading:
             return FollowReply()
         return self.log.answer(request, self._hand_over.succession())
 
@@ -97,13 +97,13 @@
 
     def status(self) -> StandbyStatus:
         """Return the status that operators see."""
-        is_leading = self._leader.leading
+        is_leading = self._leader.is_leading
         log_or_replica = self.log if is_leading else self.replica
         return StandbyStatus(
-            member=self.registration.me,
+            member=self.registration.own_name,
             leader=self._mirror.leader,
             is_leading=is_leading,
-            is_deciding=self._leader.ready,
+            is_deciding=self._leader.is_ready,
             term=log_or_replica.term,
             index=log_or_replica.index,
             lag=0 if is_leading else self.replica.lag,
@@ -145,10 +145,10 @@
         log.info(
             "{me} starts making decisions in term {term}: replicated up to index {index} of term "
             "{copied_term}, lag {lag}, confirmed by {members}",
-            me=self.registration.me,
+            me=self.registration.own_name,
             term=self.log.term,
             index=self.replica.index,
             copied_term=self.replica.term,
             lag=self.replica.lag,
-            members=sorted(self._leader.confirmed()),
+            members=sorted(self._leader.confirmed_members()),
         )
--- a/src/beamspar/state/client.py
+++ b/src/beamspar/state/client.py
@@ -24,7 +24,7 @@
 from beamspar.state.request_queue import RequestPriority, RequestQueue
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock, sleep
-from beamspar.transport.http import Answer, CallFailedError, Net
+from beamspar.transport.http import CallFailedError, HttpResponse, Net
 
 # The error text with which the service rejects a put under an expired lease (PROTOCOL).
 LEASE_NOT_FOUND = "no such lease"
@@ -80,7 +80,7 @@
         self._clock = clock
         self._net = net
         self._address = settings.services.state
-        self._timeout_s = timeouts.request
+        self._timeout_s = timeouts.request_timeout_s
         limits = settings.platform.state
         self._smallest_limits = limits.smallest
         controller_count = max(settings.platform.nodes, 1)
@@ -90,7 +90,7 @@
         # Since when calls of the service have failed; None while they succeed.
         self.failing_since: float | None = None
         # When the service last replied without a server error; rate limit refusals count as well.
-        self.served_at = NEVER
+        self.last_success_at = NEVER
 
     def polls_backlog_s(self) -> float:
         """Return the estimated queueing delay of a user's poll, in seconds."""
@@ -107,7 +107,7 @@
         now = self._clock.seconds()
         if served:
             self.failing_since = None
-            self.served_at = now
+            self.last_success_at = now
         elif self.failing_since is None:
             self.failing_since = now
 
@@ -137,7 +137,7 @@
         return answer.status, data if isinstance(data, dict) else {}
 
     def _raise_if_not_executed(
-        self, method: str, path: str, answer: Answer, is_change: bool
+        self, method: str, path: str, answer: HttpResponse, is_change: bool
     ) -> None:
         """Raise an error if the reply states that the request was not executed."""
         if answer.status == 429:
--- a/src/beamspar/state/job_records.py
+++ b/src/beamspar/state/job_records.py
@@ -39,7 +39,7 @@
 TASKS_SHARE_OF_VALUE = 1 / 2
 # The size limit of a transaction in KiB (PROTOCOL), and the fraction of it that is used.
 MAX_TRANSACTION_KB = 64.0
-MARGIN = 0.75
+TRANSACTION_FILL_RATIO = 0.75
 BYTES_PER_KB = 1024
 
 
@@ -135,7 +135,7 @@
     """Return how many chunks fit into a transaction with the job's own record; at least one."""
     # Chunks in the layout of the first release may be as large as the present limit allows.
     chunk_kb = limits.value_kb * TASKS_SHARE_OF_VALUE
-    available_kb = MAX_TRANSACTION_KB * MARGIN - limits.value_kb
+    available_kb = MAX_TRANSACTION_KB * TRANSACTION_FILL_RATIO - limits.value_kb
     return max(min(limits.smallest.txn_ops - 1, int(available_kb / chunk_kb)), 1)
 
 
--- a/src/beamspar/timeouts.py
+++ b/src/beamspar/timeouts.py
@@ -13,7 +13,7 @@
 # MAX_CLOCK_DRIFT in its own direction, and the same amount is added for safety.
 CLOCK_MARGIN = 4 * MAX_CLOCK_DRIFT
 # The registration lease as a fraction of its maximum duration, and the further fraction of that
-# maximum by which `validity` is shorter than the lease.
+# maximum by which `lease_validity_s` is shorter than the lease.
 LEASE_SHARE = 0.97
 VALIDITY_MARGIN = 0.03
 MIN_REGISTRATION_LEASE_S = 1.0
@@ -22,16 +22,17 @@
 class Timeouts:
     """All durations of the service in seconds, most of them as a multiple of one in the settings.
 
-    `report`, the interval of workers' heartbeats, and `worker_lease` are taken from the settings.
-    The others are derived from these and from further limits in the settings.
+    `worker_heartbeat_interval_s`, the interval of workers' heartbeats, and `worker_lease_s` are
+    taken from the settings. The others are derived from these and from further limits in the
+    settings.
     """
 
     def __init__(self, settings: Settings, operator_settings: OperatorSettings) -> None:
         workers = settings.platform.workers
         # The interval of workers' heartbeats, and how long a worker keeps its tasks running without
         # a reply to them.
-        self.report = workers.report_s
-        self.worker_lease = workers.lease_s
+        self.worker_heartbeat_interval_s = workers.report_s
+        self.worker_lease_s = workers.lease_s
         self._derive_leases(workers, operator_settings.lease_share)
         self._derive_request_timeouts()
         self._derive_intervals()
@@ -43,66 +44,70 @@
         # A partitioned controller observes no cancellations. It may reply to its workers until its
         # lease expires, and they may continue until theirs do. So both leases together must fit
         # into the time within which a cancellation has to take effect.
-        max_lease = (workers.cancel_s - self.worker_lease) * lease_share
-        self.registration_lease = max(max_lease * LEASE_SHARE, MIN_REGISTRATION_LEASE_S)
+        max_lease = (workers.cancel_s - self.worker_lease_s) * lease_share
+        self.registration_lease_s = max(max_lease * LEASE_SHARE, MIN_REGISTRATION_LEASE_S)
         # How long the controller may act after it sent a renewal. By its own clock it stops before
         # the state service expires its lease.
-        self.validity = self.registration_lease * (1 - CLOCK_MARGIN) - max_lease * VALIDITY_MARGIN
+        self.lease_validity_s = (
+            self.registration_lease_s * (1 - CLOCK_MARGIN) - max_lease * VALIDITY_MARGIN
+        )
         # The interval of lease renewals.
-        self.lease_renewal = self.registration_lease / 10
+        self.lease_renewal_interval_s = self.registration_lease_s / 10
         # The time after the last reply to a silent worker at which its tasks have certainly ended.
-        self.worker_gone = self.worker_lease * (1 + CLOCK_MARGIN) + self.report * 0.1
+        self.worker_expiry_s = (
+            self.worker_lease_s * (1 + CLOCK_MARGIN) + self.worker_heartbeat_interval_s * 0.1
+        )
         # The leader's lease covers no machines, so cancellations don't limit it, and a shorter one
         # makes failover faster. A former leader's writes fail once another has taken the lease.
-        self.leader_lease = self.worker_lease * 0.4
+        self.leader_lease_s = self.worker_lease_s * 0.4
 
     def _derive_request_timeouts(self) -> None:
         # The timeout of requests to the state service, the cloud and peers.
-        self.request = self.report / 2
+        self.request_timeout_s = self.worker_heartbeat_interval_s / 2
         # The timeout of direct commands to workers.
-        self.command = self.report * 0.67
+        self.command_timeout_s = self.worker_heartbeat_interval_s * 0.67
         # The delay before a failed operation is retried.
-        self.retry = self.report / 6
+        self.retry_delay_s = self.worker_heartbeat_interval_s / 6
         # How long a watch request waits for a change.
-        self.watch_hold = self.report * 0.67
+        self.watch_hold_s = self.worker_heartbeat_interval_s * 0.67
         # How long an idle connection stays open: several heartbeat intervals.
-        self.keep_open = self.report * 5
+        self.keep_alive_s = self.worker_heartbeat_interval_s * 5
 
     def _derive_intervals(self) -> None:
         # The interval of members' heartbeats to the leader, of health probes and of placement.
-        self.heartbeat = self.report / 6
+        self.member_heartbeat_interval_s = self.worker_heartbeat_interval_s / 6
         # How long users' polls are batched for one read of the state service. With a read for every
         # other poll, polls took more CPU time and request rate than everything else.
-        self.poll_batching = self.heartbeat / 4
+        self.poll_batching_s = self.member_heartbeat_interval_s / 4
         # The interval at which a job controller resends its whole desired state, even if no message
         # is known to be lost.
-        self.resync = self.worker_lease
+        self.resync_interval_s = self.worker_lease_s
 
     def _derive_gang_waits(self, workers: WorkerSettings) -> None:
         # How long a gang's task waits for the others, and the time within which these must receive
         # the command to stop. Platforms with an earlier worker release don't state them.
-        self.gang_wait = workers.gang_wait_s or self.worker_lease * 2
-        self.gang_peer = workers.gang_peer_s or self.report
+        self.gang_wait_s = workers.gang_wait_s or self.worker_lease_s * 2
+        self.gang_peer_s = workers.gang_peer_s or self.worker_heartbeat_interval_s
         # How long a gang is pending before machines are reserved for it.
-        self.gang_starvation = self.gang_wait * 1.5
+        self.gang_starvation_s = self.gang_wait_s * 1.5
 
     def _derive_failure_detection(self) -> None:
         # The maximum age at which the mirror may be used to start work: a watch and its reply.
-        self.mirror_freshness = self.report * 1.67
+        self.mirror_max_age_s = self.worker_heartbeat_interval_s * 1.67
         # A worker or member without heartbeats counts as silent after this time.
-        self.silent = self.report * 2.5
-        # Within `unserved_machine`, a worker without replies tries every controller. After
-        # `out_of_reach`, its controller counts as unreachable: early enough for another controller
-        # to reply within the worker's lease, even if the worker first waits for a reply.
-        self.unserved_machine = self.report * 3
-        self.out_of_reach = self.worker_lease * 0.4
+        self.silence_timeout_s = self.worker_heartbeat_interval_s * 2.5
+        # Within `unserved_machine_window_s`, a worker without replies tries every controller. After
+        # `unreachable_timeout_s`, its controller counts as unreachable: early enough for another
+        # controller to reply within the worker's lease, even if the worker first waits for a reply.
+        self.unserved_machine_window_s = self.worker_heartbeat_interval_s * 3
+        self.unreachable_timeout_s = self.worker_lease_s * 0.4
         # How long a task may run without being named by a job controller before its record is read.
-        self.unknown_task = self.report * 1.5
+        self.unknown_task_timeout_s = self.worker_heartbeat_interval_s * 1.5
         # How long a task beyond its team's quota may stay bound without being observed to run.
-        self.unstarted = self.worker_lease * 2
+        self.unstarted_timeout_s = self.worker_lease_s * 2
 
     def _derive_capacity_waits(self) -> None:
         # How long the largest job of a class is considered for the headroom.
-        self.largest_job_memory = self.worker_lease * 12
+        self.largest_job_memory_s = self.worker_lease_s * 12
         # The idle time after which a machine may be scaled in.
-        self.idle = self.worker_lease * 2
+        self.idle_timeout_s = self.worker_lease_s * 2
--- a/src/beamspar/transport/http.py
+++ b/src/beamspar/transport/http.py
@@ -23,7 +23,7 @@
     """The other side responded that it does not accept this call."""
 
 
-class Call(NamedTuple):
+class HttpRequest(NamedTuple):
     """An HTTP request as it is passed to its handler."""
 
     method: str
@@ -32,7 +32,7 @@
     body: bytes
 
 
-class Answer(NamedTuple):
+class HttpResponse(NamedTuple):
     """A complete HTTP response."""
 
     status: int
@@ -41,7 +41,7 @@
 
 
 # Handles a request and returns the response; an exception is answered with status 500.
-Handler = Callable[[Call], Awaitable[Answer]]
+Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
 
 
 class Net(Protocol):
@@ -49,7 +49,7 @@
 
     def request(
         self, method: str, address: str, path: str, body: bytes | None, limit_s: float
-    ) -> Deferred[Answer]:
+    ) -> Deferred[HttpResponse]:
         """Send a request to HOST:PORT and return its response.
 
         Fails with CallFailedError, after `limit_s` seconds at the latest.
--- a/src/beamspar/transport/http_client.py
+++ b/src/beamspar/transport/http_client.py
@@ -17,7 +17,7 @@
 from twisted.web.http import _ChunkedTransferDecoder, _MalformedChunkedDataError
 
 from beamspar.transport.clock import Clock
-from beamspar.transport.http import Answer
+from beamspar.transport.http import HttpResponse
 
 # Maximum number of idle connections that are kept open to one address.
 MAX_IDLE_CONNECTIONS_PER_ADDRESS = 4
@@ -40,7 +40,7 @@
         self.keep_open = keep_open
         self.on_open: Callable[[], None] = lambda: None
         # Fires with the response of the call in progress; None between calls.
-        self.result: Deferred[Answer] | None = None
+        self.result: Deferred[HttpResponse] | None = None
         self.idle_since = 0.0
         # The response that is being read: its status, 0 before the status line; the bytes of its
         # body not yet received, None if the headers give no length; whether its body has begun.
@@ -54,7 +54,7 @@
         """Handle the opened connection."""
         self.on_open()
 
-    def send(self, request: bytes, result: Deferred[Answer]) -> None:
+    def send(self, request: bytes, result: Deferred[HttpResponse]) -> None:
         """Send a complete request; `result` fires with its response."""
         self.result = result
         self._expect_response()
@@ -142,7 +142,7 @@
         self.setLineMode()  # type: ignore[no-untyped-call]
         if excess:
             self.keep_open = False
-        response = Answer(self.status, b"".join(self.chunks))
+        response = HttpResponse(self.status, b"".join(self.chunks))
         self.chunks = []
         result, self.result = self.result, None
         if self.keep_open:
@@ -185,7 +185,9 @@
 
     noisy = False
 
-    def __init__(self, connection: _Connection, request: bytes, result: Deferred[Answer]) -> None:
+    def __init__(
+        self, connection: _Connection, request: bytes, result: Deferred[HttpResponse]
+    ) -> None:
         self.connection = connection
         self.request = request
         self.result = result
@@ -227,7 +229,7 @@
 
     def request(
         self, method: str, address: str, path: str, body: bytes | None, keep_open: bool
-    ) -> Deferred[Answer]:
+    ) -> Deferred[HttpResponse]:
         """Send a request to HOST:PORT; cancelling the result closes its connection.
 
         With `keep_open`, an idle connection is reused and stays open for the next request.
@@ -236,7 +238,7 @@
         idle = self._idle.get(address)
         if keep_open and idle:
             connection = idle.pop()
-            result: Deferred[Answer] = Deferred(lambda _: connection.abort())
+            result: Deferred[HttpResponse] = Deferred(lambda _: connection.abort())
             connection.send(request, result)
             return result
         return self._connect(address, request, keep_open)
@@ -252,7 +254,7 @@
         lines += ["", ""]
         return "\r\n".join(lines).encode() + (body or b"")
 
-    def _connect(self, address: str, request: bytes, keep_open: bool) -> Deferred[Answer]:
+    def _connect(self, address: str, request: bytes, keep_open: bool) -> Deferred[HttpResponse]:
         host, _, port = address.rpartition(":")
 
         def cancel(_: Any) -> None:
@@ -262,7 +264,7 @@
             else:
                 connector.stopConnecting()
 
-        result: Deferred[Answer] = Deferred(cancel)
+        result: Deferred[HttpResponse] = Deferred(cancel)
         connection = _Connection(self, address, keep_open)
         factory = _ConnectionFactory(connection, request, result)
         connector = self._reactor.connectTCP(host, int(port), factory, self._connect_s)
--- a/src/beamspar/transport/http_server.py
+++ b/src/beamspar/transport/http_server.py
@@ -11,7 +11,7 @@
 
 from beamspar.transport.clock import Clock, spawn
 from beamspar.transport.connection_limits import may_stay_open
-from beamspar.transport.http import Answer, Call, Handler
+from beamspar.transport.http import Handler, HttpRequest, HttpResponse
 
 log = Logger(namespace="http")
 
@@ -62,24 +62,24 @@
         }
         site: Site = self.channel.factory
         body = self.content.read(site.body_limit + 1) if self.content is not None else b""
-        call = Call(self.method.decode("latin1"), self.path.decode("latin1"), query, body)
+        call = HttpRequest(self.method.decode("latin1"), self.path.decode("latin1"), query, body)
         spawn(self._serve(site, call), f"{call.method} {call.path}")
 
-    async def _serve(self, site: Site, call: Call) -> None:
+    async def _serve(self, site: Site, call: HttpRequest) -> None:
         answer = await self._answer(site, call)
         if not self.is_client_disconnected:
             self._send(answer, has_body=call.method != "HEAD")
 
-    async def _answer(self, site: Site, call: Call) -> Answer:
+    async def _answer(self, site: Site, call: HttpRequest) -> HttpResponse:
         if len(call.body) > site.body_limit:
-            return Answer(400)
+            return HttpResponse(400)
         try:
             return await site.handler(call)
         except Exception:
             log.failure("{method} {path} failed", method=call.method, path=call.path)
-            return Answer(500)
+            return HttpResponse(500)
 
-    def _send(self, answer: Answer, has_body: bool) -> None:
+    def _send(self, answer: HttpResponse, has_body: bool) -> None:
         lines = [
             b"HTTP/1.1 %d %s" % (answer.status, RESPONSES.get(answer.status, b"")),
             b"content-type: application/msgpack",
--- a/src/beamspar/transport/tcp.py
+++ b/src/beamspar/transport/tcp.py
@@ -15,7 +15,7 @@
     ConnectionLimits,
     Sockets,
 )
-from beamspar.transport.http import Answer, CallFailedError, Handler
+from beamspar.transport.http import CallFailedError, Handler, HttpResponse
 from beamspar.transport.http_client import HttpClient
 from beamspar.transport.http_server import Site
 
@@ -57,7 +57,7 @@
 
     def request(
         self, method: str, address: str, path: str, body: bytes | None, limit_s: float
-    ) -> Deferred[Answer]:
+    ) -> Deferred[HttpResponse]:
         """Send a request to HOST:PORT and return its response.
 
         Fails with CallFailedError, after `limit_s` seconds at the latest.
@@ -66,15 +66,15 @@
         # of them alive would take the sockets that their heartbeats need.
         keep_open = path != WORKER_COMMANDS_PATH
 
-        def call() -> Deferred[Answer]:
+        def call() -> Deferred[HttpResponse]:
             return self._client.request(method, address, path, body, keep_open)
 
-        def fail(failure: Any) -> Answer:
+        def fail(failure: Any) -> HttpResponse:
             is_refused = failure.check(ConnectionRefusedError) is not None
             error = f"{method} {address}{path}: {failure.type.__name__}"
             raise CallFailedError(error, is_refused)
 
-        result: Deferred[Answer] = ensureDeferred(self._limits.run(path, call))
+        result: Deferred[HttpResponse] = ensureDeferred(self._limits.run(path, call))
         result.addTimeout(limit_s, self._reactor)
         result.addErrback(fail)
         return result
--- a/src/beamspar/workload/gang.py
+++ b/src/beamspar/workload/gang.py
@@ -44,7 +44,7 @@
     # The attempt was bound by this process, or a machine controller has reported one of its tasks.
     is_state_known: bool = False
     # All tasks are to be stopped.
-    stopping: bool = False
+    is_stopping: bool = False
     # One of the tasks has ended, so no checkpoint can be saved any more.
     cannot_save: bool = False
     # When a task was first missing.
@@ -56,7 +56,7 @@
 
     def begin_attempt(self) -> None:
         """Reset the state for a new attempt that is being bound."""
-        self.has_started = self.stopping = self.cannot_save = False
+        self.has_started = self.is_stopping = self.cannot_save = False
         self.is_state_known = True
         self.missing_since = None
         self.excluded_machines.clear()
@@ -69,7 +69,7 @@
             self.failures = 0
         if state == TaskState.SAVING:
             # A task that stops alone saves no checkpoint, so all must be stopped together.
-            self.stopping = True
+            self.is_stopping = True
 
     def observe_lost_task(self, machine: str, now: float, may_replace: bool) -> None:
         """Apply the end of an attempt of one of the tasks that did not complete the task."""
@@ -78,7 +78,7 @@
         if self.missing_since is None:
             self.missing_since = now
         if not may_replace:
-            self.stopping = True
+            self.is_stopping = True
 
     def phase(
         self, unfinished_count: int, bound_count: int, now: float, gang_wait_s: float
@@ -86,7 +86,7 @@
         """Return the phase, given the numbers of unfinished and of bound tasks."""
         if not bound_count:
             return GangPhase.WAITING
-        if self.stopping or (bound_count < unfinished_count and self.has_started):
+        if self.is_stopping or (bound_count < unfinished_count and self.has_started):
             return GangPhase.STOPPING
         if bound_count == unfinished_count:
             return GangPhase.WHOLE
--- a/src/beamspar/workload/job.py
+++ b/src/beamspar/workload/job.py
@@ -29,25 +29,25 @@
         self.version = 0
         self.chunk_versions: dict[int, int] = {}
         # Chunks whose stored record differs from the tasks in memory.
-        self.dirty: set[int] = set()
-        self.writing = False
+        self.dirty_chunks: set[int] = set()
+        self.is_writing = False
         self.write_stamp = ""
         self.tasks: dict[int, Task] = {}
         # Number of tasks bound to a machine, how many of these are reported as running, and the
         # bound tasks by machine. Updated incrementally: a job array may have thousands of bound
         # tasks, and the numbers are read in each placement round and with each heartbeat.
-        self.bound = 0
-        self.running = 0
+        self.bound_count = 0
+        self.running_count = 0
         self._count_by_machine: Counter[str] = Counter()
         # Index from which on no task was ever bound, and the tasks to be retried after an attempt.
         self.next_unstarted = 0
         self.retry_queue: deque[int] = deque()
         # Indexes of completed tasks by chunk, and their total number.
-        self.completed: dict[int, set[int]] = {}
+        self.completed_by_chunk: dict[int, set[int]] = {}
         self.done_count = 0
         self.waiting_since = now
         # Machines with ended attempts that are to be cleared once their ends are stored.
-        self.clearing: set[str] = set()
+        self.machines_to_clear: set[str] = set()
         # Revision and time at which the job was accepted or was last allocated some of its team's
         # quota: the job that has waited longest is served first.
         self.quota_served_revision = 0
@@ -77,17 +77,17 @@
     def is_finished(self) -> bool:
         """Whether no task is left to run, so that the job's end may be stored."""
         if self.status == JobStatus.CANCELLED:
-            return not self.bound
+            return not self.bound_count
         return self.done_count >= self.spec.tasks
 
     def is_completed(self, index: int) -> bool:
         """Return whether the task has completed."""
-        return index in self.completed.get(index // self.tasks_per_chunk, ())
+        return index in self.completed_by_chunk.get(index // self.tasks_per_chunk, ())
 
     def gang_phase(self, now: float) -> GangPhase:
         """Return the phase of the gang's attempt."""
         unfinished_count = self.spec.tasks - self.done_count
-        return self.gang.phase(unfinished_count, self.bound, now, self.gang_wait_s)
+        return self.gang.phase(unfinished_count, self.bound_count, now, self.gang_wait_s)
 
     @property
     def next_attempt(self) -> int:
@@ -97,7 +97,7 @@
 
     # -- which tasks may be placed
 
-    def waiting(self, now: float, limit: int) -> list[int]:
+    def placeable_indexes(self, now: float, limit: int) -> list[int]:
         """Return up to `limit` task indexes that may be placed now, retried tasks first."""
         if (
             self.status != JobStatus.LIVE
@@ -112,7 +112,7 @@
             if phase is not GangPhase.INCOMPLETE:
                 # A gang is placed again only after all attempts of its tasks have ended.
                 return []
-        limit = self.backoff.bindable_count(limit, self.bound, self.running, now)
+        limit = self.backoff.bindable_count(limit, self.bound_count, self.running_count, now)
         return self._first_pending(now, limit) if limit else []
 
     def _first_pending(self, now: float, limit: int) -> list[int]:
@@ -145,7 +145,7 @@
     def bind(self, index: int, machine: str) -> None:
         """Bind an unbound task to the machine."""
         self.tasks[index].machine = machine
-        self.bound += 1
+        self.bound_count += 1
         self._count_by_machine[machine] += 1
         self.quota_usage.bind(index // self.tasks_per_chunk)
 
@@ -158,30 +158,32 @@
         if not self._count_by_machine[machine]:
             del self._count_by_machine[machine]
         task.machine = None
-        self.bound -= 1
+        self.bound_count -= 1
         self.set_state(task, "")
         self.quota_usage.unbind(index // self.tasks_per_chunk)
 
     def set_state(self, task: Task, state: str) -> None:
         """Set the last reported state of a bound task; an empty string if it is unknown."""
-        self.running += (state == TaskState.RUNNING) - (task.state == TaskState.RUNNING)
+        self.running_count += (state == TaskState.RUNNING) - (task.state == TaskState.RUNNING)
         task.state = state
 
     def complete(self, index: int) -> None:
         """Record that the task has completed, which is final."""
-        completed = self.completed.setdefault(index // self.tasks_per_chunk, set())
+        completed = self.completed_by_chunk.setdefault(index // self.tasks_per_chunk, set())
         if index not in completed:
             completed.add(index)
             self.done_count += 1
 
-    def extra_use(self, indexes: Sequence[int]) -> int:
+    def additional_quota_tasks(self, indexes: Sequence[int]) -> int:
         """Return how many more tasks count against the quota once these are bound."""
         if not self.quota_usage.unused_stored:
             return len(indexes)
         tasks_per_chunk = self.tasks_per_chunk
         return self.quota_usage.additional_tasks([index // tasks_per_chunk for index in indexes])
 
-    def places(self, zone_of: Callable[[str], str]) -> tuple[dict[str, int], dict[str, int]]:
+    def task_counts_by_location(
+        self, zone_of: Callable[[str], str]
+    ) -> tuple[dict[str, int], dict[str, int]]:
         """Return the numbers of tasks bound in each zone and on each machine."""
         zones: dict[str, int] = {}
         for machine, count in self._count_by_machine.items():
@@ -208,7 +210,7 @@
 
     def chunk_record(self, chunk: int) -> Chunk:
         """Return the record of a chunk's tasks."""
-        record = Chunk(done=records.ranges(sorted(self.completed.get(chunk, ()))))
+        record = Chunk(done=records.ranges(sorted(self.completed_by_chunk.get(chunk, ()))))
         for index in self.started_indexes(chunk):
             task = self.tasks.get(index)
             # A task whose completion is not stored yet is still in `tasks`. If it were listed as
@@ -228,7 +230,7 @@
             partition=self.partition,
             status=self.status,
             done=self.done_count,
-            running=self.bound,
+            running=self.bound_count,
             chunk=self.chunk_record(0),
             write_stamp=self.write_stamp,
             tasks_per_chunk=self.layout.stored,
@@ -239,12 +241,14 @@
 
         All chunks must be written before the job's record refers to the layout.
         """
-        completed = [index for indexes in self.completed.values() for index in indexes]
+        completed = [index for indexes in self.completed_by_chunk.values() for index in indexes]
         self.layout = layout
-        self.completed = {}
+        self.completed_by_chunk = {}
         for index in completed:
-            self.completed.setdefault(index // layout.tasks_per_chunk, set()).add(index)
+            self.completed_by_chunk.setdefault(index // layout.tasks_per_chunk, set()).add(index)
         self.chunk_versions = {}
-        self.dirty = {index // layout.tasks_per_chunk for index in range(self.next_unstarted)} | {0}
+        self.dirty_chunks = {
+            index // layout.tasks_per_chunk for index in range(self.next_unstarted)
+        } | {0}
         bound = [index for index, task in self.tasks.items() if task.machine is not None]
         self.quota_usage.change_layout(index // layout.tasks_per_chunk for index in bound)
--- a/src/beamspar/workload/quota_usage.py
+++ b/src/beamspar/workload/quota_usage.py
@@ -55,20 +55,21 @@
         """Count a task of the chunk that is no longer bound in memory."""
         self._update(chunk, self._bound[chunk] - 1, self._stored.get(chunk, 0))
 
-    def writing(self, chunk: int) -> int:
+    def begin_write(self, chunk: int) -> int:
         """Record that a write of the chunk begins; return the number of tasks that it binds."""
         bound = self._bound[chunk]
         self._update(chunk, bound, max(self._stored.get(chunk, 0), bound))
         return bound
 
-    def written(self, chunk: int, tasks: int) -> None:
+    def confirm_write(self, chunk: int, tasks: int) -> None:
         """Record that the stored chunk binds this number of tasks; older writes are superseded."""
         self._update(chunk, self._bound[chunk], tasks)
 
     def change_layout(self, chunks_of_bound_tasks: Iterable[int]) -> None:
         """Count by the chunks of another layout, given the chunk of each bound task.
 
-        Until `settle`, the usage is at least what it was before, as either layout may be stored.
+        Until `finish_layout_change`, the usage is at least what it was before, as either layout may
+        be stored.
         """
         self._tasks_before_layout = self.tasks
         self._bound = Counter(chunks_of_bound_tasks)
@@ -76,7 +77,7 @@
         self.unused_stored = {}
         self._tasks = self._bound.total()
 
-    def settle(self) -> None:
+    def finish_layout_change(self) -> None:
         """Record that every chunk of the current layout has been written."""
         self._tasks_before_layout = 0
 
--- a/src/beamspar/workload/task.py
+++ b/src/beamspar/workload/task.py
@@ -20,15 +20,15 @@
 
     __slots__ = (
         "attempt",
-        "avoid",
+        "avoided_machines",
         "failures",
         "fencing_token",
+        "is_preempted_for_quota",
+        "is_stored",
         "machine",
+        "may_preempt",
         "not_before",
-        "preempt",
-        "preempted_for_quota",
         "state",
-        "stored",
     )
 
     def __init__(self, attempt: int = 0) -> None:
@@ -37,16 +37,16 @@
         self.machine: str | None = None
         self.state = ""
         # Whether the binding is stored; the task must not be started before.
-        self.stored = False
+        self.is_stored = False
         # Fencing token under which the task was last sent to its machine controller.
         self.fencing_token = 0
         # Whether work of lower priority on the machine may be preempted for the task.
-        self.preempt = False
+        self.may_preempt = False
         self.failures = 0
         # Whether the task is to be stopped for its team's quota: it is preempted so that work of
         # higher priority can run, or it exceeds the quota allocation.
-        self.preempted_for_quota = False
+        self.is_preempted_for_quota = False
         # Machines to avoid because the task failed there.
-        self.avoid: set[str] = set()
+        self.avoided_machines: set[str] = set()
         # Earliest time at which the task may be placed again.
         self.not_before = 0.0
--- a/tests/call_traces.py
+++ b/tests/call_traces.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from beamspar.transport.http import Answer
+from beamspar.transport.http import HttpResponse
 from tests.standins.net import Network
 from tests.test_scenarios import FILES, play
 
@@ -51,7 +51,7 @@
         """Make the call; add it and its reply to the digest."""
         self.add("call", source, method, address, path, body, limit_s)
 
-        def answered(answer: Answer) -> Answer:
+        def answered(answer: HttpResponse) -> HttpResponse:
             self.add("answer", source, address, path, answer.status, answer.body)
             return answer
 
--- a/tests/standins/loopback.py
+++ b/tests/standins/loopback.py
@@ -21,7 +21,7 @@
 from twisted.internet.defer import Deferred, ensureDeferred
 
 from beamspar.transport.connection_limits import Sockets
-from beamspar.transport.http import Answer, Handler
+from beamspar.transport.http import Handler, HttpResponse
 from beamspar.transport.http_server import Site
 from beamspar.transport.tcp import TcpNet
 from tests.standins.net import Network
@@ -105,7 +105,7 @@
         path: str,
         body: bytes | None,
         limit_s: float,
-    ) -> Deferred[Answer]:
+    ) -> Deferred[HttpResponse]:
         return self.net.request(method, self.real_address(address), path, body, limit_s)
 
 
--- a/tests/standins/net.py
+++ b/tests/standins/net.py
@@ -9,7 +9,7 @@
 from twisted.internet.defer import Deferred, ensureDeferred
 
 from beamspar.transport.connection_limits import ConnectionLimits, may_stay_open
-from beamspar.transport.http import Answer, Call, CallFailedError, Handler
+from beamspar.transport.http import CallFailedError, Handler, HttpRequest, HttpResponse
 from tests.standins.clock import SimClock
 
 
@@ -146,19 +146,19 @@
         path: str,
         body: bytes | None,
         limit_s: float,
-    ) -> Deferred[Answer]:
+    ) -> Deferred[HttpResponse]:
         """Make a call; it fails with CallFailedError, at the latest after `limit_s`."""
         if path == "/orders" and body:
             self.on_commands(source, body)
         if path.startswith("/peer/"):
             self.peer_bytes += len(body or b"")
-        result: Deferred[Answer] = Deferred()
+        result: Deferred[HttpResponse] = Deferred()
         settled: list[bool] = []
         generation = self.generation.get(source, 0)
         self.calls_under_way[source] = self.calls_under_way.get(source, 0) + 1
         self.peak_sockets[source] = max(self.peak_sockets.get(source, 0), self.sockets(source))
 
-        def settle(answer: Answer | None) -> None:
+        def settle(answer: HttpResponse | None) -> None:
             wait_s = self.seconds_until_ready(source)
             if wait_s > 0:
                 # A busy or frozen host processes replies and the time-out once it runs again.
@@ -201,7 +201,9 @@
             name, _, query_text = path.partition("?")
             query = dict(p.partition("=")[::2] for p in query_text.split("&") if p)
             self.caller, self.caller_generation = source, generation
-            reply = ensureDeferred(_call_handler(entry[1], Call(method, name, query, body or b"")))
+            reply = ensureDeferred(
+                _call_handler(entry[1], HttpRequest(method, name, query, body or b""))
+            )
             reply.addBoth(lambda result: (self._close_connection(connection, address), result)[1])
             reply.addCallback(lambda answer: self.carry(target, source, lambda: settle(answer)))
             reply.addErrback(lambda _: self.carry(target, source, lambda: settle(None)))
@@ -210,7 +212,7 @@
         return result
 
 
-async def _call_handler(handler: Handler, call: Call) -> Answer:
+async def _call_handler(handler: Handler, call: HttpRequest) -> HttpResponse:
     return await handler(call)
 
 
@@ -233,11 +235,11 @@
 
     def request(
         self, method: str, address: str, path: str, body: bytes | None, limit_s: float
-    ) -> Deferred[Answer]:
+    ) -> Deferred[HttpResponse]:
         if self.network.generation.get(self.host, 0) != self.generation:
             return Deferred()
 
-        async def call() -> Answer:
+        async def call() -> HttpResponse:
             try:
                 return await self.network.request(self.host, method, address, path, body, limit_s)
             except CallFailedError as error:
@@ -248,8 +250,8 @@
     def listen(self, address: str, handler: Handler, most: int, limit: int) -> Deferred[Any]:
         assert most > 0
 
-        async def limited(call: Call) -> Answer:
-            return Answer(400) if len(call.body) > limit else await handler(call)
+        async def limited(call: HttpRequest) -> HttpResponse:
+            return HttpResponse(400) if len(call.body) > limit else await handler(call)
 
         self.network.serve(self.host, address, limited)
         self.network.limit_connections(self.host, address, most)
--- a/tests/standins/sharing.py
+++ b/tests/standins/sharing.py
@@ -10,7 +10,7 @@
 from twisted.internet.defer import Deferred
 
 from beamspar.protocol.codec import unpack
-from beamspar.transport.http import Answer
+from beamspar.transport.http import HttpResponse
 from tests.standins.world import ZONES, World
 
 SHARD_PREFIX = "c/block/"
@@ -40,7 +40,7 @@
 
     def _request_with_hooks(
         self, source: str, method: str, address: str, path: str, body: bytes | None, limit_s: float
-    ) -> Deferred[Answer]:
+    ) -> Deferred[HttpResponse]:
         is_move = path == "/multi" and any(
             change.get("put", "").startswith(SHARD_PREFIX) and change["data"].get("live")
             for change in unpack(body or b"").get("apply", ())
@@ -58,7 +58,7 @@
             reply.addCallback(lambda answer: (self._run_hook("committed"), answer)[1])
         return reply
 
-    def tell(self, member: str, path: str, message: Any, raw: bytes | None = None) -> list[Any]:
+    def send(self, member: str, path: str, message: Any, raw: bytes | None = None) -> list[Any]:
         """Send a peer's or an operator's message; its status and reply are added to the list."""
         result: list[Any] = []
         body = orjson.dumps(message) if raw is None else raw
@@ -69,9 +69,9 @@
         )
         return result
 
-    def say(self, member: str, path: str, message: Any) -> tuple[int, Any]:
+    def send_and_wait(self, member: str, path: str, message: Any) -> tuple[int, Any]:
         """Send a message, run the simulation for 2 s and return the status and reply."""
-        result = self.tell(member, path, message)
+        result = self.send(member, path, message)
         self.run(self.clock.seconds() + 2.0)
         return result[0], result[1]
 
@@ -98,7 +98,7 @@
             return
         shards = sorted(self.shards())
         for shard in rng.sample(shards, min(len(shards), 3)):
-            self.tell(self.leader(), "move", {"block": shard, "to": rng.choice(self.names)})
+            self.send(self.leader(), "move", {"block": shard, "to": rng.choice(self.names)})
         self.clock.callLater(every_s, self.reshuffle, rng, until, every_s)
 
     def load(self, rng: random.Random, count: int, every_s: float) -> None:
--- a/tests/standins/state.py
+++ b/tests/standins/state.py
@@ -10,7 +10,7 @@
 from twisted.internet.defer import Deferred
 
 from beamspar.protocol.codec import pack, unpack
-from beamspar.transport.http import Answer, Call
+from beamspar.transport.http import HttpRequest, HttpResponse
 from tests.standins.clock import SimClock
 
 # Number of most recent changes that a watch can read; older ones are compacted.
@@ -66,7 +66,7 @@
         self.next_lease_id = 1
         self.history: list[tuple[int, dict[str, Any]]] = []
         self.compacted_revision = 0
-        self.watches: list[tuple[str, int, Deferred[Answer], str]] = []
+        self.watches: list[tuple[str, int, Deferred[HttpResponse], str]] = []
         self.down = False
         # Descriptions of what exceeded a size limit; the size of the largest accepted value.
         self.oversized: list[str] = []
@@ -146,21 +146,21 @@
             if rev > since and (e.get("put") or e["drop"]).startswith(prefix)
         ]
 
-    def _watch_answer(self, events: list[dict[str, Any]]) -> Answer:
-        return Answer(200, pack({"ledger_rev": self.revision, "events": events}))
+    def _watch_answer(self, events: list[dict[str, Any]]) -> HttpResponse:
+        return HttpResponse(200, pack({"ledger_rev": self.revision, "events": events}))
 
-    async def handle(self, call: Call) -> Answer:
+    async def handle(self, call: HttpRequest) -> HttpResponse:
         """Serve one request."""
         writer = self.caller()
         host = writer.host
         if self.down or host in self.refused_hosts:
-            return Answer(503)
+            return HttpResponse(503)
         body = unpack(call.body) if call.body else {}
         if not self.requests.acquire(1) or (
             call.path == "/multi" and not self.changes.acquire(len(body.get("apply", [])))
         ):
             self.throttled_count += 1
-            return Answer(429)
+            return HttpResponse(429)
         if call.path == "/multi" and self._loses_answer(body):
             if self.loses_answer_only:
                 self._transact(body, writer)
@@ -174,9 +174,9 @@
         if call.path.startswith("/store/"):
             item = self.items.get(call.path.removeprefix("/store/"))
             if item is None:
-                return Answer(404, pack({"ledger_rev": self.revision}))
+                return HttpResponse(404, pack({"ledger_rev": self.revision}))
             key = call.path.removeprefix("/store/")
-            return Answer(200, pack({"key": key, "data": item[0], "entry_rev": item[1]}))
+            return HttpResponse(200, pack({"key": key, "data": item[0], "entry_rev": item[1]}))
         if call.path == "/store":
             prefix, after = call.query["under"], call.query.get("since", "")
             keys = sorted(k for k in self.items if k.startswith(prefix) and k > after)
@@ -184,7 +184,7 @@
                 {"key": k, "data": self.items[k][0], "entry_rev": self.items[k][1]}
                 for k in keys[:1000]
             ]
-            return Answer(
+            return HttpResponse(
                 200,
                 pack({"rows": rows, "truncated": len(keys) > 1000, "ledger_rev": self.revision}),
             )
@@ -194,17 +194,17 @@
             lease_id, self.next_lease_id = self.next_lease_id, self.next_lease_id + 1
             life = body["life_ms"] / 1000
             self.leases[lease_id] = (life, self.clock.seconds() + life)
-            return Answer(200, pack({"permit": lease_id}))
+            return HttpResponse(200, pack({"permit": lease_id}))
         if call.path.startswith("/grants/"):
             lease_id = int(call.path.split("/")[2])
             if lease_id not in self.leases:
-                return Answer(404)
+                return HttpResponse(404)
             if call.method == "DELETE":
                 self._end_lease(lease_id)
-                return Answer(200, pack({}))
+                return HttpResponse(200, pack({}))
             life = self.leases[lease_id][0]
             self.leases[lease_id] = (life, self.clock.seconds() + life)
-            return Answer(200, pack({}))
+            return HttpResponse(200, pack({}))
         if call.path == "/watch":
             answer = await self._watch(call.query, host)
             if host in self.late_watches:
@@ -212,7 +212,7 @@
                 self.clock.callLater(self.late_watches[host], late.callback, None)
                 await late
             return answer
-        return Answer(400)
+        return HttpResponse(400)
 
     def _loses_answer(self, body: Any) -> bool:
         """Return whether this transaction gets no reply."""
@@ -232,9 +232,9 @@
         self.requests.rate = limits.get("rps", self.requests.rate)
         self.changes.rate = limits.get("write_rps", self.changes.rate)
 
-    def _reject(self, what: str) -> Answer:
+    def _reject(self, what: str) -> HttpResponse:
         self.oversized.append(what)
-        return Answer(400, pack({"error": "too large"}))
+        return HttpResponse(400, pack({"error": "too large"}))
 
     def _apply_late(self, body: Any, writer: Writer) -> None:
         if self.down:
@@ -242,14 +242,14 @@
         else:
             self._transact(body, writer)
 
-    async def _watch(self, query: dict[str, str], host: str) -> Answer:
+    async def _watch(self, query: dict[str, str], host: str) -> HttpResponse:
         prefix, since = query["under"], int(query["since"])
         if since < self.compacted_revision:
-            return Answer(410)
+            return HttpResponse(410)
         events = self._events(prefix, since)
         if events and not self.down:
             return self._watch_answer(events)
-        reply: Deferred[Answer] = Deferred()
+        reply: Deferred[HttpResponse] = Deferred()
         entry = (prefix, since, reply, host)
         self.watches.append(entry)
 
@@ -264,7 +264,7 @@
         self.clock.callLater(int(query.get("hold_ms", "0")) / 1000, end_hold)
         return await reply
 
-    def _transact(self, body: Any, writer: Writer) -> Answer:
+    def _transact(self, body: Any, writer: Writer) -> HttpResponse:
         changes = body.get("apply", [])
         if len(changes) > self.txn_ops or len(body["if"]) > self.txn_ops * 4:
             return self._reject(f"a transaction of {len(changes)} on {len(body['if'])}")
@@ -282,9 +282,9 @@
         ]
         for change in changes:
             if change.get("permit") is not None and change["permit"] not in self.leases:
-                return Answer(400, pack({"error": "no such lease"}))
+                return HttpResponse(400, pack({"error": "no such lease"}))
         if failed:
-            return Answer(409, pack({"failed": failed, "ledger_rev": self.revision}))
+            return HttpResponse(409, pack({"failed": failed, "ledger_rev": self.revision}))
         if changes:
             self._commit(changes, writer)
-        return Answer(200, pack({"ledger_rev": self.revision}))
+        return HttpResponse(200, pack({"ledger_rev": self.revision}))
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -9,7 +9,7 @@
 from twisted.internet.defer import Deferred
 
 from beamspar.protocol.codec import pack, unpack
-from beamspar.transport.http import Answer, Call
+from beamspar.transport.http import HttpRequest, HttpResponse
 from tests.standins.checker import Checker
 from tests.standins.clock import SimClock
 from tests.standins.gangs import Gangs
@@ -139,7 +139,7 @@
         self.target = names[(names.index(self.target) + 1) % len(names)]
         self.clock.callLater(1.0, self._send_heartbeat)
 
-    def _answered(self, answer: Answer, sent: float, agent_epoch: int) -> None:
+    def _answered(self, answer: HttpResponse, sent: float, agent_epoch: int) -> None:
         self.is_heartbeat_under_way = False
         data = unpack(answer.body) if answer.body else {}
         if (
@@ -166,7 +166,7 @@
             self.fencing_token = fencing_token
             self.schedule_heartbeat()
 
-    async def handle(self, call: Call) -> Answer:
+    async def handle(self, call: HttpRequest) -> HttpResponse:
         """Execute the commands of a controller and return a heartbeat."""
         caller = self.network.caller
         while self.hung:
@@ -174,15 +174,15 @@
             self.clock.callLater(0.5, resumed.callback, None)
             await resumed
         if self.dead:
-            return Answer(500)
+            return HttpResponse(500)
         if call.path == "/orders":
             body = unpack(call.body)
             if body["baton"] < self.fencing_token or body["shift"] != self.agent_epoch:
-                return Answer(409, pack(self.message()))
+                return HttpResponse(409, pack(self.message()))
             self.on_fencing_token(self.name, body["baton"], caller)
             self._observe_fencing_token(body["baton"])
             self._execute(body["orders"])
-        return Answer(200, pack(self.message()))
+        return HttpResponse(200, pack(self.message()))
 
     def _execute(self, orders: list[dict[str, Any]]) -> None:
         for order in orders:
@@ -311,15 +311,15 @@
             machine["status"] = "running"
             self.workers[name] = self.make_worker(machine)
 
-    async def handle(self, call: Call) -> Answer:
+    async def handle(self, call: HttpRequest) -> HttpResponse:
         """Serve one request."""
         if self.down:
-            return Answer(503, pack({"error": "trouble"}))
+            return HttpResponse(503, pack({"error": "trouble"}))
         if not self._admitted():
             self.refused_requests += 1
-            return Answer(429)
+            return HttpResponse(429)
         if call.path == "/machine_types":
-            return Answer(200, pack({"rig_kinds": self.types}))
+            return HttpResponse(200, pack({"rig_kinds": self.types}))
         body = unpack(call.body) if call.body else {}
         if call.path == "/rentals" and call.method == "POST":
             return self._scale_out(body)
@@ -332,7 +332,7 @@
                     worker = self.workers.get(name)
                     if worker:
                         worker.die()
-            return Answer(200, pack({}))
+            return HttpResponse(200, pack({}))
         return self._list(call.query.get("since", ""), int(call.query.get("most", self.PAGE)))
 
     def _admitted(self) -> bool:
@@ -345,7 +345,7 @@
         self.tokens -= 1
         return True
 
-    def _list(self, since: str, most: int) -> Answer:
+    def _list(self, since: str, most: int) -> HttpResponse:
         now = self.clock.seconds()
         names = sorted(name for name in self.machines if name > since)
         names_on_page = names[: min(most, self.PAGE)]
@@ -354,18 +354,18 @@
             machine = self.machines[name]
             listed = {k: v for k, v in machine.items() if k != "born"}
             rigs.append({**listed, "held_s": now - machine["born"]})
-        return Answer(200, pack({"rigs": rigs, "truncated": len(names_on_page) < len(names)}))
+        return HttpResponse(200, pack({"rigs": rigs, "truncated": len(names_on_page) < len(names)}))
 
-    def _scale_out(self, body: dict[str, Any]) -> Answer:
+    def _scale_out(self, body: dict[str, Any]) -> HttpResponse:
         if body["hire"] in self.instances_by_request:
-            return Answer(200, pack({"rigs": self.instances_by_request[body["hire"]]}))
+            return HttpResponse(200, pack({"rigs": self.instances_by_request[body["hire"]]}))
         place = (body["rig_kind"], body["yard"], body["standby"])
         count = min(body["how_many"], self.capacity.get(place, 0))
         if not count:
-            return Answer(503, pack({"error": "no capacity"}))
+            return HttpResponse(503, pack({"error": "no capacity"}))
         self.capacity[place] -= count
         boot = next(t["boot_s"] for t in self.types if t["label"] == body["rig_kind"])
         boot = boot if self.boot_s is None else self.boot_s
         rigs = [self.add(*place, boot) for _ in range(count)]
         self.instances_by_request[body["hire"]] = rigs
-        return Answer(200, pack({"rigs": rigs}))
+        return HttpResponse(200, pack({"rigs": rigs}))
--- a/tests/test_attempt_statuses.py
+++ b/tests/test_attempt_statuses.py
@@ -52,8 +52,8 @@
     for index in range(spec.tasks):
         task = job.dequeue(index)
         job.bind(index, f"host-{index}")
-        task.attempt, task.stored, task.fencing_token = 1, True, TOKEN
-    controller.keep(job)
+        task.attempt, task.is_stored, task.fencing_token = 1, True, TOKEN
+    controller.add_restored_job(job)
     return controller, job, clock
 
 
@@ -77,7 +77,7 @@
     controller, job, _ = make()
     controller.observe_statuses([status(0, AttemptState.GONE, **stale)])
     assert job.tasks[0].machine == "host-0"
-    assert not job.retry_queue and not job.dirty
+    assert not job.retry_queue and not job.dirty_chunks
 
 
 @pytest.mark.parametrize("answer", [AttemptState.GONE, AttemptState.REFUSED, AttemptState.KEPT])
@@ -88,7 +88,7 @@
     assert list(controller.assignments.pending_clears) == ["host-0"]
     controller.observe_statuses([status(0, answer)])
     assert controller.assignments.pending_clears == {}
-    assert job.done_count == 1 and job.bound == 1
+    assert job.done_count == 1 and job.bound_count == 1
 
 
 def test_a_service_is_never_done() -> None:
@@ -100,16 +100,19 @@
 def test_a_task_that_failed_avoids_the_machine_for_a_pause() -> None:
     controller, job, _ = make()
     controller.observe_statuses([status(0, AttemptState.ENDED, "error")])
-    assert job.tasks[0].avoid == {"host-0"}
+    assert job.tasks[0].avoided_machines == {"host-0"}
     assert job.tasks[0].failures == 1
-    assert job.tasks[0].not_before == controller.attempt_statuses.timeouts.retry
+    assert job.tasks[0].not_before == controller.attempt_statuses.timeouts.retry_delay_s
 
 
 def test_a_refused_start_is_retried_after_half_a_heartbeat_and_is_no_failure() -> None:
     controller, job, _ = make()
     controller.observe_statuses([status(0, AttemptState.REFUSED)])
     assert job.tasks[0].failures == 0
-    assert job.tasks[0].not_before == controller.attempt_statuses.timeouts.heartbeat / 2
+    assert (
+        job.tasks[0].not_before
+        == controller.attempt_statuses.timeouts.member_heartbeat_interval_s / 2
+    )
 
 
 def test_a_cancellation_held_only_by_the_mirror_is_applied_when_an_attempt_ends() -> None:
@@ -117,13 +120,13 @@
     controller.mirror.announced_cancellations["j-1"] = 20
     controller.observe_statuses([status(0, AttemptState.GONE)])
     assert job.status == JobStatus.CANCELLED
-    assert not job.waiting(100.0, 1)
+    assert not job.placeable_indexes(100.0, 1)
 
 
 def test_all_tasks_of_a_gang_are_done_with_the_first() -> None:
     controller, job, _ = make(GANG)
     controller.observe_statuses([status(0, AttemptState.ENDED, "done")])
-    assert job.done_count == 2 and job.bound == 0
+    assert job.done_count == 2 and job.bound_count == 0
     assert not controller.assignments.by_machine
     assert sorted(controller.assignments.pending_clears) == ["host-0", "host-1"]
 
@@ -132,10 +135,10 @@
     controller, job, clock = make(GANG)
     controller.observe_statuses([status(0, AttemptState.GONE)])
     controller.gang_attempts.stop_incomplete(clock.seconds() + 9.0)
-    assert not job.gang.stopping
+    assert not job.gang.is_stopping
     for _ in range(3):
         controller.gang_attempts.stop_incomplete(clock.seconds() + 11.0)
-    assert job.gang.stopping
+    assert job.gang.is_stopping
     assert job.gang.failures == 1
 
 
@@ -143,7 +146,7 @@
 def test_a_gang_that_had_started_is_stopped_when_it_loses_a_task(changes: Any) -> None:
     controller, job, _ = make(GANG)
     controller.observe_statuses([status(0, AttemptState.ENDED, **changes)])
-    assert job.gang.stopping and job.gang.failures == 0
+    assert job.gang.is_stopping and job.gang.failures == 0
 
 
 def test_a_gang_that_fails_counts_one_failure_however_many_of_its_tasks_fail() -> None:
@@ -152,12 +155,12 @@
     lost = [status(index, AttemptState.ENDED, "error", saved=True) for index in range(2)]
     controller.observe_statuses(lost)
     assert job.gang.failures == 1
-    assert [task.avoid for task in job.tasks.values()] == [{"host-0"}, {"host-1"}]
+    assert [task.avoided_machines for task in job.tasks.values()] == [{"host-0"}, {"host-1"}]
 
 
 def test_a_task_on_a_machine_that_left_its_shard_is_retried() -> None:
     controller, job, _ = make()
-    job.tasks[1].stored = False
+    job.tasks[1].is_stored = False
     controller.mirror.observe(keys.shard("s-1"), None, 9)
     controller.attempt_statuses.end_attempts_on_vanished_machines()
     assert job.tasks[0].machine is None
@@ -172,7 +175,7 @@
     job.bind(0, "host-2")
     controller.assignments.assign_new("host-2", job, 0, task)
     assert list(controller.assignments.unpublished) == [TaskKey("j-1", 0)]
-    controller.loaded = {"rig-0.1"}
+    controller.loaded_partitions = {"rig-0.1"}
     sent: list[Any] = []
 
     def send(member: str, updates: list[Any]) -> Deferred[Any]:
--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -16,7 +16,7 @@
 
 from beamspar.protocol import peer_messages as messages
 from beamspar.protocol.jobs import JobSpec
-from beamspar.protocol.room import Room
+from beamspar.protocol.machine_capacity import MachineCapacity
 from beamspar.state import job_records as records
 from beamspar.state.control_records import MachineShard, shard_record
 from tests.standins import releases
@@ -92,8 +92,8 @@
     update = messages.DesiredStateUpdate("rig-0", "rig-0.1", 3, 1, 9, [desired_attempt])
     read = production.decode(messages.encode([update]), list[production.Sync])
     assert read[0].wants[0].task == "j-1/0" and not hasattr(read[0].wants[0], "gang")
-    room = Room("host-1", "small", "east", False, 4.0, 0.0, 16.0)
-    status = messages.MachineStatus(room, 7, True, False, False, False, False, False, 0.1, 2.0)
+    capacity = MachineCapacity("host-1", "small", "east", False, 4.0, 0.0, 16.0)
+    status = messages.MachineStatus(capacity, 7, True, False, False, False, False, False, 0.1, 2.0)
     heartbeat = messages.MemberHeartbeat("rig-0", 1, [status])
     assert (
         production.decode(messages.encode(heartbeat), production.Summary).views[0].room.name
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -18,7 +18,7 @@
     InstancesGranted,
     InstancesRefused,
     InstancesRequested,
-    LeadState,
+    LeaderState,
     MachinesDeleted,
     MachinesStarted,
     Place,
@@ -33,9 +33,9 @@
 
 def make_log_and_replica() -> tuple[SimClock, DecisionLog, Replica]:
     clock = SimClock()
-    log = DecisionLog(clock, LeadState())
+    log = DecisionLog(clock, LeaderState())
     log.begin(7)
-    return clock, log, Replica(clock, LeadState())
+    return clock, log, Replica(clock, LeaderState())
 
 
 def catch_up(log: DecisionLog, replica: Replica, max_messages: int = 100) -> int:
@@ -66,13 +66,13 @@
     )
 
 
-def comparable(state: LeadState, now: float) -> object:
+def comparable(state: LeaderState, now: float) -> object:
     """Return the state in a comparable form, with times rounded to microseconds."""
     return (
         state.pending,
         {m: (b.kind, b.zone, b.spot, round(b.since, 6)) for m, b in state.booting.items()},
-        {p: (round(until - now, 6), pause) for p, (until, pause) in state.refused.items()},
-        state.returned,
+        {p: (round(until - now, 6), pause) for p, (until, pause) in state.refusals.items()},
+        state.deleted_machines,
         {machine: images for machine, (images, _) in state.caches.items()},
     )
 
@@ -90,7 +90,7 @@
             assert (replica.term, replica.index, replica.lag) == (7, log.index, 0)
         if rng.random() < 0.02:
             # The follower has restarted, or another term has begun.
-            replica = Replica(clock, LeadState())
+            replica = Replica(clock, LeaderState())
 
 
 def test_each_entry_is_applied_once_and_in_order() -> None:
@@ -121,7 +121,7 @@
     _, log, replica = make_log_and_replica()
     log.decide(InstancesRequested("r-1", PLACES[0], 1))
     catch_up(log, replica)
-    old_log = DecisionLog(SimClock(), LeadState())
+    old_log = DecisionLog(SimClock(), LeaderState())
     old_log.begin(6)
     old_log.decide(InstancesRequested("r-old", PLACES[0], 1))
     with pytest.raises(StaleTermError, match="over"):
@@ -136,7 +136,7 @@
     clock, log, replica = make_log_and_replica()
     log.decide(InstancesRequested("r-1", PLACES[0], 1))
     catch_up(log, replica)
-    successor_log = DecisionLog(clock, LeadState())
+    successor_log = DecisionLog(clock, LeaderState())
     successor_log.begin(9)
     successor_log.decide(InstancesRequested("r-2", PLACES[0], 1))
     catch_up(successor_log, replica)
--- a/tests/test_desired_state.py
+++ b/tests/test_desired_state.py
@@ -31,7 +31,7 @@
     for index in range(spec.tasks):
         job.dequeue(index)
         job.bind(index, f"host-{index}")
-        job.tasks[index].attempt, job.tasks[index].stored = 1, stored
+        job.tasks[index].attempt, job.tasks[index].is_stored = 1, stored
     return job, job.tasks[0]
 
 
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize("may_start", [True, False])
 def test_a_cancelled_or_preempted_task_is_stopped_whatever_its_quota(may_start: bool) -> None:
     job, task = bound()
-    task.preempted_for_quota = True
+    task.is_preempted_for_quota = True
     assert action(job, task, may_start) is DesiredAction.STOP
     assert action(job, job.tasks[1], may_start) is not DesiredAction.STOP
     job.status = JobStatus.CANCELLED
@@ -67,7 +67,7 @@
 def test_all_tasks_of_a_stopping_gang_are_stopped() -> None:
     job, task = bound(msgspec.structs.replace(SPEC, shape="ensemble"))
     assert action(job, task) is DesiredAction.RUN
-    job.gang.stopping = True
+    job.gang.is_stopping = True
     assert {action(job, each) for each in job.tasks.values()} == {DesiredAction.STOP}
 
 
@@ -88,7 +88,7 @@
 
 def test_each_field_of_a_desired_attempt_has_its_value() -> None:
     job, task = bound()
-    task.attempt, task.preempt = 3, True
+    task.attempt, task.may_preempt = 3, True
     attempt = desired_attempt("host-0", 9, "j-1/0", AssignedTask(job, task), DesiredAction.RUN)
     assert msgspec.structs.asdict(attempt) == {
         "machine": "host-0",
--- a/tests/test_failure_backoff.py
+++ b/tests/test_failure_backoff.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from beamspar.machines.fault_evidence import MOST_JOBS, FaultEvidence
+from beamspar.machines.fault_evidence import MAX_TRACKED_JOBS, FaultEvidence
 from beamspar.machines.managed_machine import ManagedMachine
 from beamspar.settings import OperatorSettings, Settings
 from beamspar.state.control_records import Machine
@@ -96,10 +96,10 @@
 
 def test_the_memory_for_fault_evidence_is_bounded() -> None:
     faults, one = evidence(), machine("host-1")
-    for number in range(MOST_JOBS * 2):
+    for number in range(MAX_TRACKED_JOBS * 2):
         faults.attribute_failure(one, f"j-{number}", False, float(number))
-    assert len(faults._machines_of) == MOST_JOBS
-    assert len(one.job_failures) <= faults.timeouts.worker_lease * 6 + 1
+    assert len(faults._machines_of) == MAX_TRACKED_JOBS
+    assert len(one.job_failures) <= faults.timeouts.worker_lease_s * 6 + 1
 
 
 def test_a_desired_attempt_of_this_release_is_read_by_one_without_the_field() -> None:
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -34,7 +34,7 @@
 from beamspar.protocol import jobs as jobs_protocol
 from beamspar.protocol import peer_messages as messages
 from beamspar.protocol import workers as workers_protocol
-from beamspar.protocol.room import Room
+from beamspar.protocol.machine_capacity import MachineCapacity
 from beamspar.quota import allocations as shares
 from beamspar.quota import quota_manager as quota_manager
 from beamspar.sharing import messages as sharing
@@ -100,13 +100,13 @@
     )
 
 
-def room() -> Any:
+def capacity() -> Any:
     free = (88.5, 6.5, 700.25, {"img-07": 6.5}, [(1.5, 2.5, 3.5)])
-    return Room("host-7", "g8", "b", True, *free, False, 3, 2)
+    return MachineCapacity("host-7", "g8", "b", True, *free, False, 3, 2)
 
 
 def machine_status() -> Any:
-    return messages.MachineStatus(room(), 41, True, True, True, True, True, True, 1.5, 2.5)
+    return messages.MachineStatus(capacity(), 41, True, True, True, True, True, True, 1.5, 2.5)
 
 
 def job_class() -> Any:
@@ -169,7 +169,7 @@
 
 def shares_reply() -> Any:
     member = sharing.MemberShare("rig-1", 7, 3, 21.5, 0.25, 6.5, True)
-    move = sharing.MoveShown("b-1", "rig-1", "rig-2", "load", "prepared")
+    move = sharing.MoveView("b-1", "rig-1", "rig-2", "load", "prepared")
     return sharing.SharesReply("rig-1", "rig-2", True, "leaving", [member], [move])
 
 
@@ -289,7 +289,7 @@
         3,
         [
             messages.MachineStatus(
-                Room("host-7", "g8", "b", False, 0.0, 0.0, 0.0),
+                MachineCapacity("host-7", "g8", "b", False, 0.0, 0.0, 0.0),
                 41,
                 *[False] * 6,
                 0.0,
@@ -402,11 +402,11 @@
 
     def request(
         self, method: str, address: str, path: str, body: bytes | None, limit_s: float
-    ) -> Deferred[http.Answer]:
+    ) -> Deferred[http.HttpResponse]:
         self.calls.append([method, address, path, "no body" if body is None else body.hex()])
         answer = self.answers.pop(0)
         raw = answer if isinstance(answer, bytes) else codec.pack(msgspec.to_builtins(answer))
-        return succeed(http.Answer(200, raw))
+        return succeed(http.HttpResponse(200, raw))
 
 
 def deployment() -> settings.Settings:
@@ -497,8 +497,8 @@
 async def forward_request(net: Recorder) -> None:
     tuning, rng = settings.OperatorSettings(), random.Random(1)
     sender = node.Node(SimClock(), net, deployment(), tuning, rng)  # type: ignore[arg-type]
-    call = http.Call("POST", "/submissions", {}, codec.pack(JOB))
-    answer = http.Answer(503, codec.pack({"error": "busy"}), (("Retry-After", "2"),))
+    call = http.HttpRequest("POST", "/submissions", {}, codec.pack(JOB))
+    answer = http.HttpResponse(503, codec.pack({"error": "busy"}), (("Retry-After", "2"),))
     assert await sender.forwarder.forward("rig-2", call) == answer
 
 
@@ -586,11 +586,11 @@
     world.run(20.5)
     assert cancellation_records == {"{'t': 1}"}, "the cancellation record of the job"
     for path in ("shares", "standby"):
-        assert world.say("rig-0", path, {})[0] == 200
-    assert world.say(world.leader(), "hand-over", {"to": ""})[0] == 200
+        assert world.send_and_wait("rig-0", path, {})[0] == 200
+    assert world.send_and_wait(world.leader(), "hand-over", {"to": ""})[0] == 200
     leaver = min(set(world.names) - {world.leader()})
-    assert world.say(leaver, "move", {"block": "b", "to": "rig-1"})[0] == 200
-    assert world.say(leaver, "leave", {"undo": False})[0] == 200
+    assert world.send_and_wait(leaver, "move", {"block": "b", "to": "rig-1"})[0] == 200
+    assert world.send_and_wait(leaver, "leave", {"undo": False})[0] == 200
     return world, paths
 
 
--- a/tests/test_gang.py
+++ b/tests/test_gang.py
@@ -100,14 +100,14 @@
     bound_job = Job(spec, "rig-0.1", ChunkLayout(46), since)
     for index in range(spec.tasks):
         task = bound_job.dequeue(index)
-        task.machine, task.stored, task.attempt = f"host-{index}", True, 1
+        task.machine, task.is_stored, task.attempt = f"host-{index}", True, 1
     return bound_job
 
 
 def test_a_gang_is_preempted_as_a_whole() -> None:
     gang = job(SPEC, since=2.0)
     array = job(JobSpec("j-2", "b", "red", "sweep", "normal", 2, 2.0, 0.0, 1.0, "img", 1.0), 1.0)
-    units = quota_preemption.choose([gang, array], (), lambda rank: (3.0, 0.0))
+    units = quota_preemption.choose_preempted([gang, array], (), lambda rank: (3.0, 0.0))
     assert [(unit.job.id, len(unit.tasks), unit.cpus) for unit in units] == [("j-1", 4, 8.0)]
 
 
@@ -122,10 +122,10 @@
 
 def test_a_gang_is_not_placed_while_one_of_its_tasks_must_pause() -> None:
     gang = Job(SPEC, "rig-0.1", ChunkLayout(46), 0.0)
-    assert gang.waiting(0.0, 1) == [0, 1, 2, 3]
+    assert gang.placeable_indexes(0.0, 1) == [0, 1, 2, 3]
     for index in range(4):
         gang.dequeue(index)
         gang.retry_queue.append(index)
     gang.tasks[3].not_before = 5.0
-    assert gang.waiting(4.0, 200) == []
-    assert sorted(gang.waiting(5.0, 200)) == [0, 1, 2, 3]
+    assert gang.placeable_indexes(4.0, 200) == []
+    assert sorted(gang.placeable_indexes(5.0, 200)) == [0, 1, 2, 3]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -62,7 +62,7 @@
     parts = {"source": source, "target": target, "leader": world.leader()}
     names = {parts[part] for part in victims.split()}
     world.hooks[moment] = lambda: fail_all(world, names, fault)
-    assert world.say(world.leader(), "move", {"block": shard, "to": target})[0] == 200
+    assert world.send_and_wait(world.leader(), "move", {"block": shard, "to": target})[0] == 200
     world.run(95)
     assert not world.hooks, "the move did not reach the moment of the fault"
     check_whole(world)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -13,7 +13,7 @@
 
 from beamspar.transport.clock import spawn
 from beamspar.transport.connection_limits import KEEP_ALIVE_SHARE, Sockets
-from beamspar.transport.http import Answer, Call
+from beamspar.transport.http import HttpRequest, HttpResponse
 from beamspar.transport.tcp import TcpNet
 
 MAX_CONNECTIONS = 10
@@ -58,8 +58,8 @@
     found: list[tuple[list[bool], bool]] = []
     failed: list[object] = []
 
-    async def handler(call: Call) -> Answer:
-        return Answer(200, BODY)
+    async def handler(call: HttpRequest) -> HttpResponse:
+        return HttpResponse(200, BODY)
 
     def start() -> None:
         with socket.socket() as probe:
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -14,7 +14,7 @@
 from twisted.python.failure import Failure
 
 from beamspar.transport.connection_limits import Sockets
-from beamspar.transport.http import Answer, CallFailedError
+from beamspar.transport.http import CallFailedError, HttpResponse
 from beamspar.transport.http_client import MAX_IDLE_CONNECTIONS_PER_ADDRESS
 from beamspar.transport.tcp import TcpNet
 
@@ -62,7 +62,7 @@
     for byte in OK:
         assert not result
         protocol.dataReceived(bytes([byte]))
-    assert result == [Answer(200, b"body")]
+    assert result == [HttpResponse(200, b"body")]
 
 
 @pytest.mark.parametrize(
@@ -79,13 +79,13 @@
     first = peer.call()
     protocol, transport = peer.open()
     protocol.dataReceived(response)
-    assert first == [Answer(200, b"body")]
+    assert first == [HttpResponse(200, b"body")]
     transport.clear()
     second = peer.call()
     assert len(peer.reactor.tcpClients) == 1
     assert transport.value().startswith(b"POST /multi")
     protocol.dataReceived(response)
-    assert second == [Answer(200, b"body")]
+    assert second == [HttpResponse(200, b"body")]
 
 
 @pytest.mark.parametrize(
@@ -100,7 +100,7 @@
     result = peer.call()
     protocol, _ = peer.open()
     protocol.dataReceived(response)
-    assert result == [Answer(int(response.split()[1]), body)]
+    assert result == [HttpResponse(int(response.split()[1]), body)]
 
 
 def test_a_body_without_a_length_ends_with_the_connection() -> None:
@@ -111,7 +111,7 @@
     protocol.dataReceived(b"dy")
     assert not result
     protocol.connectionLost(Failure(ConnectionDone()))
-    assert result == [Answer(200, b"body")]
+    assert result == [HttpResponse(200, b"body")]
     peer.call()
     assert len(peer.reactor.tcpClients) == 2
 
@@ -170,7 +170,7 @@
     first = peer.call()
     protocol, transport = peer.open()
     protocol.dataReceived(OK + OK.replace(b"body", b"next"))
-    assert first == [Answer(200, b"body")]
+    assert first == [HttpResponse(200, b"body")]
     assert transport.disconnecting
     second = peer.call()
     assert len(peer.reactor.tcpClients) == 2
@@ -214,7 +214,7 @@
         protocol, transport = peer.open()
         assert b"connection: close\r\n" in transport.value()
         protocol.dataReceived(OK)
-        assert result == [Answer(200, b"body")]
+        assert result == [HttpResponse(200, b"body")]
         assert transport.disconnecting
     assert len(peer.reactor.tcpClients) == 2
 
@@ -227,7 +227,7 @@
         peer.open()
     for protocol, _ in peer.opened:
         protocol.dataReceived(OK)
-    assert all(result == [Answer(200, b"body")] for result in calls)
+    assert all(result == [HttpResponse(200, b"body")] for result in calls)
     assert [t.disconnecting for _, t in peer.opened] == [
         False
     ] * MAX_IDLE_CONNECTIONS_PER_ADDRESS + [True] * 2
--- a/tests/test_instance_manager.py
+++ b/tests/test_instance_manager.py
@@ -12,7 +12,7 @@
 from beamspar.leader.instance_manager import InstanceManager
 from beamspar.protocol.cloud import MachineType
 from beamspar.protocol.jobs import JobSpec
-from beamspar.protocol.room import Room
+from beamspar.protocol.machine_capacity import MachineCapacity
 from beamspar.settings import OperatorSettings
 from beamspar.timeouts import Timeouts
 from tests.standins.clock import SimClock
@@ -25,9 +25,9 @@
 )
 
 
-def rooms(**free: int) -> list[Room]:
+def capacities(**free: int) -> list[MachineCapacity]:
     return [
-        Room(f"host-{zone}-{n}", "big", zone, False, 32.0, 0.0, 64.0)
+        MachineCapacity(f"host-{zone}-{n}", "big", zone, False, 32.0, 0.0, 64.0)
         for zone, count in free.items()
         for n in range(count)
     ]
@@ -41,7 +41,7 @@
 
 def test_capacity_spread_over_zones_does_not_fit_a_one_zone_gang() -> None:
     place, count = instance_manager().plan_scale_out(
-        [(GANG, 4)], rooms(east=3, south=2, west=3)
+        [(GANG, 4)], capacities(east=3, south=2, west=3)
     ) or (
         ("", "", False),
         0,
@@ -51,13 +51,13 @@
 
 
 def test_nothing_is_created_when_one_zone_fits_the_whole_gang() -> None:
-    assert instance_manager().plan_scale_out([(GANG, 4)], rooms(east=2, west=4)) is None
+    assert instance_manager().plan_scale_out([(GANG, 4)], capacities(east=2, west=4)) is None
 
 
 def test_a_zone_that_recently_refused_is_skipped() -> None:
     manager = instance_manager()
-    manager.refused[("big", "east", False)] = (1e9, 1.0)
-    place, count = manager.plan_scale_out([(GANG, 4)], rooms(east=3, west=2)) or (
+    manager.refusals[("big", "east", False)] = (1e9, 1.0)
+    place, count = manager.plan_scale_out([(GANG, 4)], capacities(east=3, west=2)) or (
         ("", "", False),
         0,
     )
--- a/tests/test_job_acceptor.py
+++ b/tests/test_job_acceptor.py
@@ -15,7 +15,7 @@
 from beamspar.cluster.registration import Registration
 from beamspar.jobs.job_controller import JobController
 from beamspar.protocol.jobs import JobSpec
-from beamspar.protocol.room import Room
+from beamspar.protocol.machine_capacity import MachineCapacity
 from beamspar.quota.quota_manager import QuotaManager
 from beamspar.settings import OperatorSettings
 from beamspar.state.errors import OutcomeUnknownError, StateUnavailableError
@@ -59,16 +59,16 @@
     clock, state = SimClock(), ScriptedStateService()
     timeouts = Timeouts(settings(), OperatorSettings())
     registration = Registration(clock, state, settings(), timeouts)  # type: ignore[arg-type]
-    registration.started, registration.partition = True, "rig-0.1"
+    registration.is_started, registration.partition = True, "rig-0.1"
     controller = JobController(clock, registration, state, settings(), timeouts)  # type: ignore[arg-type]
     controller.quota_manager = quota_manager = QuotaManager(registration, state, settings())  # type: ignore[arg-type]
-    quota_manager.loaded = lambda: controller.loaded
+    quota_manager.loaded_partitions = lambda: controller.loaded_partitions
     registration.mirror.observe("c/folio/rig-0.1", {"owner": "rig-0"}, 3)
     registration.mirror.observe(KEY, {"rig-0.1": [10.0, 0.0]}, 5)
-    registration.mirror._caught_up(5)
-    controller.loaded = {"rig-0.1"}
-    room = Room("m-1", "small", "east", False, 8.0, 0.0, 64.0)
-    controller.placer.local_rooms = lambda: [room]
+    registration.mirror._advance_revision(5)
+    controller.loaded_partitions = {"rig-0.1"}
+    capacity = MachineCapacity("m-1", "small", "east", False, 8.0, 0.0, 64.0)
+    controller.placer.local_capacities = lambda: [capacity]
     # The lease counts as valid throughout.
     registration.lease_is_valid = lambda: True  # type: ignore[method-assign]
     return controller, state, clock
@@ -79,7 +79,7 @@
     failed: list[Any] = []
     ensureDeferred(controller.accept(SPEC)).addErrback(failed.append)
     assert failed and failed[0].check(OutcomeUnknownError)
-    assert controller.quota_manager.used[("rig-0.1", "red")] == (4.0, 0.0)
+    assert controller.quota_manager.usage[("rig-0.1", "red")] == (4.0, 0.0)
     return controller, state, clock
 
 
@@ -95,11 +95,11 @@
         "the partition record must be rewritten by now, to fence out late accepts"
     )
     assert "j-1" not in controller.jobs
-    assert controller.quota_manager.used[("rig-0.1", "red")] == (4.0, 0.0)
+    assert controller.quota_manager.usage[("rig-0.1", "red")] == (4.0, 0.0)
     state.loads_fail = False
     clock.advance_to(70.0)
-    assert controller.jobs["j-1"].bound == 2
-    assert controller.quota_manager.used[("rig-0.1", "red")] == (4.0, 0.0)
+    assert controller.jobs["j-1"].bound_count == 2
+    assert controller.quota_manager.usage[("rig-0.1", "red")] == (4.0, 0.0)
 
 
 def test_a_fenced_out_accept_no_longer_counts_against_the_quota() -> None:
@@ -107,4 +107,4 @@
     clock.advance_to(60.0)
     assert state.partition_writes
     assert controller.indeterminate_accepts == {}
-    assert controller.quota_manager.used[("rig-0.1", "red")] == pytest.approx((0.0, 0.0))
+    assert controller.quota_manager.usage[("rig-0.1", "red")] == pytest.approx((0.0, 0.0))
--- a/tests/test_job_controller.py
+++ b/tests/test_job_controller.py
@@ -61,13 +61,13 @@
 def test_a_job_that_ended_while_it_was_being_read_is_not_loaded_again() -> None:
     controller, store = make()
     ensureDeferred(controller.load())
-    ensureDeferred(controller.adopt("j-1"))
+    ensureDeferred(controller.load_stored_job("j-1"))
     first, second = store.pending_replies
     second.callback(None)
-    controller.forget(controller.jobs["j-1"], ended=True)
+    controller.remove_job(controller.jobs["j-1"], ended=True)
     first.callback(None)
     assert "j-1" not in controller.jobs
-    assert not controller.loader.load_count and not controller.loader.finished_meanwhile
+    assert not controller.loader.active_load_count and not controller.loader.finished_during_load
 
 
 def test_a_cancellation_stored_after_the_read_is_applied_as_the_job_is_loaded() -> None:
@@ -76,7 +76,7 @@
     controller.registration.mirror.observe_cancellations({"j-1": 20})
     store.pending_replies[0].callback(None)
     assert controller.jobs["j-1"].status == "withdrawn"
-    assert not controller.jobs["j-1"].waiting(0.0, 1)
+    assert not controller.jobs["j-1"].placeable_indexes(0.0, 1)
 
 
 def test_a_job_read_before_its_partition_was_taken_over_is_read_again() -> None:
@@ -95,10 +95,10 @@
             store.pending_replies.remove(reply)
             reply.callback(None)
         if len(store.pending_replies) == 1:
-            assert controller.loaded == set(), "only the second read counts"
-    assert controller.loaded == {"rig-1.1"}
+            assert controller.loaded_partitions == set(), "only the second read counts"
+    assert controller.loaded_partitions == {"rig-1.1"}
     assert controller.jobs["j-1"].version == 8
-    assert controller.jobs["j-1"].bound == 1
+    assert controller.jobs["j-1"].bound_count == 1
 
 
 def test_a_partition_lost_while_it_was_being_read_is_not_marked_as_loaded() -> None:
@@ -109,5 +109,5 @@
     controller.registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 10)
     while store.pending_replies:
         store.pending_replies.pop().callback(None)
-    assert controller.loaded == set()
+    assert controller.loaded_partitions == set()
     assert controller.jobs == {}
--- a/tests/test_job_writer.py
+++ b/tests/test_job_writer.py
@@ -28,11 +28,11 @@
     ensureDeferred(controller.accept(SPEC))
     job = controller.jobs["j-1"]
     key = ("rig-0.1", "red")
-    assert controller.quota_manager.used[key] == (4.0, 0.0)
-    job.dirty.add(0)
+    assert controller.quota_manager.usage[key] == (4.0, 0.0)
+    job.dirty_chunks.add(0)
     controller.writer.flush(job)
     assert len(pending_replies) == 1
-    controller.forget(job)
-    assert controller.quota_manager.used[key] == (0.0, 0.0)
+    controller.remove_job(job)
+    assert controller.quota_manager.usage[key] == (0.0, 0.0)
     pending_replies[0].callback(8)
-    assert controller.quota_manager.used[key] == (0.0, 0.0)
+    assert controller.quota_manager.usage[key] == (0.0, 0.0)
--- a/tests/test_leader_decisions.py
+++ b/tests/test_leader_decisions.py
@@ -6,26 +6,28 @@
 import pytest
 
 from beamspar.leader.capacity_needs import count_running, headroom
-from beamspar.leader.capacity_offers import choose_by_preemption, choose_rooms_for_group
+from beamspar.leader.capacity_offers import choose_by_preemption, choose_capacities_for_group
 from beamspar.leader.demand import CapacityNeed, JobDemand, UnmetDemand
 from beamspar.leader.draining import failed_machines
 from beamspar.leader.member_view import MemberView
 from beamspar.leader.tentative_reservations import TentativeReservations
 from beamspar.placement import Preference
 from beamspar.protocol.jobs import JobSpec
+from beamspar.protocol.machine_capacity import MachineCapacity
 from beamspar.protocol.peer_messages import CapacityRequest, JobClass, MachineStatus
-from beamspar.protocol.room import Room
 
 SPEC = JobSpec("j-1", "front", "red", "standing", "critical", 2, 1.0, 0.0, 1.0, "img", 1.0)
 
 
-def room(name: str = "host-0", cpus: float = 4.0) -> Room:
-    return Room(name, "small", "east", False, cpus, 0.0, 16.0)
+def capacity(name: str = "host-0", cpus: float = 4.0) -> MachineCapacity:
+    return MachineCapacity(name, "small", "east", False, cpus, 0.0, 16.0)
 
 
 def silent(count: int, silent_s: float) -> list[MachineStatus]:
     return [
-        MachineStatus(room(f"host-{n}"), 1, True, False, False, False, False, False, silent_s, 0.0)
+        MachineStatus(
+            capacity(f"host-{n}"), 1, True, False, False, False, False, False, silent_s, 0.0
+        )
         for n in range(count)
     ]
 
@@ -71,15 +73,15 @@
 
 def test_a_tentative_reservation_counts_until_it_expires() -> None:
     reservations = TentativeReservations(lifetime_s=1.0)
-    offered = room()
+    offered = capacity()
     reservations.reserve(SPEC, offered, now=10.0)
     reservations.reserve(SPEC, offered, now=10.5)
     assert offered.cpus == 2.0
     for now, cpus in ((11.0, 2.0), (11.2, 3.0), (11.6, 4.0), (11.7, 4.0)):
-        later = room()
+        later = capacity()
         reservations.subtract_from(later, now)
         assert later.cpus == cpus, now
-    other = room("host-1")
+    other = capacity("host-1")
     reservations.subtract_from(other, 10.0)
     assert other.cpus == 4.0
 
@@ -102,19 +104,19 @@
 
 
 def test_only_jobs_above_the_lowest_priority_preempt() -> None:
-    full = room(cpus=0.0)
+    full = capacity(cpus=0.0)
     full.preemptible = [(4.0, 0.0, 0.0)] * 4
     placement = choose_by_preemption(JobDemand(SPEC, request(1)), [full], {})
-    assert placement is not None and placement.room is full and placement.preempt
+    assert placement is not None and placement.capacity is full and placement.preempt
     low = msgspec.structs.replace(SPEC, priority="low")
     assert choose_by_preemption(JobDemand(low, request(1)), [full], {}) is None
 
 
 def test_only_a_gang_preempts_as_a_group() -> None:
-    full = room(cpus=1.0)
+    full = capacity(cpus=1.0)
     full.preemptible = [(3.0, 0.0, 0.0)] * 4
     gang = msgspec.structs.replace(SPEC, shape="ensemble")
     together = msgspec.structs.replace(SPEC, one_zone=True)
     for spec, chosen in ((gang, [full, full]), (together, [])):
         demand = JobDemand(spec, request(2))
-        assert choose_rooms_for_group(demand, [full], (), Preference()) == chosen
+        assert choose_capacities_for_group(demand, [full], (), Preference()) == chosen
--- a/tests/test_leave.py
+++ b/tests/test_leave.py
@@ -22,7 +22,7 @@
 
 def standings(world: SharingWorld) -> dict[str, str]:
     return {
-        name: world.say(name, "shares", {})[1]["standing"]
+        name: world.send_and_wait(name, "shares", {})[1]["standing"]
         for name in world.names
         if name in world.network.alive
     }
@@ -37,7 +37,7 @@
     world = running()
     old = world.leader()
     member = old if who == "leader" else world.choose_move()[1]
-    assert world.say(member, "leave", {}) == (200, {"done": True, "reason": ""})
+    assert world.send_and_wait(member, "leave", {}) == (200, {"done": True, "reason": ""})
     healthy: list[tuple[int, object]] = []
     world.call(member, "GET", "/up").addCallback(healthy.append)
     world.run(33)
@@ -60,12 +60,12 @@
 def test_a_controller_that_left_serves_again_after_undo_or_a_restart() -> None:
     world = running()
     for member in ("rig-1", "rig-3"):
-        assert world.say(member, "leave", {})[1]["done"]
+        assert world.send_and_wait(member, "leave", {})[1]["done"]
     world.run(45)
     assert standings(world) == dict.fromkeys(["rig-0", "rig-2"], "serving") | dict.fromkeys(
         ["rig-1", "rig-3"], "left"
     )
-    assert world.say("rig-1", "leave", {"undo": True})[1]["done"]
+    assert world.send_and_wait("rig-1", "leave", {"undo": True})[1]["done"]
     world.crash("rig-3", 1.0)
     world.run(60)
     assert set(standings(world).values()) == {"serving"}
@@ -79,9 +79,9 @@
 def test_undo_during_a_leave_makes_the_controller_serve_again() -> None:
     world = running(tuning={"block_size": 1})
     member = world.choose_move()[1]
-    world.tell(member, "leave", {})
+    world.send(member, "leave", {})
     world.run(20.3)
-    assert world.say(member, "leave", {"undo": True})[1]["done"]
+    assert world.send_and_wait(member, "leave", {"undo": True})[1]["done"]
     assert standings(world)[member] == "serving"
     world.run(95)
     check_whole(world)
@@ -89,7 +89,7 @@
 
 def test_the_last_serving_controller_is_refused_even_if_all_leave_at_once() -> None:
     world = running()
-    answers = [world.tell(name, "leave", {}) for name in world.names]
+    answers = [world.send(name, "leave", {}) for name in world.names]
     world.run(30)
     refused = [answer for answer in answers if not answer[1]["done"]]
     assert [answer[1]["reason"] for answer in refused] == ["no other controller would serve"]
@@ -103,7 +103,7 @@
     """If the others end for good before the leave completes, no controller counts as leaving."""
     world = running()
     member = world.names[0]
-    assert world.say(member, "leave", {})[1]["done"]
+    assert world.send_and_wait(member, "leave", {})[1]["done"]
     for name in world.names[1:]:
         world.crash(name, None)
     world.run(140)
@@ -120,7 +120,7 @@
     world.state._commit([{"put": "c/leaving", "data": value}])
     world.run(22)
     assert set(standings(world).values()) == {"serving"}
-    assert world.say("rig-1", "leave", {})[1]["done"]
+    assert world.send_and_wait("rig-1", "leave", {})[1]["done"]
     assert world.state.items["c/leaving"][0] == {
         "rig-1": world.nodes["rig-1"].registration.incarnation
     }
@@ -137,7 +137,7 @@
     _, member, third = world.choose_move()
     parts = {"leaver": member, "leader": world.leader(), "third": third}
     world.hooks["commit"] = lambda: [fail(world, parts[v], fault) for v in victims.split()]
-    world.tell(member, "leave", {})
+    world.send(member, "leave", {})
     world.run(110)
     assert not world.hooks, "no move was committed"
     standing = standings(world)[member]
@@ -171,7 +171,7 @@
     machines = sum(len(r["machines"]) for r in world.shards().values() if r["holder"] == member)
     assert machines > 1300
     since, writes = world.clock.seconds(), len(world.state.history)
-    world.tell(member, "leave", {})
+    world.send(member, "leave", {})
     while held(world, member) and world.clock.seconds() < since + 30:
         world.run(world.clock.seconds() + 0.25)
     assert held(world, member) == []
--- a/tests/test_machine_controller.py
+++ b/tests/test_machine_controller.py
@@ -35,8 +35,8 @@
     clock, timeouts = SimClock(), Timeouts(settings(), OperatorSettings())
     registration = Registration(clock, None, settings(), timeouts)  # type: ignore[arg-type]
     registration.mirror.observe("c/fence/rig-0", {"inc": 1}, 3)
-    registration.incarnation, registration.fence_version, registration.started = 1, 3, True
-    registration.renewed_at = registration.mirror.watched_at = 0.0
+    registration.incarnation, registration.fence_version, registration.is_started = 1, 3, True
+    registration.renewed_at = registration.mirror.current_as_of = 0.0
     controller = MachineController(
         clock, registration, UnresponsiveWorkers(), timeouts, dict, lambda *rest: None
     )  # type: ignore[arg-type]
@@ -54,14 +54,14 @@
     controller = managing_one_machine()
     machine = controller.machines["m-1"]
     key = ("j-1/0", 1)
-    controller.sync(update("rig-0.1", DesiredAction.RUN, 1))
-    assert controller.sync(update("rig-1.1", DesiredAction.HOLD, 1)) == []
+    controller.apply_desired_state(update("rig-0.1", DesiredAction.RUN, 1))
+    assert controller.apply_desired_state(update("rig-1.1", DesiredAction.HOLD, 1)) == []
     assert (
         machine.desired_attempts[key].action == DesiredAction.RUN
         and machine.partition_of[key] == "rig-0.1"
     )
     # The repeated submission was refused, so its partition no longer lists the attempt.
-    controller.sync(update("rig-1.1", None, 2))
+    controller.apply_desired_state(update("rig-1.1", None, 2))
     assert machine.desired_attempts[key].action == DesiredAction.RUN
 
 
@@ -69,11 +69,11 @@
     controller = managing_one_machine()
     machine = controller.machines["m-1"]
     key = ("j-1/0", 1)
-    controller.sync(update("rig-1.1", DesiredAction.HOLD, 1))
-    controller.sync(update("rig-0.1", DesiredAction.RUN, 1))
+    controller.apply_desired_state(update("rig-1.1", DesiredAction.HOLD, 1))
+    controller.apply_desired_state(update("rig-0.1", DesiredAction.RUN, 1))
     assert (
         machine.desired_attempts[key].action == DesiredAction.RUN
         and machine.partition_of[key] == "rig-0.1"
     )
-    controller.sync(update("rig-1.1", None, 2))
+    controller.apply_desired_state(update("rig-1.1", None, 2))
     assert machine.desired_attempts[key].action == DesiredAction.RUN
--- a/tests/test_many_tasks.py
+++ b/tests/test_many_tasks.py
@@ -32,7 +32,7 @@
     job = Job(spec, "rig-0.1", ChunkLayout(8), 0.0)
     for _ in range(2000):
         bound = [index for index, task in job.tasks.items() if task.machine is not None]
-        waiting = job.waiting(0.0, 5)
+        waiting = job.placeable_indexes(0.0, 5)
         action = rng.choice(["bind", "unbind", "run", "save", "done"])
         if action == "bind" and waiting:
             index = rng.choice(waiting)
@@ -50,10 +50,10 @@
                     job.complete(index)
                 else:
                     job.retry_queue.append(index)
-        zones, machines = job.places(lambda machine: machine[-1:])
-        assert (job.bound, job.running, machines) == scanned_counts(job)
-        assert sum(zones.values()) == job.bound
-        assert job.done_count == sum(len(done) for done in job.completed.values())
+        zones, machines = job.task_counts_by_location(lambda machine: machine[-1:])
+        assert (job.bound_count, job.running_count, machines) == scanned_counts(job)
+        assert sum(zones.values()) == job.bound_count
+        assert job.done_count == sum(len(done) for done in job.completed_by_chunk.values())
     assert job.done_count > 0
 
 
--- a/tests/test_moving_machines.py
+++ b/tests/test_moving_machines.py
@@ -125,7 +125,7 @@
     shard, source, target = world.choose_move()
     machines = [machine["name"] for machine in world.shards()[shard]["machines"]]
     world.hooks[moment] = lambda: FAULTS[fault](world, machines, source, target)
-    world.tell(world.leader(), "move", {"block": shard, "to": target})
+    world.send(world.leader(), "move", {"block": shard, "to": target})
     world.run(110)
     assert not world.hooks, "the move did not reach the moment of the fault"
     assert world.checker.broken == [] and world.ownership.faults == []
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -6,22 +6,22 @@
 
 from beamspar.placement import (
     Preference,
-    allowed,
-    choose,
-    copy,
-    fitting,
-    has_room,
+    choose_machine,
+    copy_capacity,
+    fitting_task_count,
+    has_capacity,
+    is_allowed,
     would_strand_gpus,
     zone_tie_break,
 )
 from beamspar.protocol.jobs import JobSpec
-from beamspar.protocol.room import Room
+from beamspar.protocol.machine_capacity import MachineCapacity
 
 ZONES = "xyz"
 
 
-def random_room(rng: random.Random, number: int) -> Room:
-    return Room(
+def random_capacity(rng: random.Random, number: int) -> MachineCapacity:
+    return MachineCapacity(
         f"m{number}",
         rng.choice("abc"),
         rng.choice(ZONES),
@@ -58,48 +58,53 @@
 
 def reference_choice(
     spec: JobSpec,
-    rooms: list[Room],
+    capacities: list[MachineCapacity],
     zones: dict[str, int],
     machines: dict[str, int],
     avoid: set[str],
     near: set[str],
     warm_only: bool,
     preference: Preference,
-) -> Room | None:
-    """Return the machine that is the smallest by the whole key: the result expected of `choose`."""
+) -> MachineCapacity | None:
+    """Return the machine that is the smallest by the whole key: the result expected of
+    `choose_machine`."""
 
-    def spreading_key(room: Room) -> tuple[int, int, int]:
+    def spreading_key(capacity: MachineCapacity) -> tuple[int, int, int]:
         if not spec.is_gang:
             return (
-                zones.get(room.zone, 0),
-                zone_tie_break(spec, room.zone),
-                machines.get(room.name, 0),
+                zones.get(capacity.zone, 0),
+                zone_tie_break(spec, capacity.zone),
+                machines.get(capacity.name, 0),
             )
         unplaced = spec.tasks - sum(machines.values())
-        return int(room.name not in machines), -min(fitting(spec, room), unplaced), 0
+        return (
+            int(capacity.name not in machines),
+            -min(fitting_task_count(spec, capacity), unplaced),
+            0,
+        )
 
-    def key(room: Room) -> tuple[object, ...]:
-        warm = spec.image in room.images
+    def key(capacity: MachineCapacity) -> tuple[object, ...]:
+        warm = spec.image in capacity.images
         return (
-            would_strand_gpus(spec, room, preference),
+            would_strand_gpus(spec, capacity, preference),
             not warm,
-            not warm and room.kind in preference.slow,
-            spec.spot and not room.spot,
-            not warm and room.fetching,
-            *spreading_key(room),
-            not warm and room.name not in near,
-            room.gpus - spec.gpus,
-            room.cpus - spec.cpus,
-            room.name,
+            not warm and capacity.kind in preference.slow,
+            spec.spot and not capacity.spot,
+            not warm and capacity.fetching,
+            *spreading_key(capacity),
+            not warm and capacity.name not in near,
+            capacity.gpus - spec.gpus,
+            capacity.cpus - spec.cpus,
+            capacity.name,
         )
 
     fit = [
-        room
-        for room in rooms
-        if room.name not in avoid
-        and has_room(spec, room)
-        and allowed(spec, room, zones)
-        and (spec.image in room.images or not warm_only)
+        capacity
+        for capacity in capacities
+        if capacity.name not in avoid
+        and has_capacity(spec, capacity)
+        and is_allowed(spec, capacity, zones)
+        and (spec.image in capacity.images or not warm_only)
     ]
     return min(fit, key=key, default=None)
 
@@ -108,26 +113,28 @@
     rng = random.Random(5)
     chosen_count = 0
     for _ in range(2000):
-        rooms = [random_room(rng, number) for number in range(rng.randrange(1, 40))]
+        capacities = [random_capacity(rng, number) for number in range(rng.randrange(1, 40))]
         spec = random_spec(rng)
         zones = {zone: rng.randrange(3) for zone in ZONES if rng.random() < 0.5}
         machines = {f"m{rng.randrange(40)}": 1 for _ in range(3)}
-        avoid = {room.name for room in rooms if rng.random() < 0.1}
-        near = {room.name for room in rooms if rng.random() < 0.4}
+        avoid = {capacity.name for capacity in capacities if rng.random() < 0.1}
+        near = {capacity.name for capacity in capacities if rng.random() < 0.4}
         slow = frozenset(kind for kind in "abc" if rng.random() < 0.3)
         preference = Preference((rng.choice([0.0, 1.0]), rng.choice([0.0, 4.0])), slow)
         warm_only = rng.random() < 0.3
         expected = reference_choice(
-            spec, rooms, zones, machines, avoid, near, warm_only, preference
+            spec, capacities, zones, machines, avoid, near, warm_only, preference
+        )
+        chosen = choose_machine(
+            spec, capacities, zones, machines, avoid, near, warm_only, preference
         )
-        chosen = choose(spec, rooms, zones, machines, avoid, near, warm_only, preference)
         assert chosen is expected
         chosen_count += chosen is not None
     assert chosen_count > 500
 
 
 def test_a_reservation_on_a_copy_does_not_change_the_original() -> None:
-    room = random_room(random.Random(1), 1)
-    before = (room.cpus, room.tasks)
-    copy(room).reserve(random_spec(random.Random(2)))
-    assert (room.cpus, room.tasks) == before
+    capacity = random_capacity(random.Random(1), 1)
+    before = (capacity.cpus, capacity.tasks)
+    copy_capacity(capacity).reserve(random_spec(random.Random(2)))
+    assert (capacity.cpus, capacity.tasks) == before
--- a/tests/test_placement_round.py
+++ b/tests/test_placement_round.py
@@ -62,7 +62,7 @@
 def failed(machine: str, not_before: float) -> Job:
     failed_job = job()
     task = failed_job.dequeue(0)
-    task.avoid.add(machine)
+    task.avoided_machines.add(machine)
     task.not_before = not_before
     failed_job.retry_queue.append(0)
     return failed_job
--- a/tests/test_quota_allocations.py
+++ b/tests/test_quota_allocations.py
@@ -109,17 +109,17 @@
 def test_an_allocation_is_used_only_with_a_mirror_as_new_as_the_failover() -> None:
     """An older mirror may show an allocation that the former owner has released since."""
     quota_manager, registration, _ = make()
-    quota_manager.loaded = lambda: {"rig-0.1", "rig-1.1"}
+    quota_manager.loaded_partitions = lambda: {"rig-0.1", "rig-1.1"}
     registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 3)
     registration.mirror.observe(KEY, {"rig-1.1": [10.0, 0.0]}, 5)
-    registration.mirror._caught_up(5)
+    registration.mirror._advance_revision(5)
     moved = job(4.0)
     moved.partition = "rig-1.1"
     # The controller's own write is in the mirror before the watch delivers the events before it.
     registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-0"}, 9)
     assert not quota_manager.reserve(moved, [0])
     registration.mirror.observe(KEY, {"rig-1.1": [2.0, 0.0], "rig-2.1": [8.0, 0.0]}, 7)
-    registration.mirror._caught_up(9)
+    registration.mirror._advance_revision(9)
     assert not quota_manager.reserve(moved, [0])
     registration.mirror.observe(KEY, {"rig-1.1": [4.0, 0.0]}, 10)
     assert quota_manager.reserve(moved, [0])
--- a/tests/test_quota_manager.py
+++ b/tests/test_quota_manager.py
@@ -59,11 +59,11 @@
     clock, script = SimClock(), ScriptedState(*answers)
     timeouts = Timeouts(settings(), OperatorSettings())
     registration = Registration(clock, script, settings(), timeouts)  # type: ignore[arg-type]
-    registration.started, registration.partition = True, "rig-0.1"
-    registration.renewed_at = registration.mirror.watched_at = 0.0
+    registration.is_started, registration.partition = True, "rig-0.1"
+    registration.renewed_at = registration.mirror.current_as_of = 0.0
     registration.mirror.partitions["rig-0.1"] = JobPartition("rig-0", 3)
     quota_manager = QuotaManager(registration, script, settings())  # type: ignore[arg-type]
-    quota_manager.loaded = lambda: {"rig-0.1"}
+    quota_manager.loaded_partitions = lambda: {"rig-0.1"}
     return quota_manager, registration, script
 
 
@@ -79,7 +79,7 @@
             bound_job.quota_usage.bind(0)
         else:
             bound_job.quota_usage.unbind(0)
-    bound_job.quota_usage.written(0, 0)
+    bound_job.quota_usage.confirm_write(0, 0)
     quota_manager.recount(bound_job)
 
 
--- a/tests/test_quota_usage.py
+++ b/tests/test_quota_usage.py
@@ -13,7 +13,7 @@
     usage = QuotaUsage()
     for _ in range(tasks):
         usage.bind(chunk)
-    usage.written(chunk, usage.writing(chunk))
+    usage.confirm_write(chunk, usage.begin_write(chunk))
     return usage
 
 
@@ -21,9 +21,9 @@
     usage = bound(3)
     usage.unbind(0)
     assert usage.tasks == 3
-    written_tasks = usage.writing(0)
+    written_tasks = usage.begin_write(0)
     assert usage.tasks == 3, "the write may not have taken effect yet"
-    usage.written(0, written_tasks)
+    usage.confirm_write(0, written_tasks)
     assert usage.tasks == 2
 
 
@@ -40,11 +40,11 @@
 def test_a_write_without_a_reply_counts_until_a_later_one_is_stored() -> None:
     usage = bound(1)
     usage.bind(0)
-    usage.writing(0)
+    usage.begin_write(0)
     # Unbound as its machine controller refused it, but the write may have taken effect.
     usage.unbind(0)
     assert usage.tasks == 2
-    usage.written(0, usage.writing(0))
+    usage.confirm_write(0, usage.begin_write(0))
     assert usage.tasks == 1
 
 
@@ -54,16 +54,16 @@
     for index in range(8):
         job.dequeue(index)
         job.bind(index, "host-1")
-    job.quota_usage.written(0, job.quota_usage.writing(0))
+    job.quota_usage.confirm_write(0, job.quota_usage.begin_write(0))
     for index in (0, 1):
         job.unbind(index)
         job.retry_queue.append(index)
     job.change_layout(ChunkLayout(2))
     assert job.quota_usage.tasks == 8
     for chunk in range(4):
-        job.quota_usage.written(chunk, job.quota_usage.writing(chunk))
+        job.quota_usage.confirm_write(chunk, job.quota_usage.begin_write(chunk))
         assert job.quota_usage.tasks == 8
-        assert job.waiting(0.0, 8) == [], "no task is bound meanwhile"
-    job.quota_usage.settle()
+        assert job.placeable_indexes(0.0, 8) == [], "no task is bound meanwhile"
+    job.quota_usage.finish_layout_change()
     assert job.quota_usage.tasks == 6
-    assert job.waiting(0.0, 8) == [0, 1]
+    assert job.placeable_indexes(0.0, 8) == [0, 1]
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -150,8 +150,8 @@
         accepted = (*job_controller.jobs.values(), *job_controller.jobs_being_accepted.values())
         for job in (*accepted, *indeterminate):
             key = (job.partition, job.spec.team)
-            accounted[key] = accounted.get(key, 0.0) + job.bound * job.spec.cpus
-        for key, (cpus, _) in job_controller.quota_manager.used.items():
+            accounted[key] = accounted.get(key, 0.0) + job.bound_count * job.spec.cpus
+        for key, (cpus, _) in job_controller.quota_manager.usage.items():
             if abs(cpus - accounted.get(key, 0.0)) > 1e-6:
                 found.append(f"{name} {key}: {cpus}, known {accounted.get(key, 0.0)}")
     return found
--- a/tests/test_random_quotas.py
+++ b/tests/test_random_quotas.py
@@ -132,7 +132,7 @@
     used = {
         key: amounts
         for node in world.nodes.values()
-        for key, amounts in node.quota_manager.used.items()
+        for key, amounts in node.quota_manager.usage.items()
         if max(amounts) > 1e-6
     }
     assert used == {}
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -60,7 +60,7 @@
     machine_controller = MachineController(
         clock,
         registration,
-        WorkerClient(UnusedNet(), timeouts.command),  # type: ignore[arg-type]
+        WorkerClient(UnusedNet(), timeouts.command_timeout_s),  # type: ignore[arg-type]
         timeouts,
         lambda: {},
         lambda task, attempt, machine: None,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -48,7 +48,7 @@
     holder = MachineController(clock, registration, store, unused, lambda: {"big": BIG}, store)
     machines = [Machine(f"host-{n:06d}", f"10.0.0.1:{n}", "big", "east") for n in range(count)]
     registration.mirror.observe(
-        keys.shard("host-000000"), shard_record(registration.me, machines), 5
+        keys.shard("host-000000"), shard_record(registration.own_name, machines), 5
     )
     for number, machine in enumerate(holder.machines.values()):
         for index in range(TASKS_EACH):
@@ -65,12 +65,12 @@
     sent: list[str] = []
     known, parts = 0, 0
     for _ in range(10):
-        if parts and known == holder.changes:
+        if parts and known == holder.change_count:
             break
-        views, known = holder.views(known)
+        views, known = holder.changed_statuses(known)
         assert len(views) <= MAX_MACHINE_STATUSES
         assert len(encode(views)) < MAX_PEER_MESSAGE_BYTES * 0.75
-        sent += [view.room.name for view in views]
+        sent += [view.capacity.name for view in views]
         parts += 1
     assert parts == -(-LARGEST_FLEET // MAX_MACHINE_STATUSES)
     assert sorted(sent) == sorted(holder.machines) and len(set(sent)) == len(sent)
@@ -78,14 +78,14 @@
 
 def test_changes_between_the_parts_of_a_heartbeat_are_sent_too() -> None:
     _, _, holder = managed_fleet(50)
-    first, known = holder.views(0, most=20)
-    again = first[0].room.name
+    first, known = holder.changed_statuses(0, max_count=20)
+    again = first[0].capacity.name
     holder.machines[again].mark_changed()
-    second, known = holder.views(known, most=20)
-    third, known = holder.views(known, most=20)
-    assert known == holder.changes
-    assert again in {view.room.name for view in second + third}
-    names = {view.room.name for view in first + second + third}
+    second, known = holder.changed_statuses(known, max_count=20)
+    third, known = holder.changed_statuses(known, max_count=20)
+    assert known == holder.change_count
+    assert again in {view.capacity.name for view in second + third}
+    names = {view.capacity.name for view in first + second + third}
     assert names == set(holder.machines)
 
 
@@ -95,7 +95,7 @@
     def __init__(self, registration: Registration) -> None:
         self.jobs: dict[str, Job] = {}
         self.partitions = {"rig-0.1"}
-        self.loaded = {"rig-0.1"}
+        self.loaded_partitions = {"rig-0.1"}
         self.received: list[Any] = []
 
     def statuses(self, statuses: list[Any]) -> None:
@@ -120,7 +120,7 @@
 
 def test_desired_state_of_a_large_fleet_is_split_by_machines() -> None:
     registration, assignments = assigned_fleet(LARGEST_FLEET)
-    parts = assignments._split(registration.me, None)
+    parts = assignments._split(registration.own_name, None)
     assert len(parts) > 1 and None not in parts
     names = [name for part in parts for name in part or ()]
     assert sorted(names) == sorted(registration.mirror.shard_of)
@@ -142,15 +142,15 @@
     """Otherwise its holder would keep the machine's previous desired state."""
     registration, assignments = assigned_fleet(20)
     del assignments.by_machine["host-000007"]
-    parts = assignments._split(registration.me, None, max_attempts=40)
+    parts = assignments._split(registration.own_name, None, max_attempts=40)
     assert len(parts) == 4
     assert "host-000007" in set().union(*(part or set() for part in parts))
 
 
 def test_desired_state_that_fits_is_sent_in_one_message() -> None:
     registration, assignments = assigned_fleet(20)
-    assert assignments._split(registration.me, None) == [None]
-    assert assignments._split(registration.me, {"host-000001"}) == [{"host-000001"}]
+    assert assignments._split(registration.own_name, None) == [None]
+    assert assignments._split(registration.own_name, {"host-000001"}) == [{"host-000001"}]
 
 
 @pytest.mark.parametrize("lost", [0, 1, 2])
@@ -167,11 +167,11 @@
     split = assignments._split
     assignments._split = lambda holder, names: split(holder, names, 40)  # type: ignore
     due = set(registration.mirror.shard_of)
-    assignments.changed_machines[registration.me] = set(due)
-    assignments.publishing_to.add(registration.me)
-    ensureDeferred(assignments._publish_to(registration.me, full=False))
+    assignments.changed_machines[registration.own_name] = set(due)
+    assignments.publishing_to.add(registration.own_name)
+    ensureDeferred(assignments._publish_to(registration.own_name, full=False))
     assert len(sent) == lost + 1
-    assert assignments.changed_machines[registration.me] == due
+    assert assignments.changed_machines[registration.own_name] == due
 
 
 class PagedCloud:
@@ -209,14 +209,14 @@
 
 def test_listing_pages_uses_at_most_half_of_the_rate() -> None:
     manager, cloud, _ = listed(refused=set())
-    assert len(manager.listed) == manager.listed_count == 4000
+    assert len(manager.listed_instances) == manager.listed_count == 4000
     pauses = [b - a for a, b in zip(cloud.calls, cloud.calls[1:], strict=False)]
     assert len(cloud.calls) == 8 and min(pauses) >= manager.call_interval_s - 1e-9
 
 
 def test_a_refused_page_is_requested_again() -> None:
     manager, cloud, _ = listed(refused={3, 5, 6})
-    assert len(manager.listed) == 4000 and len(cloud.calls) == 11
+    assert len(manager.listed_instances) == 4000 and len(cloud.calls) == 11
 
 
 def test_a_page_that_stays_refused_fails_the_list_and_keeps_the_count() -> None:
@@ -225,4 +225,4 @@
     done.addErrback(failures.append)
     assert failures[0].check(CloudUnavailableError)
     assert len(cloud.calls) == 2 + 1 + PAGE_RETRIES
-    assert manager.listed == {} and manager.listed_count == 1000
+    assert manager.listed_instances == {} and manager.listed_count == 1000
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -239,7 +239,7 @@
         )
     if "recounts" in step:
         counts = sum(
-            n.machine_controller.changes for n in world.nodes.values() if n.machine_controller
+            n.machine_controller.change_count for n in world.nodes.values() if n.machine_controller
         )
         assert counts <= step["recounts"], (where, counts)
     if "all_running" in step:
@@ -307,7 +307,7 @@
         ]
         assert len(indeterminate_accepts) <= step["doubtful"], (where, indeterminate_accepts)
     if "led" in step:
-        leaders = [n for n in world.nodes.values() if n.leader and n.leader.ready]
+        leaders = [n for n in world.nodes.values() if n.leader and n.leader.is_ready]
         assert len(leaders) == step["led"], (where, step)
     if "status" in step:
         assert world.status(step["job"]) == step["status"], (where, step)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -49,12 +49,12 @@
         fault(world, rng)
         if rng.random() < 0.3:
             member = rng.choice(world.names)
-            world.tell(member, "leave", {})
+            world.send(member, "leave", {})
             undo = [member, "leave", {"undo": True}]
-            world.clock.callLater(rng.choice([0.2, 2.0, 30.0]), world.tell, *undo)
+            world.clock.callLater(rng.choice([0.2, 2.0, 30.0]), world.send, *undo)
         world.run(30 + number * 10)
     for member in world.names:
-        world.tell(member, "leave", {"undo": True})
+        world.send(member, "leave", {"undo": True})
     world.network.frozen.clear()
     world.cloud.down = False
     world.state.outage(False)
@@ -81,7 +81,7 @@
     # With the cloud up the machine would be returned as silent, which also proves its loss.
     world.cloud.down = True
     world.hooks["commit"] = world.cloud.workers[machine].die
-    world.tell(world.leader(), "move", {"block": shard, "to": target})
+    world.send(world.leader(), "move", {"block": shard, "to": target})
     since = world.clock.seconds()
     lost_s = 0.0
     while not lost_s and world.clock.seconds() < since + 80:
@@ -97,7 +97,7 @@
 def draining_machine(world: SharingWorld) -> tuple[str, str]:
     """Return a cordoned machine and its shard; empty names if there is none."""
     leader = world.nodes[world.leader()].leader
-    for name in sorted(leader.draining):
+    for name in sorted(leader.draining_machines):
         return name, world.nodes[world.leader()].registration.mirror.shard_of[name]
     return "", ""
 
@@ -117,14 +117,14 @@
     holder = world.shards()[shard]["holder"]
     if way == "asked for":
         others = [name for name in world.names if name != holder]
-        world.tell(world.leader(), "move", {"block": shard, "to": others[0]})
+        world.send(world.leader(), "move", {"block": shard, "to": others[0]})
     elif way == "leave":
-        world.tell(holder, "leave", {})
+        world.send(holder, "leave", {})
     elif way == "holder ends":
         world.crash(holder, 40.0)
     else:
         world.cloud.down = True
-        world.tell(holder, "leave", {})
+        world.send(holder, "leave", {})
         world.clock.callLater(20.0, setattr, world.cloud, "down", False)
     for number in range(8):
         # New work needs the capacity in the meantime.
@@ -210,7 +210,7 @@
         held.min_agent_epoch,
         held.starts_paused_until,
     )
-    status, answer = world.say(member, path, fill(message))
+    status, answer = world.send_and_wait(member, path, fill(message))
     assert status == (400 if expected is None else 200), (status, answer)
     assert expected is None or expected in str(answer), answer
     after = (
@@ -222,7 +222,7 @@
     )
     assert before == after
     for raw in (b"", b"[", b"\xff", b"null"):
-        assert world.tell(member, path, None, raw) == [] and world.ownership.faults == []
+        assert world.send(member, path, None, raw) == [] and world.ownership.faults == []
 
 
 def test_a_repeated_or_late_release_is_applied_once() -> None:
@@ -239,13 +239,13 @@
 
     world._carry = keep
     for to in (target, source, target):
-        world.say(world.leader(), "move", {"block": shard, "to": to})
+        world.send_and_wait(world.leader(), "move", {"block": shard, "to": to})
         world.run(world.clock.seconds() + 3)
     taken = [world.nodes[name].sharing.transfer.taken_over_count for name in (source, target)]
     assert len(sent) >= 3 and taken[0] >= 2 and taken[1] >= 4
     for body in list(sent):
         for member in (source, target):
-            world.tell(member, "release", None, body)
+            world.send(member, "release", None, body)
     world.run(world.clock.seconds() + 2)
     assert [world.nodes[n].sharing.transfer.taken_over_count for n in (source, target)] == taken
     world.run(95)
@@ -257,7 +257,7 @@
     world = running()
     shard, source, target = world.choose_move()
     world.network.cut(source, target, "drop", both=False)
-    world.tell(world.leader(), "move", {"block": shard, "to": target})
+    world.send(world.leader(), "move", {"block": shard, "to": target})
     world.run(world.clock.seconds() + 1.0)
     node = world.nodes[target]
     machine = world.shards()[shard]["machines"][0]["name"]
@@ -276,7 +276,11 @@
     ]
     for member, incarnation, state in wrong:
         reply = node.sharing.transfer.accept(ReleaseRequest(member, incarnation, [state]))
-        assert reply == ReleaseReply([]) and not held.is_taken_over, (member, incarnation, state)
+        assert reply == ReleaseReply([]) and not held.is_state_transferred, (
+            member,
+            incarnation,
+            state,
+        )
     ahead = replace(right, fencing_token=node.registration.mirror.revision + 5)
     request = ReleaseRequest(source, incarnation, [ahead])
     assert node.sharing.transfer.accept(request) == ReleaseReply([], [machine])
@@ -284,10 +288,10 @@
     before = held.last_possible_answer_at = world.clock.seconds() + 20.0
     held.answered_at = -1e9
     node.sharing.transfer._take_over(held, replace(right, sole=False))
-    assert held.last_possible_answer_at == before and not held.is_taken_over
+    assert held.last_possible_answer_at == before and not held.is_state_transferred
     request = ReleaseRequest(source, incarnation, [right])
     assert node.sharing.transfer.accept(request) == ReleaseReply([machine])
-    assert held.is_taken_over and held.last_possible_answer_at < world.clock.seconds()
+    assert held.is_state_transferred and held.last_possible_answer_at < world.clock.seconds()
 
 
 @pytest.mark.parametrize("way", ["asked for", "leave"])
@@ -304,9 +308,9 @@
     world.run(world.clock.seconds() + 0.2)
     assert machine in manager.deleting
     if way == "leave":
-        world.tell(holder, "leave", {})
+        world.send(holder, "leave", {})
     else:
-        world.tell(leader, "move", {"block": shard, "to": target})
+        world.send(leader, "move", {"block": shard, "to": target})
     world.run(world.clock.seconds() + 1.0)
     assert world.shards()[shard]["holder"] == holder
     world.network.heal(leader, "cloud")
@@ -322,10 +326,10 @@
     sharing = world.nodes[world.leader()].sharing
     machine = world.shards()[shard]["machines"][0]["name"]
     assert sharing.move_requests.accept(MoveRequest(shard, target)).done
-    sharing.leader.draining[machine] = source
+    sharing.leader.draining_machines[machine] = source
     assert sharing.move_requests.due() == []
     assert {h.name: h.is_in_cooldown for h in sharing.inputs.holdings()}[shard]
-    del sharing.leader.draining[machine]
+    del sharing.leader.draining_machines[machine]
     world.run(world.clock.seconds() + 2.0)
     assert world.shards()[shard]["holder"] == target
 
