--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -41,7 +41,7 @@
     """Return the controller that leads by the record and may make decisions."""
     name = world.leader()
     node = world.nodes.get(name)
-    ready = name in world.network.alive and node and node.leader and node.leader.ready
+    ready = name in world.network.alive and node and node.leader and node.leader.is_ready
     return name if ready else None
 
 
@@ -88,7 +88,7 @@
     # Once it continues, it first takes itself for the leader, and then finds that it was replaced.
     world.run(world.clock.seconds() + 20.0)
     assert world.leader() == new
-    assert not world.nodes[old].leader.leading
+    assert not world.nodes[old].leader.is_leading
     assert world.checker.broken == []
 
 
@@ -155,12 +155,14 @@
     world.submit("j-1", parcels=6, cpus=8.0, accelerators=2.0, memory_gb=30.0)
     world.run(world.clock.seconds() + 8.0)
     leader = world.nodes[world.leader()]
-    assert leader.leader.lead.booting, "nothing was rented"
+    assert leader.leader.leader_state.booting, "nothing was rented"
     for node in world.nodes.values():
-        assert node.leader.lead.booting.keys() == leader.leader.lead.booting.keys()
-        assert node.leader.lead.refused.keys() == leader.leader.lead.refused.keys()
-        assert {m: c for m, (c, _) in node.leader.lead.caches.items()} == {
-            m: c for m, (c, _) in leader.leader.lead.caches.items()
+        assert node.leader.leader_state.booting.keys() == leader.leader.leader_state.booting.keys()
+        assert (
+            node.leader.leader_state.refusals.keys() == leader.leader.leader_state.refusals.keys()
+        )
+        assert {m: c for m, (c, _) in node.leader.leader_state.caches.items()} == {
+            m: c for m, (c, _) in leader.leader.leader_state.caches.items()
         }
 
 
@@ -221,11 +223,11 @@
     assert node.standby.failovers.may_fail_over(now)
     node.standby.failovers.times = [now - 1.0] * 2
     assert not node.standby.failovers.may_fail_over(now)
-    node.standby.failovers.times = [now - node.timeouts.leader_lease * 1.5] * 2
+    node.standby.failovers.times = [now - node.timeouts.leader_lease_s * 1.5] * 2
     assert node.standby.failovers.may_fail_over(now)
-    node.standby.failovers.times = [now - node.timeouts.leader_lease * 1.5] * 3
+    node.standby.failovers.times = [now - node.timeouts.leader_lease_s * 1.5] * 3
     assert not node.standby.failovers.may_fail_over(now)
-    node.standby.failovers.times = [now - node.timeouts.worker_lease * 9] * 9
+    node.standby.failovers.times = [now - node.timeouts.worker_lease_s * 9] * 9
     assert node.standby.failovers.may_fail_over(now)
 
 
@@ -289,7 +291,7 @@
     other = next(name for name in world.names if name != old)
     reply = hand_over(world, other)
     assert reply == HandOverReply(True, other)
-    assert deciding_leader(world) == other and not world.nodes[old].leader.leading
+    assert deciding_leader(world) == other and not world.nodes[old].leader.is_leading
     world.run(world.clock.seconds() + 5.0)
     assert hand_over(world, old) == HandOverReply(True, old)
     assert deciding_leader(world) == old
@@ -304,7 +306,7 @@
     reply = hand_over(world)
     new = world.nodes[reply.leader].leader
     assert new.leadership.failed_leader == ""
-    assert new.fleet_view.members[old].heard_at >= new.leadership.leading_since
+    assert new.fleet_view.members[old].reported_at >= new.leadership.leading_since
 
 
 def test_without_a_complete_follower_the_lead_is_not_handed_over() -> None:
@@ -399,7 +401,7 @@
     assert run_until_failover(world, old) < 2.0
     new = world.nodes[followers[0]]
     assert world.leader() == followers[0]
-    assert followers[1] in new.leader.confirmed()
+    assert followers[1] in new.leader.confirmed_members()
     assert world.nodes[followers[1]].registration.mirror.leader == old
 
 
@@ -421,7 +423,7 @@
         world.run(world.clock.seconds() + 0.01)
     world.run(world.clock.seconds() + 0.6)
     leader = world.nodes[first].leader
-    assert not leader.ready and leader.confirmed() == {first}
+    assert not leader.is_ready and leader.confirmed_members() == {first}
     unconfirmed = {
         machine.zone
         for shard in world.nodes[first].registration.mirror.shards.values()
@@ -438,7 +440,7 @@
     # Once the time limit for confirmation is over or the third responds again, capacity is offered
     # in all zones.
     world.run(world.clock.seconds() + 10.0)
-    assert leader.ready and world.checker.broken == []
+    assert leader.is_ready and world.checker.broken == []
 
 
 def test_after_many_failovers_the_next_one_is_delayed_until_the_lease_expires() -> None:
--- a/tests/test_steady_state_cost.py
+++ b/tests/test_steady_state_cost.py
@@ -81,18 +81,20 @@
     machines: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     world = steady_world(machines)
-    counts = {name: node.machine_controller.changes for name, node in world.nodes.items()}
+    counts = {name: node.machine_controller.change_count for name, node in world.nodes.items()}
     reports: list[str] = []
-    report = MachineController.report
+    report = MachineController.handle_heartbeat
 
     def count_report(holder: MachineController, message: Any) -> Any:
         reports.append(message.machine)
         return report(holder, message)
 
-    monkeypatch.setattr(MachineController, "report", count_report)
+    monkeypatch.setattr(MachineController, "handle_heartbeat", count_report)
     world.run(world.clock.seconds() + STEADY_S)
     assert len(reports) >= machines * STEADY_S / 3.0 * 0.8
-    assert {name: node.machine_controller.changes for name, node in world.nodes.items()} == counts
+    assert {
+        name: node.machine_controller.change_count for name, node in world.nodes.items()
+    } == counts
 
 
 def test_a_heartbeat_without_changes_triggers_no_reconciliation(
@@ -101,7 +103,7 @@
     world = steady_world(30)
     reconciliations: Counter[str] = Counter()
     reports: Counter[str] = Counter()
-    reconcile, report = MachineController.reconcile, MachineController.report
+    reconcile, report = MachineController.reconcile, MachineController.handle_heartbeat
 
     def count_reconciliation(self: MachineController, machine: Any) -> None:
         reconciliations[machine.info.name] += 1
@@ -112,7 +114,7 @@
         return report(self, message)
 
     monkeypatch.setattr(MachineController, "reconcile", count_reconciliation)
-    monkeypatch.setattr(MachineController, "report", count_report)
+    monkeypatch.setattr(MachineController, "handle_heartbeat", count_report)
     world.run(world.clock.seconds() + STEADY_S)
     assert sum(reports.values()) > 30 * STEADY_S / 4
     assert sum(reconciliations.values()) <= sum(reports.values()) * 0.05
--- a/tests/test_task_retry.py
+++ b/tests/test_task_retry.py
@@ -23,11 +23,11 @@
     task = Task()
     for number in range(MAX_AVOIDED_MACHINES):
         avoid_machine(task, f"host-{number}")
-    assert task.avoid == {"host-0", "host-1", "host-2", "host-3"}
+    assert task.avoided_machines == {"host-0", "host-1", "host-2", "host-3"}
     avoid_machine(task, "host-3")
-    assert len(task.avoid) == MAX_AVOIDED_MACHINES
+    assert len(task.avoided_machines) == MAX_AVOIDED_MACHINES
     avoid_machine(task, "host-4")
-    assert task.avoid == set()
+    assert task.avoided_machines == set()
 
 
 def test_exit_reasons_equal_their_strings_in_messages() -> None:
