--- a/src/beamspar/jobs/__init__.py
+++ b/src/beamspar/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""The jobs of this controller's partitions: accepting, placing, storing, following."""
+"""The jobs of this controller's partitions: accepted, placed, stored and monitored."""
--- a/src/beamspar/jobs/assignments.py
+++ b/src/beamspar/jobs/assignments.py
@@ -38,7 +38,7 @@
 
 
 class AssignmentsJobStore(Protocol):
-    """What the assignments need of the job controller."""
+    """The part of the job controller that the assignments use."""
 
     jobs: dict[str, Job]
     partitions: set[str]
@@ -48,7 +48,7 @@
         """Handle attempt statuses reported by machine controllers."""
 
     def may_start(self, job: Job) -> bool:
-        """Return whether the bound tasks of the job's team are within its quota allocation."""
+        """Return whether the quota of the job's team allows its bound tasks to be started."""
 
 
 class AttemptKey(msgspec.Struct, frozen=True):
@@ -118,7 +118,7 @@
     def unassign(self, machine: str, job: Job, index: int) -> None:
         """Remove the job's task from the tasks that are bound to the machine."""
         key = TaskKey(job.id, index)
-        # The same job may be in memory twice: while it is accepted and when it is read back.
+        # The same job may be in memory twice, if its record is read while it is being accepted.
         if key in self.unpublished and self.unpublished[key].job is job:
             del self.unpublished[key]
         assigned = self.by_machine.get(machine, {})
--- a/src/beamspar/jobs/attempt_statuses.py
+++ b/src/beamspar/jobs/attempt_statuses.py
@@ -32,14 +32,14 @@
 
 
 class AttemptStatusJobStore(Protocol):
-    """What the status handler needs of the job controller."""
+    """The part of the job controller that the status handler uses."""
 
     jobs: dict[str, Job]
     writer: JobWriter
     quota_manager: QuotaManager | None
 
     def apply_cancellation(self, job_id: str) -> None:
-        """Cancel the job, whose user has cancelled it."""
+        """Apply a stored cancellation to the job, if it is in memory."""
 
     def quota_usage_changed(self, job: Job) -> None:
         """Update the job's counted quota usage."""
@@ -69,7 +69,7 @@
         self.assignments = assignments
         self.gang_attempts = gang_attempts
         self.job_store = job_store
-        # Number of jobs that were backed off because they failed on every machine.
+        # Number of jobs that were backed off because they failed on several machines.
         self.jobs_backed_off = 0
 
     def observe(self, statuses: list[AttemptStatus]) -> None:
@@ -158,7 +158,7 @@
             job.unbind(index)
         task.is_stored = False
         task.fencing_token = 0
-        # The task counts against the team's quota until its release is stored: until then, a
+        # The task counts against the team's quota until its release is stored: before that, a
         # successor would restore the binding and start the task.
         job.dirty_chunks.add(index // job.tasks_per_chunk)
         self.job_store.quota_usage_changed(job)
@@ -196,7 +196,7 @@
             task.not_before = now + self.timeouts.member_heartbeat_interval_s / 2
 
     def _attribute_failure(self, job: Job, task: Task, machine: str, now: float) -> None:
-        """Have a task that failed avoid the machine, and count the failure for its job."""
+        """Have a failed task avoid the machine, and count the failure in its job's backoff."""
         avoid_machine(task, machine)
         # Services have few tasks, as gangs do, so the retry pauses of their tasks suffice.
         if job.spec.is_service:
@@ -204,8 +204,8 @@
         if job.backoff.record_failure(machine, now, self.timeouts.retry_delay_s):
             self.jobs_backed_off += 1
             log.warn(
-                "{job} fails on every machine, limiting it to a few probe tasks: "
-                "job number {n} so far",
+                "{job} failed on several machines and never succeeded, limiting it to a few "
+                "probe tasks; jobs limited so far: {n}",
                 job=job.id,
                 n=self.jobs_backed_off,
             )
@@ -214,8 +214,8 @@
 def _is_current(task: Task, status: AttemptStatus) -> bool:
     """Return whether the status concerns the task's current attempt.
 
-    A status with an older fencing token than that of the last request is stale: it does not
-    reflect what the machine controller with the newer token does.
+    A status with an older fencing token than the one last sent with the task is stale: it does
+    not reflect what the machine controller with the newer token does.
     """
     return (
         task.attempt == status.attempt
--- a/src/beamspar/jobs/desired_state.py
+++ b/src/beamspar/jobs/desired_state.py
@@ -24,7 +24,7 @@
 
     @property
     def name(self) -> str:
-        """Return the task's name in messages."""
+        """The task's name in messages."""
         return f"{self.job_id}/{self.index}"
 
 
@@ -40,8 +40,8 @@
 ) -> DesiredAction:
     """Return what the task's machine controller should do with the attempt.
 
-    `may_start` returns whether the job's team is within its quota. It is called last because it
-    is expensive.
+    `may_start` returns whether the quota of the job's team allows its bound tasks to be started.
+    It is called last because it is expensive.
     """
     if not task.is_stored:
         # Reserve the capacity at once: otherwise, while the record was being written, other
@@ -88,9 +88,9 @@
 def split_by_size(
     machines: Iterable[str], sizes: Mapping[str, int], max_size: int
 ) -> list[set[str] | None]:
-    """Split the machines, in order of their names, into parts of `max_size` or less in sum.
+    """Split the machines into parts whose sizes add up to at most `max_size`.
 
-    A machine that exceeds `max_size` by itself becomes a part of its own.
+    The machines are taken in order of their names. A machine that exceeds `max_size` by itself becomes a part of its own.
     """
     parts: list[set[str] | None] = []
     part: set[str] = set()
--- a/src/beamspar/jobs/empty_partitions.py
+++ b/src/beamspar/jobs/empty_partitions.py
@@ -32,7 +32,7 @@
 
     @property
     def indeterminate_accepts(self) -> dict[str, list[Job]]:
-        """Jobs whose accept has an unknown outcome, by ID."""
+        """Jobs whose accept has an indeterminate outcome, by ID."""
 
 
 class EmptyPartitionRemover:
@@ -55,7 +55,7 @@
         self.is_deleting = False
 
     def delete_one(self, quota_manager: QuotaManager) -> None:
-        """Begin to delete one loaded partition without jobs and quota, if there is one."""
+        """Begin to delete one loaded partition without jobs or allocations, if there is one."""
         if self.is_deleting:
             return
         job_store = self.job_store
--- a/src/beamspar/jobs/gang_attempts.py
+++ b/src/beamspar/jobs/gang_attempts.py
@@ -1,8 +1,8 @@
 """Applies the statuses of a gang's tasks to the gang's current attempt.
 
-All tasks of a gang start together, so the loss of one affects all: it is replaced if the attempt
-has not started yet; otherwise all tasks are stopped. `workload.gang` decides which; this module
-records the losses and has the desired state published.
+All tasks of a gang start together, so the loss of one affects all: the task is replaced if the
+attempt has not started yet; otherwise all tasks are stopped. `workload.gang` decides which; this
+module records the losses and has the desired state published.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class GangJobStore(Protocol):
-    """What the gang attempts need of the job controller."""
+    """The part of the job controller that the gang attempts use."""
 
     jobs: dict[str, Job]
 
@@ -59,7 +59,7 @@
             self.job_store.schedule_placement()
 
     def lose_task(self, job: Job, task: Task, status: AttemptStatus, now: float) -> None:
-        """Apply the end of a gang's task that is not done: replace it or stop all tasks."""
+        """Apply the loss of a gang's task, which is replaced unless all tasks are to be stopped."""
         gang = job.gang
         if status.exit_reason in GANG_FAILURE_REASONS and not gang.is_stopping:
             gang.failures += 1
@@ -77,7 +77,7 @@
         self.job_store.publish_desired_state_of(job)
 
     def stop_incomplete(self, now: float) -> None:
-        """Stop gangs without a replacement in time, as other jobs may need their machines."""
+        """Stop gangs whose lost tasks were not replaced in time: others may need the machines."""
         for job in self.job_store.jobs.values():
             gang = job.gang
             if gang.missing_since is None or gang.is_stopping or job.status != JobStatus.LIVE:
--- a/src/beamspar/jobs/indeterminate_accepts.py
+++ b/src/beamspar/jobs/indeterminate_accepts.py
@@ -1,4 +1,4 @@
-"""Resolves accepts without a reply: the write may have been applied, or may be minutes later.
+"""Resolves accepts without a reply: their writes may be applied already, or minutes later.
 
 The quota usage of such a job stays counted until the outcome is known. Otherwise a record that is
 applied late could exceed the team's quota.
--- a/src/beamspar/jobs/job_acceptor.py
+++ b/src/beamspar/jobs/job_acceptor.py
@@ -62,6 +62,7 @@
     async def accept(self, spec: JobSpec) -> bool:
         """Store a new job, with its first tasks bound as far as capacity is free; return True.
 
+        While the processor is busy, a job of the lowest priority is stored with no task bound.
         Raises ConflictError if the job is already stored or this controller is fenced out,
         OutcomeUnknownError if the job may have been stored, and StateUnavailableError or
         LeaseExpiredError if it was not stored.
--- a/src/beamspar/jobs/job_controller.py
+++ b/src/beamspar/jobs/job_controller.py
@@ -59,7 +59,7 @@
         # Zones of all machines that were ever in a shard.
         self.zones: dict[str, str] = {}
         self.spot_machines: set[str] = set()
-        # Set before the controller is used; without it, teams have no quota.
+        # Set before the controller is used; without it, no quota is enforced.
         self.quota_manager: QuotaManager | None = None
         self.writer = JobWriter(clock, registration, state, limits, timeouts, self)
         self.assignments = Assignments(clock, registration, timeouts, self)
@@ -187,8 +187,8 @@
         job = self.jobs.get(job_id)
         if job is not None and job.status == JobStatus.LIVE:
             self.cancel(job)
-            # The cancellation changed the version of the job's record; read it again, as the
-            # end of the job is written on top of that version.
+            # The cancellation changed the version of the job's record. The record is re-read, as
+            # the end of the job is written on top of its current version.
             spawn(self._refresh_and_flush(job), "cancellation")
 
     async def _refresh_and_flush(self, job: Job) -> None:
@@ -225,7 +225,7 @@
             self.schedule_placement()
 
     def may_start(self, job: Job) -> bool:
-        """Return whether the bound tasks of the job's team are within its quota allocation."""
+        """Return whether the quota of the job's team allows its bound tasks to be started."""
         return self.quota_manager is None or self.quota_manager.may_start(
             job.partition, job.spec.team
         )
--- a/src/beamspar/jobs/job_loader.py
+++ b/src/beamspar/jobs/job_loader.py
@@ -73,7 +73,7 @@
     async def load_stored_job(self, job_id: str) -> Job | None:
         """Load one stored job of this controller's partitions.
 
-        Returns None if the job was not loaded: it is already in memory or being accepted, is not
+        Return None if the job was not loaded: it is already in memory or being accepted, is not
         stored in an owned partition, or could not be read.
         """
         with self._count_load():
@@ -110,7 +110,7 @@
         }
 
     def _is_still_owned(self, partition: str, ownership: dict[str, int]) -> bool:
-        """Whether this controller has owned the partition since `ownership` was taken."""
+        """Return whether this controller has owned the partition since `ownership` was read."""
         return (
             partition in ownership
             and self._ownership_revisions().get(partition) == ownership[partition]
@@ -184,7 +184,8 @@
     def _add_to_memory(self, job: Job) -> bool:
         """Add a restored job to the jobs in memory; return whether it was added.
 
-        It is not if it is already there, has finished, or its partition is not owned any more.
+        A job is not added if it is already in memory or has finished, or if this controller does
+        not own its partition any more.
         """
         job_store = self._job_store
         if (
--- a/src/beamspar/jobs/job_store.py
+++ b/src/beamspar/jobs/job_store.py
@@ -50,7 +50,7 @@
         """Add a restored job to the jobs in memory."""
 
     def on_jobs_loaded(self) -> None:
-        """React to further partitions having been loaded."""
+        """Publish the desired state of all machines, as more partitions have been loaded."""
 
 
 class AcceptingJobStore(JobStore, Protocol):
@@ -75,4 +75,4 @@
         """Load a stored job of this controller's partitions that is not in memory."""
 
     def schedule_placement(self) -> None:
-        """Place pending tasks."""
+        """Schedule a placement round for the pending tasks."""
--- a/src/beamspar/jobs/layout_migration.py
+++ b/src/beamspar/jobs/layout_migration.py
@@ -61,7 +61,7 @@
     async def _write_all(self, job: Job) -> bool:
         """Write the chunks, the last of them together with the record that names their layout.
 
-        Returns whether all of them are known to be stored.
+        Return whether all of them are known to be stored.
         """
         while len(job.dirty_chunks - {0}) > self._chunks_at_once:
             chunks = sorted(job.dirty_chunks - {0})[: self._chunks_at_once]
--- a/src/beamspar/jobs/placement_round.py
+++ b/src/beamspar/jobs/placement_round.py
@@ -16,7 +16,7 @@
 # Maximum number of pending jobs in one placement round, and of tasks of one job in it.
 JOBS_PER_ROUND = 64
 TASKS_PER_JOB = 200
-# The same limit for jobs of the lowest priority: the leader examines all machines for each task,
+# Maximum number of tasks of a lowest-priority job: the leader examines all machines for each task,
 # and the requests of all other controllers wait until it has handled the whole round.
 LOWEST_PRIORITY_TASKS_PER_JOB = 25
 # Maximum number of jobs of the same shape in one round.
@@ -24,7 +24,7 @@
 
 
 class JobShape(msgspec.Struct, frozen=True):
-    """Properties that decide where there is capacity for a job: the same for equal shapes."""
+    """Properties that decide whether a job can be placed: equal shapes succeed or fail alike."""
 
     cpus: float
     gpus: float
@@ -43,7 +43,7 @@
 
 
 def tasks_per_round(job: Job) -> int:
-    """Return how many tasks of the job one round may place: all if they must start together."""
+    """Return how many tasks of the job one round may place: all if they are placed together."""
     if job.spec.grouped:
         return job.spec.tasks
     return LOWEST_PRIORITY_TASKS_PER_JOB if job.spec.rank == LOWEST_RANK else TASKS_PER_JOB
--- a/src/beamspar/jobs/placer.py
+++ b/src/beamspar/jobs/placer.py
@@ -43,7 +43,7 @@
 
 
 class PlacerJobStore(Protocol):
-    """What the placer needs of the job controller."""
+    """The part of the job controller that the placer uses."""
 
     jobs: dict[str, Job]
     writer: JobWriter
@@ -55,7 +55,7 @@
 
 
 class LocalCapacities(NamedTuple):
-    """Free capacity of the machines that this member controls, at one time."""
+    """Free capacity of the machines that this member controls, less the reservations so far."""
 
     capacities: list[MachineCapacity]
     # Names of these machines when the round began: they are preferred among cold machines.
@@ -87,7 +87,7 @@
         self.timeouts = timeouts
         self.job_store = job_store
         self.binder = TaskBinder(job_store)
-        # A round is running or its timer is set; another one is to follow it.
+        # Whether a round is running or its timer is set, and whether another one is to follow it.
         self.is_round_pending = False
         self.is_round_wanted = False
         self.round_began_at = -1e9
@@ -109,8 +109,9 @@
             return
         self.is_round_pending = True
         # Every task that ends requests a round, so with thousands of short tasks, rounds without
-        # a minimum interval took all processor time. New jobs don't wait for a round: they are
-        # placed when they are accepted.
+        # a minimum interval took all processor time. New jobs don't wait for a round: `place` is
+        # called for each as it is accepted. The exception are jobs of the lowest priority: while
+        # the processor is busy they are accepted with no task bound, and wait for a later round.
         interval = self.timeouts.member_heartbeat_interval_s * ROUND_INTERVAL_HEARTBEATS
         wait = self.round_began_at + interval - self.clock.seconds()
         if wait > 0:
@@ -162,10 +163,10 @@
                 self.job_store.writer.flush(job)
 
     def _may_place(self, job: Job) -> bool:
-        """Whether there is processor time to place the job; only the lowest priority waits for it.
+        """Return whether the job may be placed now: the lowest priority waits for a busy processor.
 
-        Otherwise a job array of 25,000 short tasks kept all controllers busy for minutes, and all
-        requests were delayed by the starts and ends of its tasks.
+        Without this wait, a job array of 25,000 short tasks kept all controllers busy for minutes,
+        and the starts and ends of its tasks delayed the requests of all others.
         """
         if job.spec.rank < LOWEST_RANK:
             return True
@@ -174,7 +175,10 @@
     # -- one round
 
     async def place(self, jobs: list[Job]) -> None:
-        """Place tasks on local warm machines, then on offered ones, then on local cold ones."""
+        """Place tasks on local warm machines, then on offered ones, then on local cold ones.
+
+        Jobs that must wait because the processor is busy are skipped.
+        """
         jobs = [job for job in jobs if self._may_place(job)]
         if not jobs or not self.registration.lease_is_valid():
             return
@@ -199,16 +203,16 @@
     def _place_on_warm_machines(
         self, jobs: list[Job], local_capacities: LocalCapacities, now: float
     ) -> list[UnplacedJob]:
-        """Bind tasks on local warm machines; return the jobs left over that their quota covers."""
+        """Bind tasks on local warm machines; return the jobs with further tasks within quota."""
         unplaced: list[UnplacedJob] = []
         for job in jobs:
-            # Local shards lie in few zones. Jobs that are spread over zones request offers from
-            # the leader first, as it observes the warm machines of all controllers.
+            # Local shards lie in few zones. For jobs that are spread over zones, the leader's
+            # offers come first, as they include the warm machines of all controllers.
             if not (job.spec.spread and self.request_capacity):
                 self._place_locally(job, local_capacities, now, warm_only=True)
             indexes = job.placeable_indexes(now, tasks_per_round(job))
-            whole = is_placed_together(job)
-            if indexes and self.binder.is_covered(job, indexes, whole):
+            is_all_or_nothing = is_placed_together(job)
+            if indexes and self.binder.is_covered(job, indexes, is_all_or_nothing):
                 zone_of, avoid = self.job_store.zone_of, self._avoided(job)
                 request = capacity_request(job, len(indexes), avoid, zone_of, now)
                 unplaced.append(UnplacedJob(job, request))
@@ -267,7 +271,7 @@
             ):
                 return
             if job.tasks[index].avoided_machines:
-                # The tasks that remain to be retried may avoid fewer machines than all of them.
+                # The remaining tasks may avoid fewer machines than they did with this one.
                 avoid = self._avoided(job)
             capacity.reserve(job.spec)
             zones[capacity.zone] = zones.get(capacity.zone, 0) + 1
--- a/src/beamspar/jobs/quota_stops.py
+++ b/src/beamspar/jobs/quota_stops.py
@@ -1,4 +1,4 @@
-"""Stops bound tasks because of their team's quota: preempted ones, and excess over an allocation.
+"""Stops bound tasks that are preempted for their team's quota, or exceed a quota allocation.
 
 `quota.quota_preemption` decides which tasks these are. This module marks them and has their
 desired state published.
@@ -29,7 +29,7 @@
 
 
 class QuotaStopsJobStore(Protocol):
-    """What the quota stops need of the job controller."""
+    """The part of the job controller that the quota stops use."""
 
     jobs: dict[str, Job]
     loaded_partitions: set[str]
@@ -50,7 +50,7 @@
         self.exceeded_since: dict[AllocationKey, float] = {}
 
     def run_if_due(self, quota_manager: QuotaManager, now: float) -> None:
-        """Check the quotas of all teams, once per report interval."""
+        """Check the quotas of all teams, once per worker heartbeat."""
         if now - self.last_run_at >= self.timeouts.worker_heartbeat_interval_s:
             self.last_run_at = now
             self._preempt(quota_manager)
@@ -76,8 +76,8 @@
         """Stop bound tasks that exceed an allocation and do not run.
 
         They are not started until the quota covers them, which may never happen. Running tasks
-        continue: an allocation must be exceeded for long enough that every machine controller has
-        had time to report its running tasks.
+        continue. The allocation must have been exceeded for so long that every machine controller
+        has had time to report its running tasks.
         """
         allocations = [
             AllocationKey(partition, team)
--- a/src/beamspar/jobs/record_transactions.py
+++ b/src/beamspar/jobs/record_transactions.py
@@ -105,7 +105,7 @@
     async def write_record(self, job: Job) -> bool:
         """Write the job's record and some of its changed chunks.
 
-        Returns whether they are known to be stored.
+        Return whether they are known to be stored.
         """
         write = self._prepare(job)
         try:
@@ -117,8 +117,8 @@
             await self._refresh_after_conflict(job, error)
             return False
         except (StateUnavailableError, LeaseExpiredError) as error:
-            # An indeterminate write may have been applied, or may be later. The next write is
-            # conditional on the record's version, which shows whether it was.
+            # An indeterminate write may have been applied, or may be applied later. The next write
+            # is conditional on the record's version, which shows whether this one was applied.
             job.dirty_chunks.update(write.chunks_to_retry)
             await self._delay_after_failure(job, error)
             return False
@@ -180,7 +180,7 @@
     async def write_chunks_of_new_layout(self, job: Job, chunks: list[int]) -> bool:
         """Write chunks of a layout that the job's record does not name yet.
 
-        Returns whether they are known to be stored.
+        Return whether they are known to be stored.
         """
         job.dirty_chunks.difference_update(chunks)
         bound_by_chunk = self._begin_write(job, chunks)
--- a/src/beamspar/jobs/task_binder.py
+++ b/src/beamspar/jobs/task_binder.py
@@ -15,7 +15,7 @@
 
 
 class BinderJobStore(Protocol):
-    """What the task binder needs of the job controller."""
+    """The part of the job controller that the task binder uses."""
 
     assignments: Assignments
     quota_manager: QuotaManager | None
@@ -27,13 +27,13 @@
     def __init__(self, job_store: BinderJobStore) -> None:
         self.job_store = job_store
 
-    def is_covered(self, job: Job, indexes: list[int], whole: bool = False) -> bool:
-        """Return whether the quota covers the first of these tasks, or all with `whole`.
+    def is_covered(self, job: Job, indexes: list[int], is_all_or_nothing: bool = False) -> bool:
+        """Return whether the quota covers the first of these tasks.
 
-        If it does not, more quota is requested.
+        With `is_all_or_nothing` it must cover all of them. If it doesn't, more is requested.
         """
         quota_manager = self.job_store.quota_manager
-        return quota_manager is None or quota_manager.is_covered(job, indexes, whole)
+        return quota_manager is None or quota_manager.is_covered(job, indexes, is_all_or_nothing)
 
     def bind_group(self, job: Job, indexes: list[int], places: list[OfferedPlace]) -> None:
         """Bind all of these tasks, or none if there are too few places or too little quota."""
--- a/src/beamspar/jobs/task_retry.py
+++ b/src/beamspar/jobs/task_retry.py
@@ -6,9 +6,9 @@
 
 from beamspar.workload.task import Task
 
-# Maximum number of machines that a task avoids because it failed there; one more clears the set.
+# Maximum number of machines that a task avoids because it failed there; a further one clears them.
 MAX_AVOIDED_MACHINES = 4
-# The first failures, up to this number, have the same short pause; each further one doubles it.
+# Up to this number of failures the pause is one retry interval; after n failures, 2**n intervals.
 FAILURES_WITH_SHORT_PAUSE = 2
 # The pause grows with at most this many failures, and to at most this many retry intervals.
 MAX_COUNTED_FAILURES = 6
@@ -47,7 +47,7 @@
 
 
 def avoid_machine(task: Task, machine: str) -> None:
-    """Have the task avoid a machine where it failed; with too many, clear the set."""
+    """Have the task avoid a machine where it failed; beyond the maximum, it avoids none."""
     task.avoided_machines.add(machine)
     if len(task.avoided_machines) > MAX_AVOIDED_MACHINES:
         task.avoided_machines.clear()
--- a/src/beamspar/placement.py
+++ b/src/beamspar/placement.py
@@ -30,7 +30,7 @@
 
     The copy shares the cached images and the preemptible resources with the original.
     """
-    # `copy.copy_capacity` ends up in this method; it is called directly because each placement
+    # `copy.copy` would call this method in the end; it is called directly because each placement
     # round copies the free capacity of every machine.
     duplicate: MachineCapacity = capacity.__copy__()  # type: ignore[attr-defined]
     return duplicate
@@ -146,7 +146,7 @@
     """Return the best machine for one more task, or None if no machine has the capacity.
 
     `zones` and `machines` count the job's placed tasks. Machines in `avoid` are excluded, and
-    those in `near` are preferred among machines without the image. With `warm_only`, only
+    those in `preferred` are preferred among machines without the image. With `warm_only`, only
     machines that cache the image are considered.
 
     Tasks without accelerators use the CPUs and memory that a machine's free accelerators need
@@ -363,7 +363,7 @@
 
 
 def total_fitting_task_count(spec: JobSpec, capacities: Iterable[MachineCapacity]) -> int:
-    """Return how many tasks of the job would fit on these machines if it had no others."""
+    """Return how many tasks of the job fit on these machines, as if none were placed yet."""
     return sum(
         fitting_task_count(spec, capacity)
         for capacity in capacities
--- a/src/beamspar/quota/allocation_planner.py
+++ b/src/beamspar/quota/allocation_planner.py
@@ -42,7 +42,7 @@
         self._owns = owns
 
     def needs_write(self, team: str) -> bool:
-        """Return whether the team's record should be written, and may be."""
+        """Return whether the team's record should be written and is safe to write."""
         quota = self._records.read(team)
         if not self._is_writable(quota):
             return False
--- a/src/beamspar/quota/allocation_requests.py
+++ b/src/beamspar/quota/allocation_requests.py
@@ -7,8 +7,8 @@
 from beamspar.quota.allocations import AllocationKey
 from beamspar.quota.fair_share import AllocationRequest
 
-# Lower than every rank of work.
-LOWEST_RANK = 99
+# Stands for the rank of no request: a larger number than every rank, so of lower priority.
+NO_REQUEST_RANK = 99
 
 
 class AllocationRequests:
@@ -19,7 +19,7 @@
 
     def __init__(self) -> None:
         self._requests: dict[AllocationKey, dict[str, AllocationRequest]] = {}
-        # Cache of the highest rank (from 0) among the requests.
+        # Cache of the highest rank among the requests; the highest possible one is 0.
         self._highest_rank: dict[AllocationKey, int] = {}
 
     def request_of(self, key: AllocationKey, job: str) -> AllocationRequest | None:
@@ -52,11 +52,11 @@
         )
 
     def highest_rank(self, key: AllocationKey) -> int:
-        """Return the highest rank (from 0) among the requests of a partition."""
+        """Return the highest rank among the partition's requests; the highest possible one is 0."""
         highest = self._highest_rank.get(key)
         if highest is None:
             ranks = [request.rank for request in self._requests.get(key, {}).values()]
-            highest = self._highest_rank[key] = min(ranks, default=LOWEST_RANK)
+            highest = self._highest_rank[key] = min(ranks, default=NO_REQUEST_RANK)
         return highest
 
     def put(self, key: AllocationKey, job: str, request: AllocationRequest) -> None:
--- a/src/beamspar/quota/allocations.py
+++ b/src/beamspar/quota/allocations.py
@@ -2,7 +2,8 @@
 
 `c/budget/<team>` maps partitions to lists of numbers: the CPUs and accelerators of the allocation
 and, while work of the partition waits for more, its rank (from 1), the CPUs and accelerators that
-it lacks, and the revision at which it was served last. The first release does not write the last.
+it lacks, and the revision at which it was served last. The first release does not write that
+revision.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class AllocationKey(NamedTuple):
-    """Identifies an allocation: the partition that holds it, and the team whose quota it is of."""
+    """Identifies an allocation: the partition that holds it, and the team of the quota."""
 
     partition: str
     team: str
--- a/src/beamspar/quota/fair_share.py
+++ b/src/beamspar/quota/fair_share.py
@@ -50,8 +50,8 @@
     """What a partition needs for its usage and its requests."""
 
     needed: Amounts
-    # The highest rank of pending work (from 1; 0 when none waits), and of the work of that rank
-    # what it lacks and the revision at which it was served last.
+    # The highest rank of pending work (from 1; 0 when none waits), the amounts that the work of
+    # that rank lacks, and the revision at which it was served last.
     waiting_rank: int
     lacking: Amounts
     served_revision: int
@@ -82,8 +82,8 @@
     if decision.is_satisfied and not quota.waiting_elsewhere(partition):
         needed = _with_slack(team, needed, available, current, controllers if requests else 0)
     cpus, gpus = (
-        round(min(max(wanted, have), max(left, old)), ALLOCATION_DIGITS)
-        for wanted, have, left, old in zip(needed, used, available, current, strict=True)
+        round(min(max(need, in_use), max(limit, allocated)), ALLOCATION_DIGITS)
+        for need, in_use, limit, allocated in zip(needed, used, available, current, strict=True)
     )
     if decision.is_satisfied:
         return Allocation(cpus, gpus) if cpus or gpus else None
@@ -116,8 +116,8 @@
     needed, lacking = used, NO_AMOUNTS
     waiting_rank = served_revision = 0
     for request in sorted(requests):
-        # Quota that was freed by preempting work of a lower rank must not go to other work of a
-        # lower rank, nor quota that others released for work that has waited longer.
+        # Quota that was freed by preemption must not go to other work of a lower rank, and quota
+        # that others released for work that has waited longer must not go to other work.
         is_deferred = _is_preceded_by_others(request, partition, quota) or (
             waiting_rank > 0 and request.is_all_or_nothing
         )
@@ -153,18 +153,18 @@
 def _with_slack(
     team: Team, needed: Amounts, available: Amounts, current: Amounts, controllers: int
 ) -> Amounts:
-    """Return the needed amounts plus a part of the quota that is left.
+    """Return the needed amounts plus a share of the rest of the available quota.
 
     The present allocation is kept as far as it is available, and the slack avoids a write of the
     record for each task.
     """
-    found = list(needed)
+    amounts = list(needed)
     for i, limit in enumerate(quota_of(team)):
         if limit:
             left = max(available[i] - needed[i], 0.0)
             slack = left * SLACK / controllers if controllers else 0.0
-            found[i] = max(needed[i] + slack, min(current[i], available[i]))
-    return Amounts(found[0], found[1])
+            amounts[i] = max(needed[i] + slack, min(current[i], available[i]))
+    return Amounts(amounts[0], amounts[1])
 
 
 def _stored_lacking(decision: AllocationDecision) -> Amounts:
--- a/src/beamspar/quota/indeterminate_writes.py
+++ b/src/beamspar/quota/indeterminate_writes.py
@@ -19,9 +19,9 @@
 class IndeterminateWrites:
     """Owns the writes whose outcome is unknown, by partition and team.
 
-    Only the lowest of these allocations may be used until the mirror has a newer version of the
-    record: then each write on top of an older version is in the mirror or can't be applied any
-    more.
+    Until the mirror has a newer version of the record, only the lowest of these allocations and
+    the stored one may be used. After that, each write on top of an older version is in the mirror
+    or can't be applied any more.
     """
 
     def __init__(self) -> None:
@@ -57,7 +57,7 @@
         return amounts
 
     def is_indeterminate(self, team: str, owns: Callable[[str], bool]) -> bool:
-        """Return whether a write of an owned partition is left that only another can resolve."""
+        """Return whether an owned partition has a write that only another write can resolve."""
         return any(key.team == team and owns(key.partition) for key in self._writes)
 
     def forget(self, partition: str) -> None:
--- a/src/beamspar/quota/quota_manager.py
+++ b/src/beamspar/quota/quota_manager.py
@@ -2,8 +2,8 @@
 
 The allocations in a team's record never add up to more than the quota, whichever controllers fail
 or lag, because every change of the record is a compare-and-swap. An allocation moves with its
-partition. The usage of a partition is what its stored job records may bind (`quota_usage`), so a
-new owner finds nothing bound beyond the allocation.
+partition. The usage of a partition is what its stored job records may bind (see
+`workload.quota_usage`), so a new owner finds nothing bound beyond the allocation.
 """
 
 from __future__ import annotations
@@ -114,9 +114,9 @@
     def excess(self, partition: str, team: str) -> Amounts:
         """Return by how much the usage of the partition exceeds its allocation.
 
-        This should be nothing, as every write that binds a task is covered by the allocation. Old
-        records of a release that freed allocations too early may cause an excess; then no task
-        of them is started that does not run yet.
+        This should be zero, as every write that binds a task is covered by the allocation. Old
+        records of a release that freed allocations too early may cause an excess; then their
+        tasks that do not run yet are not started.
         """
         settings = self.teams.get(team)
         if settings is None or not self._owns(partition):
@@ -166,7 +166,7 @@
         return False
 
     def _fits(self, job: Job, team: Team, quota: TeamQuota, tasks: int) -> bool:
-        """Return whether the allocation covers this many more tasks, and no others go first."""
+        """Return whether this many more tasks are covered and no other work has precedence."""
         spec, key = job.spec, AllocationKey(job.partition, team.name)
         allocated = self._indeterminate_writes.certain_amounts(key, quota)
         needed = self._usage.used_by(key).plus_tasks(tasks, spec.cpus, spec.gpus)
@@ -229,7 +229,7 @@
             return False
         now = self._registration.clock.seconds()
         if now - job.quota_served_at >= self._registration.timeouts.worker_heartbeat_interval_s:
-            # Limited to one update per heartbeat, as each one is written into the team's record.
+            # One update per worker heartbeat at most, as each is written into the team's record.
             job.quota_served_revision, job.quota_served_at = self._mirror.revision, now
         key = AllocationKey(job.partition, job.spec.team)
         self._requests.reduce(key, job.id, len(indexes))
@@ -251,8 +251,8 @@
     def amount_to_preempt(self, name: str, rank: int) -> Amounts:
         """Return how much work of this rank should release now for work of a higher rank.
 
-        The latter is work of the team, in any partition, that waits for quota. Each controller
-        preempts its part of the total in each round.
+        The work of a higher rank is pending work of the team, in any partition, that waits for
+        quota. Each controller preempts its part of the total in each round.
         """
         team = self.teams.get(name)
         if team is None:
@@ -279,7 +279,7 @@
             self._writer.check(team)
 
     def _record_changed(self, key: str) -> None:
-        """Check a record that was changed, as quota may be available or requested by others."""
+        """Check a changed record: others may have released quota, or may be waiting for it."""
         team = key.removeprefix(keys.TEAM_QUOTA_PREFIX)
         if key != team and team in self.teams:
             version = self._records.read(team).version
@@ -295,9 +295,9 @@
 
         Until all jobs of the partition are in memory its usage looks like none, and its allocation
         would be released while its tasks still run. The mirror must be at least as new as the
-        change of ownership: this controller's own writes are in it before the watch delivers what
-        came earlier, so an older mirror may show an allocation that the former owner has released
-        since.
+        change of ownership: this controller's own writes are in it before the watch delivers
+        earlier changes, so an older mirror may show an allocation that the former owner has
+        released since.
         """
         record = self._mirror.partitions.get(partition)
         if record is None or record.owner != self._registration.own_name:
--- a/src/beamspar/quota/quota_preemption.py
+++ b/src/beamspar/quota/quota_preemption.py
@@ -27,8 +27,8 @@
 class PreemptionOrder(NamedTuple):
     """Sort key of preemption: the unit with the lowest key is preempted first.
 
-    That is work of the lowest rank, then work on ordinary machines, where work of a higher rank can
-    take its place, then work that saves checkpoints, and then the newest.
+    That is work of the lowest rank, then work on machines other than spot machines, where work of
+    a higher rank can take its place, then work that saves checkpoints, and then the newest.
     """
 
     negative_rank: int
--- a/src/beamspar/workload/gang.py
+++ b/src/beamspar/workload/gang.py
@@ -15,9 +15,9 @@
 from beamspar.workload.task import TaskState
 
 # Maximum wait for a replacement, as a share of the time that a task waits for its gang. After it,
-# the gang releases its machines; otherwise two gangs could hold the machines that the other needs.
+# the gang releases its machines; otherwise two gangs could each hold machines that the other needs.
 REPLACEMENT_WAIT_SHARE = 0.25
-# Maximum delay before a gang that was not completed is placed again, in retry intervals.
+# Maximum delay before a gang that has failed is placed again, in retry intervals and before jitter.
 MAX_RETRY_DELAY_INTERVALS = 32
 
 
@@ -45,13 +45,13 @@
     is_state_known: bool = False
     # All tasks are to be stopped.
     is_stopping: bool = False
-    # One of the tasks has ended, so no checkpoint can be saved any more.
+    # One of the tasks has ended and is not replaced yet, so no checkpoint can be saved.
     cannot_save: bool = False
-    # When a task was first missing.
+    # When this process observed the loss of the first of the missing tasks; None if it has not.
     missing_since: float | None = None
-    # Number of consecutive attempts that were not completed.
+    # Number of failures since a task was last reported as running or saving.
     failures: int = 0
-    # Machines that lost a task of this attempt: no task is started there again under its number.
+    # Machines that lost a task of this attempt: no task of the attempt is started there again.
     excluded_machines: set[str] = msgspec.field(default_factory=set)
 
     def begin_attempt(self) -> None:
@@ -72,7 +72,7 @@
             self.is_stopping = True
 
     def observe_lost_task(self, machine: str, now: float, may_replace: bool) -> None:
-        """Apply the end of an attempt of one of the tasks that did not complete the task."""
+        """Apply the loss of a task: its attempt has ended without completing it."""
         self.cannot_save = True
         self.excluded_machines.add(machine)
         if self.missing_since is None:
--- a/src/beamspar/workload/job.py
+++ b/src/beamspar/workload/job.py
@@ -24,7 +24,7 @@
         self.partition = partition
         self.status = JobStatus.LIVE
         self.layout = layout
-        # No task is bound while the record is being rewritten in another layout.
+        # While the record is being rewritten in another layout, no further task is bound.
         self.is_changing_layout = False
         self.version = 0
         self.chunk_versions: dict[int, int] = {}
@@ -91,14 +91,17 @@
 
     @property
     def next_attempt(self) -> int:
-        """Attempt number of the gang's next bound tasks: they find each other by sharing one."""
+        """Attempt number for the gang's next binding; its tasks find each other by this number."""
         bound = [t.attempt for t in self.tasks.values() if t.machine is not None]
         return max(bound) if bound else 1 + max((t.attempt for t in self.tasks.values()), default=0)
 
     # -- which tasks may be placed
 
     def placeable_indexes(self, now: float, limit: int) -> list[int]:
-        """Return up to `limit` task indexes that may be placed now, retried tasks first."""
+        """Return up to `limit` task indexes that may be placed now, retried tasks first.
+
+        For a gang without bound tasks, they are all its unfinished tasks, whatever the limit.
+        """
         if (
             self.status != JobStatus.LIVE
             or self.is_changing_layout
@@ -126,7 +129,7 @@
         return indexes + list(range(self.next_unstarted, end))
 
     def _all_gang_tasks(self, now: float) -> list[int]:
-        """Return all unfinished tasks of an unbound gang, or none while any of them must pause."""
+        """Return all unfinished tasks of an unbound gang; none while any must pause."""
         if any(self.tasks[index].not_before > now for index in self.retry_queue):
             return []
         return [*self.retry_queue, *range(self.next_unstarted, self.spec.tasks)]
