--- a/src/beamspar/jobs/desired_state.py
+++ b/src/beamspar/jobs/desired_state.py
@@ -90,7 +90,8 @@
 ) -> list[set[str] | None]:
     """Split the machines into parts whose sizes add up to at most `max_size`.
 
-    The machines are taken in order of their names. A machine that exceeds `max_size` by itself becomes a part of its own.
+    The machines are taken in order of their names. A machine that exceeds `max_size` by itself
+    becomes a part of its own.
     """
     parts: list[set[str] | None] = []
     part: set[str] = set()
--- a/src/beamspar/jobs/placement_round.py
+++ b/src/beamspar/jobs/placement_round.py
@@ -88,8 +88,9 @@
     """Return the machines that no task of the job may be placed on now.
 
     A machine on which a task failed is avoided only for a while: as long as the task's retry
-    pause ended after `failed_after`. Without that limit, once each machine had failed some task of
-    a job, the whole job stayed pending for ever in spite of free capacity.
+    pause ends after `failed_after`. Without that limit, once each machine had failed some task of
+    a job, the whole job stayed pending for ever in spite of free capacity. No machine is avoided
+    for failures that are attributed to the job.
     """
     # A new attempt of a gang may use the machines of the previous one.
     avoided: set[str] = set(job.gang.excluded_machines if job.bound_count else ())
--- a/src/beamspar/jobs/placer.py
+++ b/src/beamspar/jobs/placer.py
@@ -109,9 +109,9 @@
             return
         self.is_round_pending = True
         # Every task that ends requests a round, so with thousands of short tasks, rounds without
-        # a minimum interval took all processor time. New jobs don't wait for a round: `place` is
-        # called for each as it is accepted. The exception are jobs of the lowest priority: while
-        # the processor is busy they are accepted with no task bound, and wait for a later round.
+        # a minimum interval took all processor time. A new job doesn't wait for a round: `place`
+        # is called as it is accepted. But while the processor is busy, `place` skips jobs of the
+        # lowest priority: these are accepted with no task bound, and wait for a later round.
         interval = self.timeouts.member_heartbeat_interval_s * ROUND_INTERVAL_HEARTBEATS
         wait = self.round_began_at + interval - self.clock.seconds()
         if wait > 0:
--- a/tests/test_desired_state.py
+++ b/tests/test_desired_state.py
@@ -68,7 +68,7 @@
     job, task = bound(msgspec.structs.replace(SPEC, shape="ensemble"))
     assert action(job, task) is DesiredAction.RUN
     job.gang.is_stopping = True
-    assert {action(job, each) for each in job.tasks.values()} == {DesiredAction.STOP}
+    assert {action(job, gang_task) for gang_task in job.tasks.values()} == {DesiredAction.STOP}
 
 
 def test_the_quota_is_not_checked_for_tasks_that_are_held_or_stopped_anyway() -> None:
--- a/tests/test_failure_backoff.py
+++ b/tests/test_failure_backoff.py
@@ -71,38 +71,38 @@
 
 
 def test_failures_of_two_jobs_are_attributed_to_the_machine_unless_the_jobs_are_at_fault() -> None:
-    faults, one = evidence(), machine("host-1")
-    assert faults.attribute_failure(one, "j-1", False, 1.0) == ["j-1"]
-    assert faults.attribute_failure(one, "j-2", False, 2.0) == ["j-1", "j-2"]
-    assert one.is_degraded and one.quarantined_until > 2.0
-    faults.mark_job_at_fault("j-1", [one])
-    assert not one.is_degraded
-    faults.mark_job_at_fault("j-2", [one])
-    assert one.quarantined_until == 0.0
-    assert faults.attribute_failure(one, "j-2", True, 3.0) == []
-    assert faults.attribute_failure(one, "j-1", False, 3.0) == [], (
-        "the failure was attributed to the job before"
+    faults, managed = evidence(), machine("host-1")
+    assert faults.attribute_failure(managed, "j-1", False, 1.0) == ["j-1"]
+    assert faults.attribute_failure(managed, "j-2", False, 2.0) == ["j-1", "j-2"]
+    assert managed.is_degraded and managed.quarantined_until > 2.0
+    faults.mark_job_at_fault("j-1", [managed])
+    assert not managed.is_degraded
+    faults.mark_job_at_fault("j-2", [managed])
+    assert managed.quarantined_until == 0.0
+    assert faults.attribute_failure(managed, "j-2", True, 3.0) == []
+    assert faults.attribute_failure(managed, "j-1", False, 3.0) == [], (
+        "failures of this job are already attributed to the job itself"
     )
 
 
 def test_a_faulty_machine_is_detected_beside_a_job_at_fault() -> None:
-    faults, one = evidence(), machine("host-1")
-    faults.mark_job_at_fault("j-broken", [one])
-    assert faults.attribute_failure(one, "j-broken", True, 1.0) == []
-    assert faults.attribute_failure(one, "j-1", False, 1.0) == ["j-1"]
-    assert faults.attribute_failure(one, "j-2", False, 2.0) == ["j-1", "j-2"]
-    assert one.is_degraded
+    faults, managed = evidence(), machine("host-1")
+    faults.mark_job_at_fault("j-broken", [managed])
+    assert faults.attribute_failure(managed, "j-broken", True, 1.0) == []
+    assert faults.attribute_failure(managed, "j-1", False, 1.0) == ["j-1"]
+    assert faults.attribute_failure(managed, "j-2", False, 2.0) == ["j-1", "j-2"]
+    assert managed.is_degraded
 
 
 def test_the_memory_for_fault_evidence_is_bounded() -> None:
-    faults, one = evidence(), machine("host-1")
+    faults, managed = evidence(), machine("host-1")
     for number in range(MAX_TRACKED_JOBS * 2):
-        faults.attribute_failure(one, f"j-{number}", False, float(number))
+        faults.attribute_failure(managed, f"j-{number}", False, float(number))
     assert len(faults._machines_of) == MAX_TRACKED_JOBS
-    assert len(one.job_failures) <= faults.timeouts.worker_lease_s * 6 + 1
+    assert len(managed.job_failures) <= faults.timeouts.worker_lease_s * 6 + 1
 
 
-def test_a_desired_attempt_of_this_release_is_read_by_one_without_the_field() -> None:
+def test_a_desired_attempt_is_read_by_a_release_without_its_last_fields() -> None:
     class OldDesiredAttempt(msgspec.Struct, array_like=True):
         machine: str
         number: int
--- a/tests/test_job_acceptor.py
+++ b/tests/test_job_acceptor.py
@@ -44,7 +44,7 @@
     async def transact(self, conditions: Any, changes: Any, *rest: Any) -> int:
         if changes[0]["put"] == "job/j-1":
             self.accept = changes[0]["data"]
-            raise OutcomeUnknownError("no answer")
+            raise OutcomeUnknownError("no reply")
         self.partition_writes += 1
         return 20
 
--- a/tests/test_many_tasks.py
+++ b/tests/test_many_tasks.py
@@ -32,10 +32,10 @@
     job = Job(spec, "rig-0.1", ChunkLayout(8), 0.0)
     for _ in range(2000):
         bound = [index for index, task in job.tasks.items() if task.machine is not None]
-        waiting = job.placeable_indexes(0.0, 5)
+        placeable = job.placeable_indexes(0.0, 5)
         action = rng.choice(["bind", "unbind", "run", "save", "done"])
-        if action == "bind" and waiting:
-            index = rng.choice(waiting)
+        if action == "bind" and placeable:
+            index = rng.choice(placeable)
             job.dequeue(index)
             job.bind(index, rng.choice(MACHINES))
         elif bound:
@@ -154,10 +154,14 @@
         world.run(40.0)
     large = [entry for entry in sent if entry[2] >= LARGE_PUBLICATION_ATTEMPTS]
     assert len(large) > 10
-    for pair, at, desired_attempts in large:
-        following = [later for other, later, _ in sent if other == pair and later > at]
+    for route, sent_at, desired_attempts in large:
+        following = [
+            later_at
+            for other_route, later_at, _ in sent
+            if other_route == route and later_at > sent_at
+        ]
         pause = 0.5 * desired_attempts / MAX_DESIRED_ATTEMPTS
-        assert not following or following[0] >= at + pause * 0.99
+        assert not following or following[0] >= sent_at + pause * 0.99
 
 
 def test_low_priority_jobs_wait_while_the_processors_are_busy() -> None:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -62,12 +62,11 @@
     zones: dict[str, int],
     machines: dict[str, int],
     avoid: set[str],
-    near: set[str],
+    preferred: set[str],
     warm_only: bool,
     preference: Preference,
 ) -> MachineCapacity | None:
-    """Return the machine that is the smallest by the whole key: the result expected of
-    `choose_machine`."""
+    """Return the machine with the smallest whole key, which `choose_machine` must return."""
 
     def spreading_key(capacity: MachineCapacity) -> tuple[int, int, int]:
         if not spec.is_gang:
@@ -92,7 +91,7 @@
             spec.spot and not capacity.spot,
             not warm and capacity.fetching,
             *spreading_key(capacity),
-            not warm and capacity.name not in near,
+            not warm and capacity.name not in preferred,
             capacity.gpus - spec.gpus,
             capacity.cpus - spec.cpus,
             capacity.name,
@@ -118,15 +117,15 @@
         zones = {zone: rng.randrange(3) for zone in ZONES if rng.random() < 0.5}
         machines = {f"m{rng.randrange(40)}": 1 for _ in range(3)}
         avoid = {capacity.name for capacity in capacities if rng.random() < 0.1}
-        near = {capacity.name for capacity in capacities if rng.random() < 0.4}
+        preferred = {capacity.name for capacity in capacities if rng.random() < 0.4}
         slow = frozenset(kind for kind in "abc" if rng.random() < 0.3)
         preference = Preference((rng.choice([0.0, 1.0]), rng.choice([0.0, 4.0])), slow)
         warm_only = rng.random() < 0.3
         expected = reference_choice(
-            spec, capacities, zones, machines, avoid, near, warm_only, preference
+            spec, capacities, zones, machines, avoid, preferred, warm_only, preference
         )
         chosen = choose_machine(
-            spec, capacities, zones, machines, avoid, near, warm_only, preference
+            spec, capacities, zones, machines, avoid, preferred, warm_only, preference
         )
         assert chosen is expected
         chosen_count += chosen is not None
--- a/tests/test_quota_allocations.py
+++ b/tests/test_quota_allocations.py
@@ -21,14 +21,14 @@
 @pytest.fixture
 def errors() -> Iterator[list[str]]:
     """Collect the lines that are logged as errors during the test."""
-    found: list[str] = []
+    lines: list[str] = []
 
     def observe(event: dict[str, Any]) -> None:
         if event["log_level"] >= LogLevel.error:
-            found.append(str(formatEvent(event)))
+            lines.append(str(formatEvent(event)))
 
     globalLogPublisher.addObserver(observe)
-    yield found
+    yield lines
     globalLogPublisher.removeObserver(observe)
 
 
@@ -73,7 +73,9 @@
     quota_manager.tick()
     quota_manager.tick()
     assert len(errors) == 1 and "10.0" in errors[0]
-    assert script.written[0][1] == {"rig-0.1": [4.0, 0.0], "rig-1.1": [6.0, 0.0]}, "excess is kept"
+    assert script.written[0][1] == {"rig-0.1": [4.0, 0.0], "rig-1.1": [6.0, 0.0]}, (
+        "the excess must be released"
+    )
 
 
 def test_the_allocation_of_an_unknown_partition_counts(errors: list[str]) -> None:
--- a/tests/test_quota_manager.py
+++ b/tests/test_quota_manager.py
@@ -32,18 +32,18 @@
 
 
 class ScriptedState:
-    """Answers writes with the given results in order, and records what was written."""
+    """Replies to writes with the given results in order, and records what was written."""
 
-    def __init__(self, *answers: int | Exception) -> None:
-        self.answers = list(answers)
+    def __init__(self, *results: int | Exception) -> None:
+        self.results = list(results)
         self.written: list[Any] = []
 
     async def transact(self, conditions: Any, changes: Any, *rest: Any) -> int:
         self.written.append((conditions[KEY], changes[0]["data"]))
-        answer = self.answers.pop(0)
-        if isinstance(answer, Exception):
-            raise answer
-        return answer
+        result = self.results.pop(0)
+        if isinstance(result, Exception):
+            raise result
+        return result
 
 
 def settings() -> Settings:
@@ -55,8 +55,8 @@
     return Settings("rig-0", "rig-0:80", "rig-0:81", Services("cloud:1", "state:1"), platform)
 
 
-def make(*answers: int | Exception) -> tuple[QuotaManager, Registration, ScriptedState]:
-    clock, script = SimClock(), ScriptedState(*answers)
+def make(*results: int | Exception) -> tuple[QuotaManager, Registration, ScriptedState]:
+    clock, script = SimClock(), ScriptedState(*results)
     timeouts = Timeouts(settings(), OperatorSettings())
     registration = Registration(clock, script, settings(), timeouts)  # type: ignore[arg-type]
     registration.is_started, registration.partition = True, "rig-0.1"
--- a/tests/test_task_retry.py
+++ b/tests/test_task_retry.py
@@ -14,7 +14,7 @@
 RETRY_S = 0.5
 
 
-def test_the_pause_doubles_after_two_failures_up_to_thirty_retries() -> None:
+def test_the_pause_grows_after_two_failures_up_to_thirty_retry_intervals() -> None:
     pauses = [retry_pause_s(failures, RETRY_S) / RETRY_S for failures in range(1, 9)]
     assert pauses == [1, 1, 8, 16, 30, 30, 30, 30]
 
