--- a/src/beamspar/jobs/assignments.py
+++ b/src/beamspar/jobs/assignments.py
@@ -48,7 +48,7 @@
         """Handle attempt statuses reported by machine controllers."""
 
     def may_start(self, job: Job) -> bool:
-        """Return whether the quota of the job's team allows its bound tasks to be started."""
+        """Return whether its team's quota allows the job's bound tasks to be started."""
 
 
 class AttemptKey(msgspec.Struct, frozen=True):
--- a/src/beamspar/jobs/desired_state.py
+++ b/src/beamspar/jobs/desired_state.py
@@ -40,8 +40,8 @@
 ) -> DesiredAction:
     """Return what the task's machine controller should do with the attempt.
 
-    `may_start` returns whether the quota of the job's team allows its bound tasks to be started.
-    It is called last because it is expensive.
+    `may_start` returns whether its team's quota allows a job's bound tasks to be started. It is
+    called last because it is expensive.
     """
     if not task.is_stored:
         # Reserve the capacity at once: otherwise, while the record was being written, other
--- a/src/beamspar/jobs/job_controller.py
+++ b/src/beamspar/jobs/job_controller.py
@@ -225,7 +225,7 @@
             self.schedule_placement()
 
     def may_start(self, job: Job) -> bool:
-        """Return whether the quota of the job's team allows its bound tasks to be started."""
+        """Return whether its team's quota allows the job's bound tasks to be started."""
         return self.quota_manager is None or self.quota_manager.may_start(
             job.partition, job.spec.team
         )
--- a/src/beamspar/placement.py
+++ b/src/beamspar/placement.py
@@ -363,7 +363,7 @@
 
 
 def total_fitting_task_count(spec: JobSpec, capacities: Iterable[MachineCapacity]) -> int:
-    """Return how many tasks of the job fit on these machines, as if none were placed yet."""
+    """Return how many tasks of the job fit on these machines if it has none placed yet."""
     return sum(
         fitting_task_count(spec, capacity)
         for capacity in capacities
--- a/src/beamspar/quota/allocation_requests.py
+++ b/src/beamspar/quota/allocation_requests.py
@@ -45,10 +45,10 @@
     def other_job_waits(self, team: str, job: str) -> bool:
         """Return whether a job other than this one waits for more of the team's quota."""
         return any(
-            other != job
+            other_job != job
             for key, requests in self._requests.items()
             if key.team == team
-            for other in requests
+            for other_job in requests
         )
 
     def highest_rank(self, key: AllocationKey) -> int:
--- a/src/beamspar/quota/quota_manager.py
+++ b/src/beamspar/quota/quota_manager.py
@@ -265,8 +265,8 @@
                 lacking[1] += allocation.lacking_gpus
         # The part of the quota that is not allocated yet covers some of it.
         for i, limit in enumerate(quota_of(team)):
-            left = max(limit - quota.total[i], 0.0)
-            lacking[i] = max(lacking[i] - left, 0.0) if limit else 0.0
+            unallocated = max(limit - quota.total[i], 0.0)
+            lacking[i] = max(lacking[i] - unallocated, 0.0) if limit else 0.0
         return Amounts(lacking[0] / self._controllers, lacking[1] / self._controllers)
 
     # -- checks of the records
--- a/src/beamspar/quota/usage_counter.py
+++ b/src/beamspar/quota/usage_counter.py
@@ -28,11 +28,11 @@
         if job.spec.team not in self._teams:
             return 0
         tasks = job.quota_usage.tasks
-        more = tasks - self._counted_tasks.get(job, 0)
-        if more:
+        added = tasks - self._counted_tasks.get(job, 0)
+        if added:
             self._counted_tasks[job] = tasks
-            self._add(job, more)
-        return more
+            self._add(job, added)
+        return added
 
     def release(self, job: Job) -> None:
         """Stop counting a job that has ended, has another owner, or was never stored."""
