--- a/src/beamspar/jobs/assignments.py
+++ b/src/beamspar/jobs/assignments.py
@@ -92,7 +92,7 @@
         self.sequence = 0
         # Total number of desired attempts sent so far.
         self.attempts_sent = 0
-        # By member: machines whose desired state has changed, and when all of it was last sent.
+        # By member: machines whose desired state has changed, and when the full state was last sent.
         self.changed_machines: dict[str, set[str]] = {}
         self.fully_published_at: dict[str, float] = {}
         self.publishing_to: set[str] = set()
@@ -260,7 +260,7 @@
     # -- the messages
 
     def _updates(self, member: str, machines: set[str] | None) -> list[DesiredStateUpdate]:
-        """Return, by partition, the desired state of these or (None) all machines of the member."""
+        """Return the desired state of these machines of the member (None: all), by partition."""
         # Partitions that are still being loaded are left out: an empty list would mean that none
         # of their tasks is desired, and the member would stop them all.
         desired: dict[str, list[DesiredAttempt]] = {
--- a/src/beamspar/quota/allocation_writer.py
+++ b/src/beamspar/quota/allocation_writer.py
@@ -99,8 +99,8 @@
             if write.is_change:
                 await self._store(write)
         except OutcomeUnknownError as error:
-            # The write may still be applied: until the record has a newer version it counts as
-            # indeterminate.
+            # The write may still be applied. It stays indeterminate until the mirror has a newer
+            # version of the record.
             log.info(
                 "quota of {team}: outcome of a write is unknown, will write again: {error}",
                 team=team,
--- a/src/beamspar/quota/fair_share.py
+++ b/src/beamspar/quota/fair_share.py
@@ -94,7 +94,7 @@
 def has_precedence(partition: str, allocation: Allocation, other: WaitingOrder) -> bool:
     """Return whether the partition's pending work is served before the other work.
 
-    The first release does not store when its work was served last; such work never goes first.
+    The first release does not store when its work was served last; such work is never served first.
     """
     if allocation.served_revision is None or not allocation.waiting_rank:
         return False
--- a/src/beamspar/quota/quota_manager.py
+++ b/src/beamspar/quota/quota_manager.py
@@ -293,7 +293,7 @@
     def _owns(self, partition: str) -> bool:
         """Return whether this controller owns the partition and has its jobs and records.
 
-        Until all jobs of the partition are in memory its usage looks like none, and its allocation
+        Until all jobs of the partition are in memory its usage looks like zero, and its allocation
         would be released while its tasks still run. The mirror must be at least as new as the
         change of ownership: this controller's own writes are in it before the watch delivers
         earlier changes, so an older mirror may show an allocation that the former owner has
--- a/src/beamspar/workload/job.py
+++ b/src/beamspar/workload/job.py
@@ -66,7 +66,7 @@
 
     @property
     def write_weight(self) -> float:
-        """Order of the job's writes among others; smaller weights are written first.
+        """Position of the job's writes among those of all jobs; smaller weights are written first.
 
         Jobs with a higher priority come first, then those with larger images: the earlier a long
         image fetch begins, the earlier all tasks are running again.
--- a/src/beamspar/workload/quota_usage.py
+++ b/src/beamspar/workload/quota_usage.py
@@ -35,7 +35,7 @@
 
     @property
     def is_rewriting(self) -> bool:
-        """Whether the chunks of the current layout have not all been written yet."""
+        """Whether some chunk of the current layout has not been written yet."""
         return self._tasks_before_layout > 0
 
     def additional_tasks(self, chunks: Collection[int]) -> int:
--- a/tests/test_quota_allocations.py
+++ b/tests/test_quota_allocations.py
@@ -91,7 +91,7 @@
     assert len(errors) == 1 and "rig-9.9" in errors[0]
 
 
-def test_an_allocation_is_never_written_above_what_is_left(errors: list[str]) -> None:
+def test_an_allocation_is_never_written_above_the_rest_of_the_quota(errors: list[str]) -> None:
     quota_manager, registration, script = make(6)
     registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
     registration.mirror.observe(KEY, {"rig-0.1": [3.0, 0.0], "rig-1.1": [5.0, 0.0]}, 5)
--- a/tests/test_quota_manager.py
+++ b/tests/test_quota_manager.py
@@ -73,7 +73,7 @@
 
 
 def bind_and_count(quota_manager: QuotaManager, bound_job: Job, tasks: int) -> None:
-    """Bind this many more tasks of the job, or unbind them and store that."""
+    """Bind this many more tasks of the job, or unbind them if negative; recount its usage."""
     for _ in range(abs(tasks)):
         if tasks > 0:
             bound_job.quota_usage.bind(0)
--- a/tests/test_quota_usage.py
+++ b/tests/test_quota_usage.py
@@ -63,7 +63,7 @@
     for chunk in range(4):
         job.quota_usage.confirm_write(chunk, job.quota_usage.begin_write(chunk))
         assert job.quota_usage.tasks == 8
-        assert job.placeable_indexes(0.0, 8) == [], "no task is bound meanwhile"
+        assert job.placeable_indexes(0.0, 8) == [], "no task may be bound yet"
     job.quota_usage.finish_layout_change()
     assert job.quota_usage.tasks == 6
     assert job.placeable_indexes(0.0, 8) == [0, 1]
