--- a/src/beamspar/jobs/assignments.py
+++ b/src/beamspar/jobs/assignments.py
@@ -92,7 +92,7 @@
         self.sequence = 0
         # Total number of desired attempts sent so far.
         self.attempts_sent = 0
-        # By member: machines whose desired state has changed, and when the full state was last sent.
+        # By member: machines with a changed desired state, and when the full state was last sent.
         self.changed_machines: dict[str, set[str]] = {}
         self.fully_published_at: dict[str, float] = {}
         self.publishing_to: set[str] = set()
--- a/src/beamspar/workload/job.py
+++ b/src/beamspar/workload/job.py
@@ -179,7 +179,7 @@
 
     def additional_quota_tasks(self, indexes: Sequence[int]) -> int:
         """Return how many more tasks count against the quota once these are bound."""
-        if not self.quota_usage.unused_stored:
+        if not self.quota_usage.reusable_by_chunk:
             return len(indexes)
         tasks_per_chunk = self.tasks_per_chunk
         return self.quota_usage.additional_tasks([index // tasks_per_chunk for index in indexes])
--- a/src/beamspar/workload/quota_usage.py
+++ b/src/beamspar/workload/quota_usage.py
@@ -22,7 +22,7 @@
         self._stored: dict[int, int] = {}
         # By chunk whose stored record may bind more tasks than are bound in memory: how many more
         # can be bound there without raising the usage.
-        self.unused_stored: dict[int, int] = {}
+        self.reusable_by_chunk: dict[int, int] = {}
         # Sum over all chunks of the larger of the two counts.
         self._tasks = 0
         # Usage before a change of layout, while the records are being rewritten; otherwise 0.
@@ -40,10 +40,10 @@
 
     def additional_tasks(self, chunks: Collection[int]) -> int:
         """Return how many more tasks count once a task is bound in each of these chunks."""
-        if not self.unused_stored:
+        if not self.reusable_by_chunk:
             return len(chunks)
         return sum(
-            max(count - self.unused_stored.get(chunk, 0), 0)
+            max(count - self.reusable_by_chunk.get(chunk, 0), 0)
             for chunk, count in Counter(chunks).items()
         )
 
@@ -74,7 +74,7 @@
         self._tasks_before_layout = self.tasks
         self._bound = Counter(chunks_of_bound_tasks)
         self._stored = {}
-        self.unused_stored = {}
+        self.reusable_by_chunk = {}
         self._tasks = self._bound.total()
 
     def finish_layout_change(self) -> None:
@@ -88,6 +88,6 @@
         self._stored[chunk] = stored
         self._tasks += max(bound, stored) - before
         if stored > bound:
-            self.unused_stored[chunk] = stored - bound
+            self.reusable_by_chunk[chunk] = stored - bound
         else:
-            self.unused_stored.pop(chunk, None)
+            self.reusable_by_chunk.pop(chunk, None)
