--- a/src/beamspar/jobs/assignments.py
+++ b/src/beamspar/jobs/assignments.py
@@ -38,7 +38,7 @@
 
 
 class AssignmentsJobStore(Protocol):
-    """What the assignments need of the job controller."""
+    """The part of the job controller that the assignments use."""
 
     jobs: dict[str, Job]
     partitions: set[str]
@@ -48,7 +48,7 @@
         """Handle attempt statuses reported by machine controllers."""
 
     def may_start(self, job: Job) -> bool:
-        """Return whether the bound tasks of the job's team are within its quota allocation."""
+        """Return whether its team's quota allows the job's bound tasks to be started."""
 
 
 class AttemptKey(msgspec.Struct, frozen=True):
@@ -92,7 +92,7 @@
         self.sequence = 0
         # Total number of desired attempts sent so far.
         self.attempts_sent = 0
-        # By member: machines whose desired state has changed, and when all of it was last sent.
+        # By member: machines with a changed desired state, and when the full state was last sent.
         self.changed_machines: dict[str, set[str]] = {}
         self.fully_published_at: dict[str, float] = {}
         self.publishing_to: set[str] = set()
@@ -118,7 +118,7 @@
     def unassign(self, machine: str, job: Job, index: int) -> None:
         """Remove the job's task from the tasks that are bound to the machine."""
         key = TaskKey(job.id, index)
-        # The same job may be in memory twice: while it is accepted and when it is read back.
+        # The same job may be in memory twice, if its record is read while it is being accepted.
         if key in self.unpublished and self.unpublished[key].job is job:
             del self.unpublished[key]
         assigned = self.by_machine.get(machine, {})
@@ -260,7 +260,7 @@
     # -- the messages
 
     def _updates(self, member: str, machines: set[str] | None) -> list[DesiredStateUpdate]:
-        """Return, by partition, the desired state of these or (None) all machines of the member."""
+        """Return the desired state of these machines of the member (None: all), by partition."""
         # Partitions that are still being loaded are left out: an empty list would mean that none
         # of their tasks is desired, and the member would stop them all.
         desired: dict[str, list[DesiredAttempt]] = {
