--- a/src/beamspar/leader/capacity_needs.py
+++ b/src/beamspar/leader/capacity_needs.py
@@ -15,7 +15,7 @@
 from beamspar.transport.clock import Clock
 
 HIGHEST_RANK = 0
-# Headroom fits this many of a class's largest jobs, as several may be submitted together.
+# Headroom suffices for this many of a class's largest jobs, as several may be submitted together.
 LARGEST_JOBS_AT_ONCE = 2
 
 
@@ -28,14 +28,14 @@
 
 
 class LargestJob(NamedTuple):
-    """The number of tasks of a class's recent largest job, and when it was last seen."""
+    """The number of tasks of the largest recent job of a class, and when it was last seen."""
 
     tasks: int
     seen_at: float
 
 
 class CapacityNeeds:
-    """Computes the capacity that is needed; remembers each class's recent largest job."""
+    """Computes the capacity that is needed; remembers each class's largest recent job."""
 
     def __init__(
         self,
@@ -83,13 +83,16 @@
     def _remember_largest_jobs(self, running: Mapping[str, RunningClass], now: float) -> None:
         for name, job_class in running.items():
             size = job_class.largest_job
-            known = self._largest_jobs.get(name, LargestJob(0, now))
-            if size >= known.tasks or now - known.seen_at > self.timeouts.largest_job_memory_s:
+            largest = self._largest_jobs.get(name, LargestJob(0, now))
+            if size >= largest.tasks or now - largest.seen_at > self.timeouts.largest_job_memory_s:
                 self._largest_jobs[name] = LargestJob(size, now)
 
 
 def count_running(members: Iterable[MemberView]) -> dict[str, RunningClass]:
-    """Sum the running tasks of each class over members, in the order of the members' reports."""
+    """Sum the running tasks of each class over members.
+
+    The classes are in the order in which the members' heartbeats list them.
+    """
     running: dict[str, RunningClass] = {}
     for member in members:
         for name, job_class in member.classes.items():
--- a/src/beamspar/leader/capacity_offers.py
+++ b/src/beamspar/leader/capacity_offers.py
@@ -173,7 +173,10 @@
 def choose_by_preemption(
     demand: JobDemand, capacities: list[MachineCapacity], zones: Mapping[str, int]
 ) -> Placement | None:
-    """Return a machine where preempting tasks of lower priority makes one more task fit, if any."""
+    """Return a machine where one more task fits after preemption, None if there is none.
+
+    Only tasks of lower priority are preempted.
+    """
     spec, request = demand
     if spec.rank >= LOWEST_RANK:
         return None
--- a/src/beamspar/leader/cloud_client.py
+++ b/src/beamspar/leader/cloud_client.py
@@ -30,21 +30,22 @@
 
 
 class CloudClient:
-    """Calls to the cloud's API.
+    """Calls the cloud's API.
 
-    All raise CloudUnavailableError, or NoCapacityError if the cloud reports a lack of capacity.
+    All requests raise CloudUnavailableError, or NoCapacityError if the cloud reports a lack of
+    capacity.
     """
 
-    def __init__(self, net: Net, address: str, limit_s: float) -> None:
+    def __init__(self, net: Net, address: str, timeout_s: float) -> None:
         self.net = net
         self.address = address
-        self.limit_s = limit_s
+        self.timeout_s = timeout_s
 
     async def _call(self, method: str, path: str, body: Any = None) -> dict[str, Any]:
         """Send a request and return the JSON object of the response."""
         raw = pack(body) if body is not None else None
         try:
-            response = await self.net.request(method, self.address, path, raw, self.limit_s)
+            response = await self.net.request(method, self.address, path, raw, self.timeout_s)
             data = unpack(response.body) if response.body else {}
         except (CallFailedError, msgspec.DecodeError) as error:
             raise CloudUnavailableError(str(error)) from error
@@ -75,7 +76,7 @@
         rigs = data.get("rigs")
         if not isinstance(rigs, list):
             raise CloudUnavailableError(
-                "malformed reply to a creation request: `rigs` is not a list"
+                "malformed response to a creation request: `rigs` is not a list"
             )
         return [str(r) for r in rigs]
 
@@ -84,7 +85,10 @@
         await self._call("POST", "/rentals/return", {"rigs": names})
 
     async def list_instances(self, after: str) -> InstancePage:
-        """Return one page of the list: the instances created after the named one."""
+        """Return one page of the list: the instances created after the named one.
+
+        The first page is returned if the name is empty.
+        """
         path = f"/rentals?most={PAGE_SIZE}" + (f"&since={after}" if after else "")
         data = await self._call("GET", path)
         try:
--- a/src/beamspar/leader/demand.py
+++ b/src/beamspar/leader/demand.py
@@ -1,4 +1,4 @@
-"""Capacity demand of jobs at the leader: their requests, and the part that was not met."""
+"""Capacity that jobs request from the leader, and the requests that could not be met."""
 
 from __future__ import annotations
 
--- a/src/beamspar/leader/draining.py
+++ b/src/beamspar/leader/draining.py
@@ -41,7 +41,7 @@
 
     # Machines to delete now, because they are drained or unfit for use.
     to_delete: list[str] = msgspec.field(default_factory=list)
-    # Copies of the rooms of machines that stay in any case.
+    # Copies of the free capacity of machines that are kept in any case.
     kept_capacities: list[MachineCapacity] = msgspec.field(default_factory=list)
     idle: list[IdleMachine] = msgspec.field(default_factory=list)
 
@@ -64,7 +64,7 @@
         self.capacity_needs = capacity_needs
         self.instance_manager = instance_manager
         self.timeouts = timeouts
-        # Draining machines, which get no new tasks, mapped to their holders at that decision.
+        # Draining machines, which get no new tasks, mapped to their holders when that was decided.
         self.draining_machines: dict[str, str] = {}
 
     def draining_machines_of(self, member: str) -> list[str]:
@@ -113,7 +113,8 @@
             return
         occupancy = self._occupancy(now)
         for name in occupancy.to_delete:
-            # Queued one by one: the first is deleted at once, the others by later calls.
+            # Queued one by one: the first is deleted by a request of its own at once, the others by
+            # the requests that follow.
             self.instance_manager.scale_in([name])
         if not any(machine.idle_s > self.timeouts.idle_timeout_s for machine in occupancy.idle):
             self.draining_machines.clear()
@@ -146,7 +147,10 @@
         return occupancy
 
     def _unneeded(self, occupancy: Occupancy) -> set[str]:
-        """Return the idle machines that stay unused when the needs fill the rooms in order."""
+        """Return the idle machines that stay empty when the needs are placed.
+
+        The needs fill the kept machines first, then the idle ones in their order.
+        """
         idle_capacities = [copy_capacity(machine.status.capacity) for machine in occupancy.idle]
         for capacity in idle_capacities:
             capacity.usable = True
@@ -165,14 +169,18 @@
     def _select_for_draining(
         self, idle: Iterable[IdleMachine], unneeded: set[str]
     ) -> dict[str, str]:
-        """Return the first machines that are unneeded and idle for long, with their holders."""
+        """Return the first machines that are unneeded and idle for long enough, with holders."""
         selected: dict[str, str] = {}
         limit = max(int(len(self.mirror.shard_of) * MAX_DRAINING_SHARE), 1)
         for machine in idle:
             name = machine.status.capacity.name
-            held = self.mirror.holder_of(name)
-            if held and name in unneeded and machine.idle_s > self.timeouts.idle_timeout_s:
-                selected[name] = held[0]
+            holder_and_token = self.mirror.holder_of(name)
+            if (
+                holder_and_token
+                and name in unneeded
+                and machine.idle_s > self.timeouts.idle_timeout_s
+            ):
+                selected[name] = holder_and_token[0]
                 if len(selected) >= limit:
                     break
         return selected
@@ -185,7 +193,7 @@
 
     Many machines that are silent at the same time are behind a network partition and will recover,
     unless they are silent for too long. A few machines, or a single one, have failed; deleting
-    them proves that their tasks have ended sooner than waiting for their leases to expire.
+    them proves the end of their tasks sooner than the expiry of their workers' leases does.
     """
     if len(silent) * PARTITION_DIVISOR <= machines_in_zone or len(silent) == 1:
         return [status.capacity.name for status in silent]
--- a/src/beamspar/leader/fleet_view.py
+++ b/src/beamspar/leader/fleet_view.py
@@ -19,8 +19,8 @@
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock
 
-# Lifetime of an offer's reservation in heartbeat intervals: by then the machine status that the
-# holder reports includes it.
+# Lifetime of an offer's reservation in intervals of member heartbeats: by then the machine status
+# that the holder reports includes the offered task.
 RESERVATION_HEARTBEATS = 2
 
 
@@ -79,7 +79,8 @@
     def _add_cached_images(self, name: str, images: dict[str, float], kind: str = "") -> None:
         """Add images to the machine's entry in the cache map.
 
-        The entry survives a move of the shard, after which the new holder knows fewer images.
+        The entry survives a move of the shard, after which the heartbeats of the new holder list
+        fewer images.
         """
         known = self.decisions.state.caches.get(name, ({}, 0))[0]
         if images.keys() - known.keys():
@@ -103,7 +104,10 @@
         return {name for name, member in self.members.items() if member.reported_at >= since}
 
     def recently_reported(self, now: float) -> list[tuple[str, MemberView]]:
-        """Return the members that sent a heartbeat within one report interval, with their views."""
+        """Return the members with a heartbeat in the last interval of worker heartbeats.
+
+        They are returned with their views.
+        """
         return [
             (name, member)
             for name, member in self.members.items()
@@ -113,21 +117,21 @@
     def machine_statuses(self) -> list[MachineStatus]:
         """Return the machine statuses reported by current holders that reported recently.
 
-        Machines that are no longer in any shard are removed from the view, with their caches.
+        Machines that are no longer in any shard are removed from the view and the cache map.
         """
-        found: list[MachineStatus] = []
+        statuses: list[MachineStatus] = []
         for name, member in self.recently_reported(self.clock.seconds()):
-            unassigned = self._collect_statuses(name, member, found)
+            unassigned = self._collect_statuses(name, member, statuses)
             for machine in unassigned:
                 del member.machines[machine]
                 if machine in self.decisions.state.caches:
                     self.decisions.decide(CacheChanged(machine, {}))
-        return found
+        return statuses
 
     def _collect_statuses(
-        self, member_name: str, member: MemberView, found: list[MachineStatus]
+        self, member_name: str, member: MemberView, statuses: list[MachineStatus]
     ) -> list[str]:
-        """Append the statuses of the machines that the member holds to `found`.
+        """Append the statuses of the machines that the member holds to `statuses`.
 
         Return the names of the machines that are in no shard.
         """
@@ -143,7 +147,7 @@
                 member_name,
                 status.fencing_token,
             ):
-                found.append(status)
+                statuses.append(status)
         return unassigned
 
     def capacities(self) -> list[MachineCapacity]:
--- a/src/beamspar/leader/gang_reservations.py
+++ b/src/beamspar/leader/gang_reservations.py
@@ -2,7 +2,7 @@
 
 A gang needs free capacity for all of its tasks at the same time. Under load, small jobs use any
 capacity as soon as it becomes free, so the gang would never start. Therefore machines are reserved
-for the gang that has waited longest, in one zone if the gang must share one. Tasks that end there
+for the gang that has waited longest, in one zone if its tasks must share one. Tasks that end there
 free capacity for the gang, and no other tasks of its priority or below are placed there meanwhile.
 """
 
@@ -59,7 +59,10 @@
     def capacities_open_to(
         self, spec: JobSpec, capacities: list[MachineCapacity]
     ) -> list[MachineCapacity]:
-        """Return the rooms that the current reservation leaves open to the job."""
+        """Return the capacities that the job may use despite the current reservation.
+
+        The reserved machines are open only to the gang itself and to jobs of higher priority.
+        """
         current = self.current
         if current is None or current.job == spec.id or spec.rank < current.rank:
             return capacities
@@ -71,8 +74,8 @@
 ) -> frozenset[str]:
     """Return machines on which the gang will fit once the tasks there have ended.
 
-    Machines with the most free capacity come first. All are in one zone if the gang must share
-    one. Empty if there are not enough machines.
+    Machines with the most free capacity come first. All are in one zone if the gang's tasks must
+    share one. Empty if there are not enough machines.
     """
     best: frozenset[str] = frozenset()
     most_free = -1
@@ -94,7 +97,7 @@
 def _allowed_by_zone(
     spec: JobSpec, capacities: list[MachineCapacity]
 ) -> list[list[MachineCapacity]]:
-    """Return the rooms that the gang may use, grouped by zone if it must share one."""
+    """Return the capacities that the gang may use, by zone if its tasks must share one."""
     by_zone: dict[str, list[MachineCapacity]] = {}
     for capacity in capacities:
         if is_allowed(spec, capacity, {}):
@@ -103,7 +106,7 @@
 
 
 def _capacity_when_work_ends(capacity: MachineCapacity) -> MachineCapacity:
-    """Return the room's capacity once its preemptible tasks have ended.
+    """Return the machine's capacity once its tasks below the critical priority have ended.
 
     Critical tasks are services, which don't end.
     """
--- a/src/beamspar/leader/instance_manager.py
+++ b/src/beamspar/leader/instance_manager.py
@@ -1,7 +1,7 @@
 """The cloud's instances: the leader creates (scale out), lists, and deletes (scale in) them.
 
-The name of a creation request contains the incarnation of the controller that sends it. The state
-service issues each incarnation once, so no name is ever used twice, even by another controller.
+The name of a creation request contains the incarnation of the controller that sends it. Each
+incarnation is registered once, so no name is ever used twice, even by another controller.
 """
 
 from __future__ import annotations
@@ -80,8 +80,8 @@
         self.registration = registration
         self.timeouts = timeouts
         self.list_lag_s = settings.platform.cloud.list_lag_s
-        # Pause between two calls of one kind, in seconds; it uses half of the cloud's rate limit.
-        # One half is for creating instances, the other for lists and deletions.
+        # Pause between two calls of one kind, in seconds. It leaves one half of the cloud's rate
+        # limit to requests that create instances, and the other to lists and deletions.
         self.call_interval_s = 2.0 / settings.platform.cloud.rps
         self.types = types
         self.planner = ScaleOutPlanner(types, self._is_refused)
@@ -91,11 +91,12 @@
         self.decisions = decisions or DecisionLog(clock, LeaderState())
         self.leader_state = self.decisions.state
         # Parts of the replicated state, which decisions modify. Only entries of `booting` are also
-        # added and removed here without a decision, as the cloud's list and the time show.
+        # added and removed here without a decision: added if the cloud lists a starting instance,
+        # removed if its boot has taken too long.
         self.booting = self.leader_state.booting
         self.refusals = self.leader_state.refusals
         self.deleted_machines = self.leader_state.deleted_machines
-        # Requests of a former leader that failed before it received the response.
+        # Requests whose response a former leader had not received when it failed.
         self.inherited_requests: list[InstancesRequested] = []
         # Instances that are queued for deletion, and those in the deletion request in flight.
         self.to_delete: set[str] = set()
@@ -164,7 +165,7 @@
         return await self.cloud.list_instances(after)
 
     def price(self, capacity: MachineCapacity) -> float:
-        """Return the price of the machine per hour."""
+        """Return the price of the machine per hour, 0 if its type is unknown."""
         kind = self.types.get(capacity.kind)
         return (kind.spot_price if capacity.spot else kind.price) if kind else 0.0
 
@@ -216,9 +217,9 @@
             return
         log.info("deleted {names}", names=names)
         # Places that were refused for lack of capacity may have some now.
-        known = [self.listed_instances.get(name) or self.booting.get(name) for name in names]
-        freed = {(i.kind, i.zone, bool(i.spot)) for i in known if i is not None}
-        self.decisions.decide(MachinesDeleted(names, sorted(freed)))
+        deleted = [self.listed_instances.get(name) or self.booting.get(name) for name in names]
+        places = {(i.kind, i.zone, bool(i.spot)) for i in deleted if i is not None}
+        self.decisions.decide(MachinesDeleted(names, sorted(places)))
 
     # -- scaling out
 
@@ -232,11 +233,11 @@
         return self.planner.plan(needs, capacities + self._booting_capacities())
 
     def bind_to_zone(self, spec: JobSpec, count: int, capacities: list[MachineCapacity]) -> JobSpec:
-        """See `ScaleOutPlanner.bind_to_zone`."""
+        """Return the spec with the best zone filled in; see `ScaleOutPlanner.bind_to_zone`."""
         return self.planner.bind_to_zone(spec, count, capacities)
 
     def reserve_capacity(self, spec: JobSpec, count: int, capacities: list[MachineCapacity]) -> int:
-        """See `reserve_capacity`."""
+        """Subtract the capacity for tasks; see `scale_out_planning.reserve_capacity`."""
         return reserve_capacity(spec, count, capacities)
 
     def _is_refused(self, place: Place) -> bool:
@@ -244,9 +245,10 @@
         return until > self.clock.seconds()
 
     def _booting_capacities(self) -> list[MachineCapacity]:
-        """Return the machines that are created but not up yet, as empty rooms.
+        """Return the capacity of machines that are created but not up yet.
 
-        Machines that are no longer expected are removed from `booting`.
+        Late machines are not counted, and those that are no longer expected are removed from
+        `booting`.
         """
         now = self.clock.seconds()
         capacities = []
--- a/src/beamspar/leader/leader.py
+++ b/src/beamspar/leader/leader.py
@@ -1,8 +1,8 @@
 """The leader: assembles the parts that only the elected controller runs, and drives them.
 
-Any controller may be elected; the leased leader record names the current one. The leader's
-knowledge of machines comes from the heartbeats of the members that hold them, so it offers
-capacity only after it has received those.
+Any controller may be elected; the leased leader record names the current leader. The leader's view
+of the machines is built from the heartbeats of the members that hold them, so it offers capacity
+only after it has received these heartbeats.
 """
 
 from __future__ import annotations
@@ -263,5 +263,5 @@
 
     @property
     def draining_machines(self) -> dict[str, str]:
-        """Draining machines, which get no new tasks, mapped to their holders at that decision."""
+        """Draining machines, which get no new tasks, and their holders when that was decided."""
         return self.drainer.draining_machines
--- a/src/beamspar/leader/leadership.py
+++ b/src/beamspar/leader/leadership.py
@@ -82,8 +82,11 @@
 
     @property
     def is_in_charge(self) -> bool:
-        """Whether this controller leads, its registration lease is valid, its mirror includes
-        its own election, and it is not handing over leadership."""
+        """Whether this controller leads and may act as the leader.
+
+        Its registration lease must be valid, its mirror must include its own election, and it must
+        not be handing over leadership.
+        """
         if not self.is_leading or not self.registration.lease_is_valid():
             return False
         if self.clock.seconds() < self.decisions_paused_until:
@@ -94,8 +97,10 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the leader's state is rebuilt: every live member has reported its complete
-        state, or has had enough time to do so."""
+        """Whether the leader's state is rebuilt, so that it may make decisions.
+
+        Every live member has sent its complete state, or has had enough time to do so.
+        """
         if not self.is_in_charge or self.leading_since is None:
             return False
         if self.clock.seconds() - self.leading_since > self.timeouts.worker_heartbeat_interval_s:
--- a/src/beamspar/leader/member_reachability.py
+++ b/src/beamspar/leader/member_reachability.py
@@ -10,8 +10,8 @@
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock
 
-# With this many machines or fewer, their silence is not enough to conclude that their holder is
-# cut off.
+# For a holder of this many machines or fewer, their silence is not enough to conclude that the
+# holder is cut off.
 MAX_INCONCLUSIVE_MACHINES = 2
 # How long a member that was cut off from its workers gets no shards, in worker leases.
 CUT_OFF_WORKER_LEASES = 2
@@ -58,8 +58,8 @@
 
     def mark_cut_off(self, member: str) -> None:
         """Record that the member's workers do not reach it, so it gets no shards for a while."""
-        lasts_s = self.timeouts.worker_lease_s * CUT_OFF_WORKER_LEASES
-        self.cut_off_until[member] = self.clock.seconds() + lasts_s
+        duration_s = self.timeouts.worker_lease_s * CUT_OFF_WORKER_LEASES
+        self.cut_off_until[member] = self.clock.seconds() + duration_s
 
     def was_cut_off(self, member: str) -> bool:
         """Return whether the member was recently cut off from its workers."""
@@ -68,7 +68,8 @@
     def cut_off_members(self) -> set[str]:
         """Return the members that receive heartbeats from few of their machines.
 
-        The network of such a member has failed rather than the machines.
+        The network of such a member has failed rather than the machines. Members that were marked
+        as cut off are included while that lasts.
         """
         held: dict[str, int] = {}
         silent: dict[str, int] = {}
@@ -79,8 +80,8 @@
                 status.silent_s > self.timeouts.silence_timeout_s / 2
             )
         now = self.clock.seconds()
-        known = {m for m, until in self.cut_off_until.items() if until > now}
-        return known | {
+        marked = {m for m, until in self.cut_off_until.items() if until > now}
+        return marked | {
             m
             for m, count in held.items()
             if count > MAX_INCONCLUSIVE_MACHINES and silent[m] * 2 > count
--- a/src/beamspar/leader/member_view.py
+++ b/src/beamspar/leader/member_view.py
@@ -30,7 +30,7 @@
         self.classes: dict[str, JobClass] = {}
         # Machines whose workers turned to this member because their holder does not answer them.
         self.unserved: list[str] = []
-        # Number of bound or pending tasks of its jobs, and how late its timers fire.
+        # Number of bound or pending tasks of its jobs, and how late its timers fire, in seconds.
         self.demand = 0
         self.late_s = 0.0
 
--- a/src/beamspar/leader/scale_out_planning.py
+++ b/src/beamspar/leader/scale_out_planning.py
@@ -34,7 +34,7 @@
     """Machines that could be created for a job; candidates sort best first."""
 
     price_per_task: float
-    # Number of machines of this type that the zone already has.
+    # Number of machines of this type that are already in the zone.
     present: int
     kind: str
     zone: str
@@ -160,7 +160,7 @@
 
 
 def reserve_capacity(spec: JobSpec, count: int, capacities: Iterable[MachineCapacity]) -> int:
-    """Subtract the capacity for up to `count` tasks from the rooms; return how many tasks fit."""
+    """Subtract the capacity for up to `count` tasks; return for how many there was enough."""
     reserved = 0
     for capacity in capacities:
         if reserved >= count:
--- a/src/beamspar/leader/shard_distribution.py
+++ b/src/beamspar/leader/shard_distribution.py
@@ -60,7 +60,7 @@
     """Return the number of machines per shard.
 
     Unless configured, it is large enough that one transaction can move about all shards of a
-    controller. It is limited to what fits into half of the largest value of a record.
+    controller. It is limited to what fits into half of the maximum size of a stored value.
     """
     max_size = int(limits.value_kb * 1024 / 2 / MACHINE_RECORD_BYTES)
     size = -(-fleet_size // (max(controllers, 1) * limits.txn_ops))
@@ -135,8 +135,8 @@
         # A holder in the shard's own zone is preferred regardless of the counts.
         return target
     if target == shard.holder or is_in_zone:
-        # The shard's holder is in the right zone, or no member is: only a clear imbalance
-        # justifies a move.
+        # The holder is in the shard's zone, or no member is: only a clear imbalance justifies a
+        # move.
         target = min(machine_counts, key=lambda m: (machine_counts[m], m))
         if is_in_zone and sites.get(target) != zone:
             return None
--- a/src/beamspar/leader/shard_leasing.py
+++ b/src/beamspar/leader/shard_leasing.py
@@ -149,7 +149,7 @@
             and led_for_s < self.timeouts.worker_heartbeat_interval_s * 2
         ):
             # The shard size depends on the fleet size, which is not known before the cloud's list
-            # was read; after two report intervals, leasing starts without it.
+            # was read; after two intervals of worker heartbeats, leasing starts without the list.
             return
         machines = [
             machine
@@ -195,8 +195,8 @@
     async def _drop_deleted_machines(self) -> None:
         """Remove deleted machines from their shards.
 
-        The cloud has confirmed that they are gone. A machine without a shard counts as returned,
-        which ends its tasks.
+        The cloud has confirmed that they are gone. A machine without a shard counts as returned to
+        the cloud, so its tasks count as ended.
         """
         changes: list[RecordChange] = []
         for name, shard in self.mirror.shards.items():
@@ -239,7 +239,10 @@
         await self._move(moves)
 
     async def _move_unserved_machines(self) -> None:
-        """Move shards whose holder does not answer their workers to members that these reach."""
+        """Move shards whose holder does not answer their workers.
+
+        They go to members that these workers reach.
+        """
         moves = self._unserved.choose_moves()
         for move in moves:
             log.info(
--- a/src/beamspar/leader/tentative_reservations.py
+++ b/src/beamspar/leader/tentative_reservations.py
@@ -1,4 +1,4 @@
-"""Reservations of offered capacity that its holder's heartbeats don't report as used yet."""
+"""Reservations of offered capacity that the machines' holders don't report as used yet."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
         self._by_machine: dict[str, list[TentativeReservation]] = {}
 
     def reserve(self, spec: JobSpec, capacity: MachineCapacity, now: float) -> None:
-        """Reserve capacity for one task, in this room and in the machine's later copies."""
+        """Reserve capacity for one task, in this copy and in later copies of the machine's."""
         capacity.reserve(spec)
         reservation = TentativeReservation(spec, now + self._lifetime_s)
         self._by_machine.setdefault(capacity.name, []).append(reservation)
 
     def subtract_from(self, capacity: MachineCapacity, now: float) -> None:
-        """Subtract the machine's reservations from the room; drop expired reservations."""
+        """Subtract the machine's reservations from its capacity; drop expired reservations."""
         reservations = self._by_machine.get(capacity.name)
         if reservations is None:
             return
--- a/src/beamspar/leader/unserved_machines.py
+++ b/src/beamspar/leader/unserved_machines.py
@@ -61,14 +61,15 @@
         if self.reachability.is_unreachable(shard.holder):
             return True
         if shard.holder not in cut_off or not self._is_silent(machine, shard.holder):
-            # One silent machine alone is no reason to move its shard: the machine may be unable to
-            # receive responses from any member, and would be moved from one to the next forever.
+            # A single silent machine is no reason to move its shard: its worker may be unable to
+            # receive replies from any member, and the shard would be moved from one member to the
+            # next forever.
             return False
         self.reachability.mark_cut_off(shard.holder)
         return True
 
     def _is_silent(self, machine: str, holder: str) -> bool:
-        """Return whether the holder got no heartbeat of the machine for longer than allowed."""
+        """Return whether the machine is silent at its holder for longer than the timeout."""
         member = self.members.get(holder)
         status, _ = member.machines.get(machine, (None, 0.0)) if member else (None, 0.0)
         return status is not None and status.silent_s > self.timeouts.unreachable_timeout_s
