--- a/src/beamspar/machines/command_planning.py
+++ b/src/beamspar/machines/command_planning.py
@@ -68,8 +68,10 @@
     def _stop_grace_s(
         self, machine: ManagedMachine, key: AttemptKey, may_be_cancelled: bool
     ) -> float | None:
-        """Return the grace period in which a stopping attempt may save its progress, or None if
-        the attempt is to continue."""
+        """Return the grace period for a stop of the attempt, None if it is to continue.
+
+        The attempt may save its progress during the grace period.
+        """
         if may_be_cancelled and self.mirror.is_cancelled(key.job):
             return 0.0
         if key in machine.orphaned:
@@ -105,7 +107,8 @@
         ]
         are_starts_paused = machine.starts_paused_until > self.clock.seconds()
         for key, desired in sorted(absent, key=lambda item: item[1].rank):
-            # One at a time, because each decision changes the state that the next one is based on.
+            # Decided and applied one at a time, because each decision changes the state that the
+            # next one is based on.
             step = self._next_step(machine, key, desired, are_starts_paused)
             if step is NextStep.START:
                 commands.append(StartCommand(key.task, key.attempt))
@@ -129,7 +132,7 @@
         if start is None and are_starts_paused and may_need_start:
             return NextStep.WAIT
         if start is not None and start.is_known_executed:
-            # It was running, and a newer report does not list it.
+            # It was running, and a newer heartbeat does not list it.
             return NextStep.DECLARE_GONE
         if desired.action == DesiredAction.HOLD:
             return self._next_step_of_hold(machine, key, desired)
@@ -174,8 +177,10 @@
     def _preempt_for(
         self, machine: ManagedMachine, key: AttemptKey, desired: DesiredAttempt
     ) -> bool:
-        """Preempt attempts of lower priority for this one; return whether that will free enough
-        resources."""
+        """Preempt attempts of lower priority if that frees enough resources for this one.
+
+        Return whether it does.
+        """
         free = self.summaries.free_resources(machine, key)
         victims = choose_victims(machine, key, desired, free)
         if victims is None:
@@ -193,8 +198,10 @@
         return True
 
     def _release_orphans(self, machine: ManagedMachine) -> None:
-        """Remove orphaned attempts that can no longer start, and supersede the starts of the
-        others."""
+        """Remove orphaned attempts that can no longer start.
+
+        The starts of the others are superseded.
+        """
         for key in list(machine.orphaned):
             if key in machine.terminated or key in machine.tasks:
                 continue
@@ -226,8 +233,7 @@
     # -- convergence
 
     def update_convergence(self, machine: ManagedMachine, due: list[Command]) -> None:
-        """Remove settled attempts from the pending ones, and record whether the machine has
-        converged."""
+        """Remove settled attempts from `pending_keys` and update whether the machine converged."""
         machine.pending_keys = {
             key: None for key in machine.pending_keys if not self._is_settled(machine, key)
         }
@@ -244,10 +250,9 @@
         )
 
     def _is_settled(self, machine: ManagedMachine, key: AttemptKey) -> bool:
-        """Return whether the attempt is in its desired state and its job controller has been
-        informed of that.
+        """Return whether nothing is due for the attempt until it is marked as changed again.
 
-        Nothing is due for a settled attempt until it is marked as changed again.
+        It is in its desired state, and its status was sent to its job controller.
         """
         task, desired = machine.tasks.get(key), machine.desired_attempts.get(key)
         if desired is None:
@@ -256,7 +261,7 @@
         if observed is None or machine.acknowledged_statuses.get(key) != observed:
             return False
         if task is None:
-            # It is terminated, and its job controller has been informed.
+            # It is terminated, and that status was sent to its job controller.
             return True
         return (
             task.status != "ended"
@@ -280,10 +285,12 @@
 
 
 def _next_step_of_unwanted(machine: ManagedMachine, start: SentStart | None) -> NextStep:
-    """Return the next step for an attempt that must not run: its desired action is to stop or
-    clear it, or its job is cancelled."""
+    """Return the next step for an attempt that must not run.
+
+    Its desired action is to stop or clear it, or its job is cancelled.
+    """
     if start is None:
-        # A report that confirms the command token does not list it, commands under older tokens
+        # A heartbeat that confirms the command token does not list it, commands under older tokens
         # are fenced out, and no start was sent under this one.
         return NextStep.DECLARE_GONE
     if machine.is_superseded(start):
--- a/src/beamspar/machines/command_sending.py
+++ b/src/beamspar/machines/command_sending.py
@@ -62,8 +62,8 @@
         self.observer.observe(machine, result.heartbeat)
         may_repeat_at_once = is_epoch_outdated and self.reconciler.resends_without_pause
         if not machine.has_confirmed_token and not may_repeat_at_once:
-            # The worker has not confirmed the command token (an agent epoch may have to end
-            # first), so there is no need to hurry.
+            # The worker has not confirmed the command token yet. An agent epoch may have to end
+            # first, so there is no need to retry at once.
             earliest = self.clock.seconds() + self.timeouts.retry_delay_s
             machine.next_send_at = max(machine.next_send_at, earliest)
         self.reconciler.reconcile(machine)
@@ -75,8 +75,10 @@
         had_commands: bool,
         error: CallFailedError,
     ) -> None:
-        """Mark the starts that were sent as indeterminate, since the worker may still execute
-        them, and schedule a retry."""
+        """Mark the starts that were sent as indeterminate, and schedule a retry.
+
+        The worker may still execute them.
+        """
         for start in sent.values():
             start.is_indeterminate = True
         machine.failed_sends += 1
--- a/src/beamspar/machines/desired_state.py
+++ b/src/beamspar/machines/desired_state.py
@@ -16,8 +16,11 @@
 
 
 class UpdateId(NamedTuple):
-    """Orders the updates of one partition: by the version of its record, the incarnation of its
-    owner and the owner's sequence number."""
+    """Orders the updates of one partition.
+
+    They are ordered by the version of the partition's record, then by the incarnation of its owner,
+    then by the owner's sequence number.
+    """
 
     version: int
     incarnation: int
@@ -72,18 +75,18 @@
         by_machine: dict[str, Attempts] = {}
         for key, desired in attempts:
             by_machine.setdefault(desired.machine, {})[key] = desired
-        known = self._desired.setdefault(update.partition, {})
+        desired_on = self._desired.setdefault(update.partition, {})
         if update.machines is None:
-            names = {*known, *by_machine}
+            names = {*desired_on, *by_machine}
         else:
             names = set(update.machines) | by_machine.keys()
         changed = []
         for name in names:
-            before, now = known.pop(name, {}), by_machine.get(name, {})
-            if now:
-                known[name] = now
+            before, after = desired_on.pop(name, {}), by_machine.get(name, {})
+            if after:
+                desired_on[name] = after
             machine = self.machines.get(name)
-            if machine is not None and self._replace(machine, update.partition, before, now):
+            if machine is not None and self._replace(machine, update.partition, before, after):
                 changed.append(name)
         return AppliedUpdate(attempts, changed)
 
@@ -96,15 +99,14 @@
         machine.mark_all_changed()
 
     def _replace(
-        self, machine: ManagedMachine, partition: str, before: Attempts, now: Attempts
+        self, machine: ManagedMachine, partition: str, before: Attempts, after: Attempts
     ) -> bool:
-        """Replace one partition's desired attempts on one machine; return whether that changes
-        any of them."""
+        """Replace one partition's desired attempts on one machine; return whether any changed."""
         changed = []
         for key, desired in before.items():
-            if key not in now and _drop_desired(machine, key, desired):
+            if key not in after and _drop_desired(machine, key, desired):
                 changed.append(key)
-        for key, desired in now.items():
+        for key, desired in after.items():
             if machine.fencing_token != desired.fencing_token:
                 continue
             previous = machine.desired_attempts.get(key)
@@ -130,13 +132,13 @@
 def _set_desired(
     machine: ManagedMachine, key: AttemptKey, desired: DesiredAttempt, partition: str
 ) -> bool:
-    """Set one partition's desired state of an attempt, unless it is only a reservation and another
-    partition desires that attempt.
+    """Set one partition's desired state of an attempt; return whether it took effect.
 
-    Another controller may be in the process of accepting a repeated submission of the same job,
-    with the same task names. Until its record is refused, its reservations must not replace the
-    desired state of the stored record: when they did, running tasks were considered refused and
-    were started elsewhere as well.
+    A mere reservation has no effect if another partition desires the attempt. Another controller
+    may be in the process of accepting a repeated submission of the same job, with the same task
+    names. Until its record is refused, its reservations must not replace the desired state of the
+    stored record: when they did, running tasks were considered refused and were started elsewhere
+    as well.
     """
     if (
         desired.action == DesiredAction.HOLD
@@ -149,15 +151,17 @@
 
 
 def _drop_desired(machine: ManagedMachine, key: AttemptKey, desired: DesiredAttempt) -> bool:
-    """Remove a desired attempt of the partition; return False if another partition's has replaced
-    it."""
+    """Remove a desired attempt of one partition; return whether it was still in effect.
+
+    It is not if that of another partition has replaced it.
+    """
     if machine.desired_attempts.get(key) is not desired:
         return False
     del machine.desired_attempts[key]
     machine.partition_of.pop(key, None)
     machine.acknowledged_statuses.pop(key, None)
     if key in machine.starts and key not in machine.terminated:
-        # No job controller desires it any more, but the start sent from here may still be in
-        # transit.
+        # No job controller desires it any more, but the start that this controller sent may still
+        # be in transit.
         machine.orphaned.add(key)
     return True
--- a/src/beamspar/machines/fault_evidence.py
+++ b/src/beamspar/machines/fault_evidence.py
@@ -1,10 +1,10 @@
-"""Distinguishes faulty machines from faulty jobs by the failures that a machine controller sees.
+"""Distinguishes faulty machines from faulty jobs by the failures on a controller's machines.
 
 Failures of many jobs on one machine indicate a faulty machine, failures of one job on many machines
-a faulty job. A machine controller sees only its own machines: when a broken job's tasks were spread
-over several controllers, each saw too few failures to attribute them to the job, quarantined
-healthy machines and caused their return. The job controller sees all failures of a job, so it
-marks each desired attempt with whether the job is at fault.
+a faulty job. A machine controller observes only its own machines: when a broken job's tasks were
+spread over several controllers, each observed too few failures to attribute them to the job,
+quarantined healthy machines and caused their return to the cloud. The job controller observes all
+failures of a job, so it marks each desired attempt with whether the job is at fault.
 """
 
 from __future__ import annotations
@@ -65,8 +65,10 @@
         return failed_jobs
 
     def mark_job_at_fault(self, job: str, machines: Iterable[ManagedMachine]) -> None:
-        """Record the job controller's report that the job itself is at fault, so that its failures
-        count against no machine."""
+        """Record that the job itself is at fault, as its job controller has reported.
+
+        Its failures count against no machine any more.
+        """
         if job in self._machines_of and self._machines_of[job] is None:
             return
         self._record_failures(job, None)
@@ -84,7 +86,7 @@
             machine.mark_changed()
 
     def _failures_against(self, machine: ManagedMachine) -> list[str]:
-        """Return the jobs that failed there recently and are not at fault themselves."""
+        """Return the jobs that failed on the machine recently and are not at fault themselves."""
         return [job for job in machine.job_failures if not self._is_job_at_fault(job)]
 
     def _is_job_at_fault(self, job: str) -> bool:
--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -122,8 +122,10 @@
                 self.reconcile(machine)
 
     def _update_shard(self, shard_name: str) -> None:
-        """Start managing the shard's machines if this controller holds it, and stop managing
-        machines that it no longer holds."""
+        """Start managing the shard's machines if this controller holds the shard.
+
+        Also stop managing machines that this controller no longer holds.
+        """
         shard = self.mirror.shards.get(shard_name)
         names: set[str] = set()
         if shard and shard.holder == self.registration.own_name and self.registration.is_registered:
@@ -179,8 +181,10 @@
     # -- messages
 
     def handle_heartbeat(self, heartbeat: WorkerHeartbeat) -> HeartbeatReply | None:
-        """Process a heartbeat that a worker sent and return the reply to it, or None if this
-        controller must not reply."""
+        """Process a heartbeat that a worker sent, and return the reply to it.
+
+        Return None if this controller must not reply.
+        """
         machine = self.managed(heartbeat.machine)
         if machine is None or not self.observer.accept_heartbeat(machine, heartbeat):
             return None
@@ -209,15 +213,19 @@
         return self.publisher.statuses_of(update.partition, applied.attempts, self.machines)
 
     def mark_undelivered(self, statuses: list[AttemptStatus]) -> None:
-        """Schedule statuses that did not reach their job controller to be pushed again with the
-        next heartbeat."""
+        """Mark statuses that did not reach their job controller as undelivered.
+
+        They are pushed again with the next heartbeat.
+        """
         self.publisher.mark_undelivered(statuses, self.machines)
 
     # -- reconciliation
 
     def reconcile(self, machine: ManagedMachine) -> None:
-        """Compare the desired with the observed state, send the commands that are due and
-        publish the statuses that have changed."""
+        """Compare the machine's desired with its observed state, and act on the difference.
+
+        Sends the commands that are due and publishes the statuses that have changed.
+        """
         if self.managed(machine.info.name) is not machine:
             return
         now = self.clock.seconds()
@@ -229,8 +237,8 @@
         self.planner.update_convergence(machine, due)
         if machine.is_sending_commands or now < machine.next_send_at:
             return
-        # A worker that has not answered commands is sent another message, otherwise its machine
-        # would stay unusable.
+        # A worker that has not replied to commands is sent another message, as its machine stays
+        # unusable until it replies.
         if not machine.has_confirmed_token or commands or machine.failed_sends:
             self.sender.send_in_background(machine, commands if machine.has_confirmed_token else [])
 
@@ -274,8 +282,7 @@
     # -- cached images
 
     def restore_images(self, caches: dict[str, dict[str, float]]) -> None:
-        """Add the cached images that the changed entries of the cache map list for machines
-        managed here."""
+        """Add cached images of managed machines after their entries in the cache map changed."""
         for name in caches.keys() & self.machines.keys():
             self._restore_images(self.machines[name])
 
@@ -290,14 +297,16 @@
 
     @property
     def change_count(self) -> int:
-        """The number of changes of machines counted so far."""
+        """The number of machine changes counted so far."""
         return self.summaries.changes
 
     def changed_statuses(
         self, since: int = 0, max_count: int = MAX_MACHINE_STATUSES
     ) -> tuple[list[MachineStatus], int]:
-        """Return the statuses of machines that changed after the count of changes `since`, and the
-        count up to which these statuses are complete."""
+        """Return the statuses of machines that changed after the count of changes `since`.
+
+        The second result is the count of changes up to which these statuses are complete.
+        """
         return self.summaries.changed_statuses(self.machines.values(), since, max_count)
 
     def set_draining(self, names: list[str]) -> None:
@@ -311,8 +320,11 @@
                 machine.mark_changed()
 
     def free_capacities(self) -> list[MachineCapacity]:
-        """Return copies of the machines' free capacity, from which the job controller in this
-        process makes reservations."""
+        """Return copies of the machines' free capacity.
+
+        The job controller in this process makes its reservations from them. Empty while this
+        controller has no valid lease.
+        """
         if not self.registration.lease_is_valid():
             return []
         return [
--- a/src/beamspar/machines/machine_summaries.py
+++ b/src/beamspar/machines/machine_summaries.py
@@ -31,7 +31,7 @@
         self.changes = 0
 
     def is_usable(self, machine: ManagedMachine) -> bool:
-        """Return whether new work may be started there now."""
+        """Return whether new work may be started on the machine now."""
         return (
             machine.has_confirmed_token
             and not machine.is_expired
@@ -48,9 +48,9 @@
     def free_resources(
         self, machine: ManagedMachine, excluding: AttemptKey | None = None
     ) -> Resources:
-        """Return the resources that no live attempt uses, where the excluded one is not counted.
+        """Return the resources that live attempts, other than the excluded one, don't use.
 
-        Returns no resources while the machine type is unknown.
+        Return no resources while the machine type is unknown.
         """
         kind = self.types().get(machine.info.kind)
         if kind is None:
@@ -74,13 +74,13 @@
         machine.last_change = self.changes
 
     def changed_statuses(
-        self, machines: Iterable[ManagedMachine], since: int, most: int
+        self, machines: Iterable[ManagedMachine], since: int, max_count: int
     ) -> tuple[list[MachineStatus], int]:
-        """Return the statuses of machines that changed after `since`, and of silent ones as far
-        as they fit into the message.
+        """Return the statuses of machines that changed after `since`, and of silent ones.
 
-        The second result is the count of changes up to which the statuses are complete: if more
-        machines have changed than fit into one message, the earliest changes are returned.
+        Silent machines are included as far as they fit into the message. The second result is the
+        count of changes up to which the statuses are complete: if more machines have changed than
+        fit into one message, the earliest changes are returned.
         """
         now = self.clock.seconds()
         changed: list[ManagedMachine] = []
@@ -93,17 +93,16 @@
             elif self._is_silent(machine, now) or machine.was_reported_silent:
                 silent.append(machine)
         count = self.changes
-        if len(changed) > most:
+        if len(changed) > max_count:
             changed.sort(key=lambda machine: machine.last_change)
-            del changed[most:]
+            del changed[max_count:]
             count = changed[-1].last_change
         silent.sort(key=lambda machine: machine.last_heartbeat_at)
-        reported = changed + silent[: max(most - len(changed), 0)]
+        reported = changed + silent[: max(max_count - len(changed), 0)]
         return [self._status(machine, now) for machine in reported], count
 
     def _is_silent(self, machine: ManagedMachine, now: float) -> bool:
-        """Return whether there has been no heartbeat for so long that it is reported to the
-        leader."""
+        """Return whether the machine has been silent for long enough to report it to the leader."""
         return now - machine.last_heartbeat_at > self.timeouts.silence_timeout_s / 2
 
     def _status(self, machine: ManagedMachine, now: float) -> MachineStatus:
@@ -147,8 +146,10 @@
 def _preemptible_resources(
     machine: ManagedMachine, live: Attempts
 ) -> list[tuple[float, float, float]]:
-    """Return, for each priority rank, the resources of all attempts of lower priority that are not
-    being preempted already."""
+    """Return, for each priority rank, the resources that preemption would free.
+
+    These are the resources of all attempts of lower priority that are not being preempted already.
+    """
     preemptible = [[0.0, 0.0, 0.0] for _ in range(PRIORITY_RANKS)]
     for key, desired in live.items():
         if key in machine.preempted:
--- a/src/beamspar/machines/managed_machine.py
+++ b/src/beamspar/machines/managed_machine.py
@@ -59,14 +59,13 @@
 
 
 class SentStart(msgspec.Struct, eq=False):
-    """A start command that was sent, with its agent epoch, its fencing token and what is known
-    about its execution."""
+    """A start command that was sent, and what is known about its execution."""
 
     agent_epoch: int
     fencing_token: int
-    # The worker has confirmed its execution.
+    # Whether the worker has confirmed its execution.
     is_answered: bool = False
-    # A copy of it may still be in transit.
+    # Whether a copy of it may still be in transit.
     is_indeterminate: bool = False
 
     @property
@@ -82,7 +81,7 @@
     info: Machine
     fencing_token: int
     now: InitVar[float]
-    # The latest time at which a controller that was entitled to may have answered its worker.
+    # The latest time at which any controller that was allowed to may have answered its worker.
     last_possible_answer_at: float
     _: KW_ONLY
 
@@ -91,24 +90,26 @@
     # The token that commands carry: the shard's fencing token, or a higher one that supersedes
     # indeterminate starts.
     command_token: int = field(init=False)
-    # The worker has reported the command token, so it executes no command with a lower one.
+    # Whether the worker has confirmed the command token. If so, it executes no command with a lower
+    # token.
     has_confirmed_token: bool = False
-    # The newest message of the worker, either a heartbeat or the reply to commands.
+    # The agent epoch and sequence number of the newest message of the worker, either a heartbeat or
+    # the reply to commands.
     agent_epoch: int = 0
     observed_seq: int = -1
     # Epochs below this one have ended.
     min_agent_epoch: int = 0
-    # Only heartbeats that the worker sent: a worker that can't reach this controller still
-    # replies to commands.
+    # The last heartbeat that the worker sent, and when it was received. Replies to commands don't
+    # count, because a worker that can't reach this controller still replies to commands.
     last_heartbeat_id: HeartbeatId = NO_HEARTBEAT
     last_heartbeat_at: float = field(init=False)
-    # When this controller last answered it.
+    # When this controller last answered the worker.
     answered_at: float = NEVER
-    # No previous holder of the machine can answer its worker any more.
+    # Whether no previous holder of the machine can answer its worker any more.
     is_exclusive: bool = False
-    # No controller has answered the worker for longer than its lease.
+    # Whether no controller has answered the worker for longer than the worker's lease.
     is_expired: bool = False
-    # The state of the previous holder has been transferred to this controller.
+    # Whether the state of the previous holder has been transferred to this controller.
     is_state_transferred: bool = False
 
     # -- attempts
@@ -119,7 +120,7 @@
     starts: dict[AttemptKey, SentStart] = field(default_factory=dict)
     terminated: dict[AttemptKey, AttemptState] = field(default_factory=dict)
     # What job controllers desire, the partition that each attempt belongs to, and the statuses
-    # that job controllers have received.
+    # that were sent to job controllers and have not been marked as undelivered since.
     desired_attempts: Attempts = field(default_factory=dict)
     partition_of: dict[AttemptKey, str] = field(default_factory=dict)
     acknowledged_statuses: dict[AttemptKey, ObservedStatus] = field(default_factory=dict)
@@ -128,13 +129,14 @@
     unknown_since: dict[AttemptKey, float] = field(default_factory=dict)
     being_checked: set[AttemptKey] = field(default_factory=set)
     orphaned: set[AttemptKey] = field(default_factory=set)
-    # Attempts that are preempted by others of higher priority, with their grace period to save.
+    # Attempts that are preempted by others of higher priority, with the grace period in seconds in
+    # which they may save their progress.
     preempted: dict[AttemptKey, float] = field(default_factory=dict)
     # Attempts for which something may be due. All others were in their desired state, and their
     # job controller was informed of it, when they were last checked: a machine may have hundreds
     # of attempts, of which few change.
     pending_keys: dict[AttemptKey, None] = field(default_factory=dict)
-    # Nothing is due until something changes, so the periodic check skips this machine.
+    # Whether nothing is due until something changes, so that the periodic check skips the machine.
     is_converged: bool = False
 
     # -- commands
@@ -148,21 +150,22 @@
     # Until when no attempt is started there, because the machine is about to move to another
     # controller.
     starts_paused_until: float = NEVER
-    # The leader intends to return it to the cloud, so it accepts no new work.
+    # Whether the leader intends to delete the machine, which accepts no new work then.
     is_draining: bool = False
     termination_notice_s: float | None = None
     idle_since: float = field(init=False)
-    # When each job last failed there, and until when the machine is quarantined for that.
+    # When each job last failed on the machine, and until when it is quarantined for failures.
     job_failures: dict[str, float] = field(default_factory=dict)
     quarantined_until: float = 0.0
-    # Several jobs have failed there, and no task has succeeded since.
+    # Whether several jobs have failed on the machine, and no task has succeeded since.
     is_degraded: bool = False
     # Cached images and their sizes in GB, the least recently used first.
     images: dict[str, float] = field(default_factory=dict)
 
     # -- the summary
 
-    # Recomputed after a change: the free capacity, and the resources that live attempts use.
+    # The free capacity, and the resources that live attempts use; None if they must be recomputed
+    # after a change.
     capacity: MachineCapacity | None = None
     reserved: Resources | None = None
     # The count of changes as of this machine's last one, and whether the machine was reported to
@@ -175,8 +178,10 @@
         self.last_heartbeat_at = self.next_send_at = self.idle_since = now
 
     def mark_changed(self, *attempts: AttemptKey) -> None:
-        """Record that the machine's state has changed: its free capacity is recomputed, and the
-        next reconciliation checks these attempts."""
+        """Record that the machine's state has changed.
+
+        Its free capacity is recomputed, and the next reconciliation checks these attempts.
+        """
         self.pending_keys.update(dict.fromkeys(attempts))
         self.capacity = None
         self.reserved = None
@@ -228,14 +233,18 @@
         return task.status == "fetching"
 
     def has_indeterminate_start(self, key: AttemptKey) -> bool:
-        """Return whether a start from this controller that the worker would execute may still be
-        in transit."""
+        """Return whether a start that the worker would execute may still be in transit.
+
+        Only starts that this controller sent count.
+        """
         start = self.starts.get(key)
         return start is not None and start.is_indeterminate and not self.is_superseded(start)
 
     def is_superseded(self, start: SentStart) -> bool:
-        """Return whether the worker has confirmed a newer token, so that it no longer executes
-        this start."""
+        """Return whether the worker has confirmed a newer token than that of this start.
+
+        If so, it does not execute the start any more.
+        """
         return self.has_confirmed_token and start.fencing_token < self.command_token
 
     def is_live(self, key: AttemptKey) -> bool:
--- a/src/beamspar/machines/orphan_detection.py
+++ b/src/beamspar/machines/orphan_detection.py
@@ -13,14 +13,16 @@
 
 log = Logger(namespace="machines")
 
-# Called with a task, an attempt number and a machine: whether the stored record binds that attempt
-# to the machine; None if that can't be determined now.
+# Called with a task, an attempt number and a machine; returns whether the stored record binds that
+# attempt to the machine, None if that can't be determined now.
 CheckBinding = Callable[[str, int, str], Awaitable[bool | None]]
 
 
 class OrphanDetector:
-    """Checks reported tasks that stay unknown against the stored records, and marks those that are
-    not bound to their machine as orphaned."""
+    """Checks reported tasks that stay unknown to job controllers against the stored records.
+
+    Tasks that are not bound to their machine are marked as orphaned.
+    """
 
     def __init__(
         self,
@@ -35,8 +37,7 @@
         self.reconciler = reconciler
 
     def check(self, machine: ManagedMachine, now: float) -> None:
-        """Start checks of the machine's tasks that have been unknown to all job controllers for
-        too long."""
+        """Start checks of the machine's tasks that no job controller has listed for too long."""
         for key in list(machine.unknown_since):
             if key not in machine.tasks or key in machine.desired_attempts:
                 del machine.unknown_since[key]
@@ -56,8 +57,8 @@
             is_bound = await self.check_binding(key.task, key.attempt, machine.info.name)
         finally:
             machine.being_checked.discard(key)
-        # None means that the record could not be read. Meanwhile a job controller may have listed
-        # the task, or it may have disappeared.
+        # None means that the record could not be read. During the read, a job controller may have
+        # listed the task, or the worker's heartbeats may have ceased to list it.
         if is_bound is False and key in machine.tasks and key not in machine.desired_attempts:
             log.info(
                 "{machine}: {key} is orphaned and will be stopped",
--- a/src/beamspar/machines/preemption.py
+++ b/src/beamspar/machines/preemption.py
@@ -23,24 +23,26 @@
     """
     candidates = sorted(
         (
-            (other, attempt)
-            for other, attempt in machine.desired_attempts.items()
-            if attempt.rank > desired.rank and machine.is_live(other) and other != key
+            (victim, attempt)
+            for victim, attempt in machine.desired_attempts.items()
+            if attempt.rank > desired.rank and machine.is_live(victim) and victim != key
         ),
         key=lambda item: (-item[1].rank, item[1].gang, not item[1].saves, item[1].gpus),
     )
     victims: Victims = []
-    for other, attempt in candidates:
+    for victim, attempt in candidates:
         if free.covers(desired):
             break
         free = free.plus(attempt)
-        victims.append((other, attempt))
+        victims.append((victim, attempt))
     return victims if free.covers(desired) else None
 
 
 def stop_grace_s(desired: DesiredAttempt, gang_peer_s: float) -> float:
-    """Return how long a stopped task may take to save, which for a gang's task includes the wait
-    for the others."""
+    """Return how long a stopped task may take to save its progress, in seconds.
+
+    For a gang's task this includes the wait for the others.
+    """
     if not desired.saves:
         return 0.0
     return desired.save_s * SAVE_MARGIN + (gang_peer_s if desired.gang else 0.0)
--- a/src/beamspar/machines/reconciler.py
+++ b/src/beamspar/machines/reconciler.py
@@ -15,5 +15,7 @@
     resends_without_pause: bool
 
     def reconcile(self, machine: ManagedMachine) -> None:
-        """Take the actions that are due for the machine; do nothing if this controller may not
-        act for it."""
+        """Take the actions that are due for the machine.
+
+        Do nothing if this controller may not act for the machine.
+        """
--- a/src/beamspar/machines/worker_client.py
+++ b/src/beamspar/machines/worker_client.py
@@ -42,11 +42,11 @@
         the agent epoch match, the commands may still be executed minutes later.
         """
         body = encode_commands(fencing_token, agent_epoch, commands)
-        answer = await self.net.request("POST", address, "/orders", body, self.timeout_s)
-        if answer.status not in (STATUS_EXECUTED, STATUS_REFUSED):
-            raise CallFailedError(f"worker {address}: unexpected HTTP status {answer.status}")
+        response = await self.net.request("POST", address, "/orders", body, self.timeout_s)
+        if response.status not in (STATUS_EXECUTED, STATUS_REFUSED):
+            raise CallFailedError(f"worker {address}: unexpected HTTP status {response.status}")
         try:
-            heartbeat = parse_worker_heartbeat(answer.body)
+            heartbeat = parse_worker_heartbeat(response.body)
         except InvalidInputError as error:
             raise CallFailedError(f"worker {address}: malformed heartbeat: {error}") from error
-        return CommandResult(answer.status == STATUS_EXECUTED, heartbeat)
+        return CommandResult(response.status == STATUS_EXECUTED, heartbeat)
--- a/src/beamspar/machines/worker_observation.py
+++ b/src/beamspar/machines/worker_observation.py
@@ -1,7 +1,7 @@
-"""Processes the reports of workers, from heartbeats and from replies to commands.
+"""Processes workers' heartbeats, both those that they send and those in replies to commands.
 
-A report is accepted only if it is newer than the known state, and the absence of an attempt from
-it counts only once the worker has confirmed the command token.
+A heartbeat is accepted only if it is newer than the known state. An attempt that it does not list
+counts as absent only once the worker has confirmed the command token.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class WorkerObserver:
-    """Updates managed machines from their workers' reports."""
+    """Updates managed machines from their workers' heartbeats."""
 
     def __init__(
         self,
@@ -86,8 +86,10 @@
             machine.idle_since = now
 
     def expire(self, machine: ManagedMachine) -> None:
-        """Declare all attempts on the machine gone: no controller has answered its worker for
-        longer than the worker's lease."""
+        """Declare all attempts on the machine gone.
+
+        No controller has answered its worker for longer than the worker's lease.
+        """
         log.warn(
             "{machine}: the worker's lease has expired, its attempts are gone",
             machine=machine.info.name,
@@ -158,8 +160,10 @@
 
 
 def _observe_token_and_notice(machine: ManagedMachine, heartbeat: WorkerHeartbeat) -> bool:
-    """Update whether the worker has confirmed the command token and whether its machine has a
-    termination notice; return whether either has changed."""
+    """Update the confirmation of the command token and the machine's termination notice.
+
+    Return whether the token is newly confirmed, or a notice has appeared or disappeared.
+    """
     had_confirmed = machine.has_confirmed_token
     had_notice = machine.termination_notice_s is not None
     machine.termination_notice_s = heartbeat.termination_notice_s
