--- a/src/beamspar/cluster/registration.py
+++ b/src/beamspar/cluster/registration.py
@@ -85,8 +85,10 @@
         return self.clock.seconds() < recent + self.timeouts.lease_validity_s
 
     def fence_condition(self) -> dict[str, int]:
-        """Return the transaction condition that rejects writes of earlier or deposed
-        incarnations."""
+        """Return the transaction condition that the fence is still that of this incarnation.
+
+        It rejects the writes of earlier or deposed incarnations.
+        """
         return {self.fence_key: self.fence_version}
 
     # -- registering, renewing and ending
--- a/src/beamspar/cluster/state_mirror.py
+++ b/src/beamspar/cluster/state_mirror.py
@@ -25,7 +25,7 @@
 
 log = Logger(namespace="mirror")
 
-# The number of removed keys kept, to recognize a late reply to a write of this controller.
+# The number of removed keys kept, to recognize a late response to a write of this controller.
 MAX_REMEMBERED_REMOVALS = 1000
 # A time long before any reading of the process's clock.
 NEVER = -1e9
@@ -59,7 +59,7 @@
         self.known_members = [self.own_name, *(peer.member for peer in settings.peers)]
         # All changes up to this revision are in the mirror.
         self.revision = 0
-        # The time at which the request was sent whose reply last brought the mirror up to date.
+        # The time at which the request was sent whose response last brought the mirror up to date.
         self.current_as_of = NEVER
         # By key: the stored value and the revision of its last change.
         self.values: dict[str, tuple[Any, int]] = {}
@@ -116,8 +116,7 @@
         return (shard.holder, shard.fencing_token) if shard else None
 
     def partition_condition(self, partition: str) -> dict[str, int]:
-        """Return the transaction condition that a partition's record is still the one in the
-        mirror."""
+        """Return the transaction condition that the partition's record is as in the mirror."""
         record = self.partitions.get(partition)
         return {keys.partition(partition): record.version if record else 0}
 
@@ -259,7 +258,7 @@
         if key not in self.values or self.version(key) > version:
             return False
         del self.values[key]
-        # The reply to a write of this controller may arrive after the watch has reported the
+        # The response to a write of this controller may arrive after the watch has returned the
         # removal of the key.
         self._removed[key] = version
         while len(self._removed) > MAX_REMEMBERED_REMOVALS:
@@ -329,12 +328,12 @@
                 self.previous_holders[machine.name] = old_holder
 
     def _raise_fencing_tokens(self, member: str) -> None:
-        """Raise the tokens of a member's shards after a new incarnation or the leader wrote its
-        fence.
+        """Raise the tokens of a member's shards after its fence was written.
 
-        For this controller's own shards, listeners are notified even if the token stays the same. A
-        shard that was leased between this controller's registration and the read that follows it
-        is applied before the controller's fence, and could not be held at that time.
+        A fence is written by a new incarnation of the member, or by the leader. For this
+        controller's own shards, listeners are notified even if the token stays the same: a shard
+        that was leased between this controller's registration and the read that follows it is
+        applied before the controller's fence, and could not be held at that time.
         """
         fence = self.version(keys.fence(member))
         for name, shard in self.shards.items():
--- a/src/beamspar/timeouts.py
+++ b/src/beamspar/timeouts.py
@@ -30,7 +30,7 @@
     def __init__(self, settings: Settings, operator_settings: OperatorSettings) -> None:
         workers = settings.platform.workers
         # The interval of workers' heartbeats, and how long a worker keeps its tasks running without
-        # a reply to them.
+        # a reply to its heartbeats.
         self.worker_heartbeat_interval_s = workers.report_s
         self.worker_lease_s = workers.lease_s
         self._derive_leases(workers, operator_settings.lease_share)
@@ -53,7 +53,7 @@
         )
         # The interval of lease renewals.
         self.lease_renewal_interval_s = self.registration_lease_s / 10
-        # The time after the last reply to a silent worker at which its tasks have certainly ended.
+        # How long after the last reply to a silent worker its tasks have certainly ended.
         self.worker_expiry_s = (
             self.worker_lease_s * (1 + CLOCK_MARGIN) + self.worker_heartbeat_interval_s * 0.1
         )
@@ -85,20 +85,22 @@
 
     def _derive_gang_waits(self, workers: WorkerSettings) -> None:
         # How long a gang's task waits for the others, and the time within which these must receive
-        # the command to stop. Platforms with an earlier worker release don't state them.
+        # the command to stop. The settings of platforms with an earlier worker release lack both.
         self.gang_wait_s = workers.gang_wait_s or self.worker_lease_s * 2
         self.gang_peer_s = workers.gang_peer_s or self.worker_heartbeat_interval_s
         # How long a gang is pending before machines are reserved for it.
         self.gang_starvation_s = self.gang_wait_s * 1.5
 
     def _derive_failure_detection(self) -> None:
-        # The maximum age at which the mirror may be used to start work: a watch and its reply.
+        # The maximum age of the mirror at which it may be used to start work: the time of a watch
+        # request and its response.
         self.mirror_max_age_s = self.worker_heartbeat_interval_s * 1.67
         # A worker or member without heartbeats counts as silent after this time.
         self.silence_timeout_s = self.worker_heartbeat_interval_s * 2.5
         # Within `unserved_machine_window_s`, a worker without replies tries every controller. After
         # `unreachable_timeout_s`, its controller counts as unreachable: early enough for another
-        # controller to reply within the worker's lease, even if the worker first waits for a reply.
+        # controller to reply within the worker's lease, even if the worker first waits for a reply
+        # of the unreachable one.
         self.unserved_machine_window_s = self.worker_heartbeat_interval_s * 3
         self.unreachable_timeout_s = self.worker_lease_s * 0.4
         # How long a task may run without being named by a job controller before its record is read.
