--- a/tests/test_command_planning.py
+++ b/tests/test_command_planning.py
@@ -1,7 +1,7 @@
 """The command planner's decisions from an attempt's desired and observed state, without I/O.
 
-They guard against starts that are executed twice or after a cancellation, and against attempts that
-are declared gone while a start of theirs may still be executed.
+Guards against starts that are executed twice or after a cancellation, and against attempts that are
+declared gone while a start command for them may still be executed.
 """
 
 from __future__ import annotations
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -1,7 +1,8 @@
 """The leader splits shards whose records exceed the announced limit on the size of a value.
 
 The limit takes effect without notice, and the state service then refuses larger records. The parts
-must be written in one transaction, as a machine that is in no shard in between counts as returned.
+must be written in one transaction, as a machine that is in no shard between two transactions counts
+as returned to the cloud.
 """
 
 from __future__ import annotations
--- a/tests/test_leader_decisions.py
+++ b/tests/test_leader_decisions.py
@@ -1,4 +1,9 @@
-"""The leader's pure decisions: failed machines, headroom, reservations, demand, preemption."""
+"""The leader's decisions without I/O: failed machines, headroom, reservations, demand, preemption.
+
+Guards against the deletion of machines that a network partition made silent, capacity that is
+offered twice, demand that still counts after it was met, and preemption for jobs that may not
+preempt.
+"""
 
 from __future__ import annotations
 
@@ -81,9 +86,9 @@
         later = capacity()
         reservations.subtract_from(later, now)
         assert later.cpus == cpus, now
-    other = capacity("host-1")
-    reservations.subtract_from(other, 10.0)
-    assert other.cpus == 4.0
+    unreserved = capacity("host-1")
+    reservations.subtract_from(unreserved, 10.0)
+    assert unreserved.cpus == 4.0
 
 
 def test_unmet_demand_is_dropped_once_it_is_met_or_expired() -> None:
--- a/tests/test_open_attempts.py
+++ b/tests/test_open_attempts.py
@@ -1,4 +1,4 @@
-"""Reconciliation checks pending attempts only, and no other attempt may need an action.
+"""Reconciliation checks pending attempts only, so no action may be due for any other attempt.
 
 An attempt that is removed from the pending ones too early, or not added after a change, would never
 be started, stopped, cleared or reported. At each reconciliation of a run with random faults, the
@@ -18,8 +18,11 @@
 
 
 def due(controller: MachineController, machine: ManagedMachine) -> tuple[list[str], set[Any]]:
-    """Return the commands for reported attempts, and the desired attempts that are neither reported
-    nor terminated."""
+    """Return what is due for a machine's pending attempts.
+
+    These are the commands for reported attempts, and the desired attempts that are neither reported
+    nor terminated.
+    """
     commands = sorted(map(str, controller.planner.plan_stops_and_clears(machine)))
     missing = {
         key
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -25,8 +25,10 @@
 
 
 class FakeStateClient:
-    """A state service where a shard is leased to the controller after its fence was written and
-    before the records are read again."""
+    """A state service that leases a shard to the controller during its registration.
+
+    The shard is written after the controller's fence and before the records are read again.
+    """
 
     def __init__(self) -> None:
         self.items: list[KeyValue] = []
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -40,57 +40,59 @@
 
 def managed_fleet(count: int) -> tuple[SimClock, Registration, MachineController]:
     """Return a controller that manages a whole fleet alone, each machine full of small tasks."""
-    clock, unused = SimClock(), Timeouts(settings(), OperatorSettings())
-    store: Any = None
-    registration = Registration(clock, store, settings(), unused)
+    clock, timeouts = SimClock(), Timeouts(settings(), OperatorSettings())
+    unused: Any = None
+    registration = Registration(clock, unused, settings(), timeouts)
     registration.incarnation, registration.fence_version = 1, 1
     registration.mirror.values[registration.fence_key] = ({"inc": 1}, 1)
-    holder = MachineController(clock, registration, store, unused, lambda: {"big": BIG}, store)
+    controller = MachineController(
+        clock, registration, unused, timeouts, lambda: {"big": BIG}, unused
+    )
     machines = [Machine(f"host-{n:06d}", f"10.0.0.1:{n}", "big", "east") for n in range(count)]
     registration.mirror.observe(
         keys.shard("host-000000"), shard_record(registration.own_name, machines), 5
     )
-    for number, machine in enumerate(holder.machines.values()):
+    for number, machine in enumerate(controller.machines.values()):
         for index in range(TASKS_EACH):
             key = (f"j-{number}/{index}", 1)
             machine.desired_attempts[key] = DesiredAttempt(
                 machine.info.name, 5, key[0], 1, "run", 1.0, 0.5, 3.25
             )
             machine.images[f"image-of-a-long-name-{number}-{index}"] = 16.125
-    return clock, registration, holder
+    return clock, registration, controller
 
 
 def test_a_full_heartbeat_is_split_into_parts_that_a_peer_accepts() -> None:
-    _, _, holder = managed_fleet(LARGEST_FLEET)
+    _, _, controller = managed_fleet(LARGEST_FLEET)
     sent: list[str] = []
-    known, parts = 0, 0
+    sent_count, parts = 0, 0
     for _ in range(10):
-        if parts and known == holder.change_count:
+        if parts and sent_count == controller.change_count:
             break
-        views, known = holder.changed_statuses(known)
-        assert len(views) <= MAX_MACHINE_STATUSES
-        assert len(encode(views)) < MAX_PEER_MESSAGE_BYTES * 0.75
-        sent += [view.capacity.name for view in views]
+        statuses, sent_count = controller.changed_statuses(sent_count)
+        assert len(statuses) <= MAX_MACHINE_STATUSES
+        assert len(encode(statuses)) < MAX_PEER_MESSAGE_BYTES * 0.75
+        sent += [status.capacity.name for status in statuses]
         parts += 1
     assert parts == -(-LARGEST_FLEET // MAX_MACHINE_STATUSES)
-    assert sorted(sent) == sorted(holder.machines) and len(set(sent)) == len(sent)
+    assert sorted(sent) == sorted(controller.machines) and len(set(sent)) == len(sent)
 
 
 def test_changes_between_the_parts_of_a_heartbeat_are_sent_too() -> None:
-    _, _, holder = managed_fleet(50)
-    first, known = holder.changed_statuses(0, max_count=20)
-    again = first[0].capacity.name
-    holder.machines[again].mark_changed()
-    second, known = holder.changed_statuses(known, max_count=20)
-    third, known = holder.changed_statuses(known, max_count=20)
-    assert known == holder.change_count
-    assert again in {view.capacity.name for view in second + third}
-    names = {view.capacity.name for view in first + second + third}
-    assert names == set(holder.machines)
+    _, _, controller = managed_fleet(50)
+    first, sent_count = controller.changed_statuses(0, max_count=20)
+    changed_again = first[0].capacity.name
+    controller.machines[changed_again].mark_changed()
+    second, sent_count = controller.changed_statuses(sent_count, max_count=20)
+    third, sent_count = controller.changed_statuses(sent_count, max_count=20)
+    assert sent_count == controller.change_count
+    assert changed_again in {status.capacity.name for status in second + third}
+    names = {status.capacity.name for status in first + second + third}
+    assert names == set(controller.machines)
 
 
 class StubJobStore:
-    """Job store stand-in with one loaded partition and no jobs; it may start everything."""
+    """Job store stand-in with one loaded partition and no jobs, which allows each job to start."""
 
     def __init__(self, registration: Registration) -> None:
         self.jobs: dict[str, Job] = {}
@@ -188,14 +190,15 @@
         if len(self.calls) in self.refused:
             raise CloudUnavailableError("429")
         names = [name for name in self.names if name > after]
-        rows = [
+        instances = [
             Instance(name, "10.0.0.1:9000", "big", "east", "running", False, 60.0)
             for name in names[:500]
         ]
-        return InstancePage(rows, len(names) > 500)
+        return InstancePage(instances, len(names) > 500)
 
 
 def listed(refused: set[int]) -> tuple[InstanceManager, PagedCloud, Deferred[None]]:
+    """Return a manager whose reading of the list, with these calls refused, has finished."""
     clock, unused = SimClock(), None
     cloud: Any = PagedCloud(clock, 4000, refused)
     no_registration: Any = unused
--- a/tests/test_shard_distribution.py
+++ b/tests/test_shard_distribution.py
@@ -58,7 +58,7 @@
         assign_new_machines(machines(1), 1, {}, SITES)
 
 
-def test_shard_size_lets_one_transaction_move_all_of_a_controller() -> None:
+def test_shard_size_lets_one_transaction_move_all_shards_of_a_controller() -> None:
     operations = LIMITS.txn_ops
     assert choose_shard_size(3 * operations * 2, 3, LIMITS, 0) == 2
     assert choose_shard_size(3 * operations * 2 + 1, 3, LIMITS, 0) == 3
@@ -86,7 +86,7 @@
     assert balance(shards("a", 6) | shards("b", 6)) == []
 
 
-def test_moves_are_limited_and_only_among_counted_members() -> None:
+def test_the_number_of_moves_is_limited_and_only_counted_members_take_part() -> None:
     held = shards("a", 20) | shards("c", 20, zone="west") | shards("d", 20)
     moves = balance(held, max_moves=2)
     assert len(moves) == 2 and {move.source for move in moves} == {"a"}
--- a/tests/test_steady_state_cost.py
+++ b/tests/test_steady_state_cost.py
@@ -18,8 +18,10 @@
 
 
 def steady_world(machines: int) -> World:
-    """Return a cluster in which a service fills each machine, no more machines can be rented and
-    nothing has changed for a while."""
+    """Return a cluster in which nothing has changed for a while.
+
+    A service fills each machine, and no more instances can be created.
+    """
     world = World(
         3,
         machines=[{"kind": "small", "zone": zone, "count": machines // 3} for zone in ZONES],
@@ -66,8 +68,8 @@
     assert calls["/peer/sync"] <= 3 * 2 * (STEADY_S / 15.0 + 2)
     assert calls["/peer/statuses"] == 0
     assert calls["/peer/asks"] == 0
-    # Lease renewals, watches and the comparisons that polls require. The rate limit of the state
-    # service is 150 per second.
+    # Lease renewals, watches and the reads that users' polls require. The rate limit of the state
+    # service is 150 requests per second.
     assert calls["state:1"] <= 16 * STEADY_S
     assert not [address for address in calls if address.endswith(":9000")], (
         "commands were sent to workers"
@@ -82,16 +84,16 @@
 ) -> None:
     world = steady_world(machines)
     counts = {name: node.machine_controller.change_count for name, node in world.nodes.items()}
-    reports: list[str] = []
-    report = MachineController.handle_heartbeat
+    heartbeats: list[str] = []
+    handle_heartbeat = MachineController.handle_heartbeat
 
-    def count_report(holder: MachineController, message: Any) -> Any:
-        reports.append(message.machine)
-        return report(holder, message)
+    def count_heartbeat(self: MachineController, heartbeat: Any) -> Any:
+        heartbeats.append(heartbeat.machine)
+        return handle_heartbeat(self, heartbeat)
 
-    monkeypatch.setattr(MachineController, "handle_heartbeat", count_report)
+    monkeypatch.setattr(MachineController, "handle_heartbeat", count_heartbeat)
     world.run(world.clock.seconds() + STEADY_S)
-    assert len(reports) >= machines * STEADY_S / 3.0 * 0.8
+    assert len(heartbeats) >= machines * STEADY_S / 3.0 * 0.8
     assert {
         name: node.machine_controller.change_count for name, node in world.nodes.items()
     } == counts
@@ -102,19 +104,19 @@
 ) -> None:
     world = steady_world(30)
     reconciliations: Counter[str] = Counter()
-    reports: Counter[str] = Counter()
-    reconcile, report = MachineController.reconcile, MachineController.handle_heartbeat
+    heartbeats: Counter[str] = Counter()
+    reconcile, handle_heartbeat = MachineController.reconcile, MachineController.handle_heartbeat
 
     def count_reconciliation(self: MachineController, machine: Any) -> None:
         reconciliations[machine.info.name] += 1
         reconcile(self, machine)
 
-    def count_report(self: MachineController, message: Any) -> Any:
-        reports[message.machine] += 1
-        return report(self, message)
+    def count_heartbeat(self: MachineController, heartbeat: Any) -> Any:
+        heartbeats[heartbeat.machine] += 1
+        return handle_heartbeat(self, heartbeat)
 
     monkeypatch.setattr(MachineController, "reconcile", count_reconciliation)
-    monkeypatch.setattr(MachineController, "handle_heartbeat", count_report)
+    monkeypatch.setattr(MachineController, "handle_heartbeat", count_heartbeat)
     world.run(world.clock.seconds() + STEADY_S)
-    assert sum(reports.values()) > 30 * STEADY_S / 4
-    assert sum(reconciliations.values()) <= sum(reports.values()) * 0.05
+    assert sum(heartbeats.values()) > 30 * STEADY_S / 4
+    assert sum(reconciliations.values()) <= sum(heartbeats.values()) * 0.05
