--- a/src/beamspar/cluster/registration.py
+++ b/src/beamspar/cluster/registration.py
@@ -81,8 +81,8 @@
         """Return whether this process may act on machines and jobs right now."""
         if not self.is_started or self.is_ended:
             return False
-        recent = min(self.renewed_at, self.mirror.current_as_of)
-        return self.clock.seconds() < recent + self.timeouts.lease_validity_s
+        confirmed_at = min(self.renewed_at, self.mirror.current_as_of)
+        return self.clock.seconds() < confirmed_at + self.timeouts.lease_validity_s
 
     def fence_condition(self) -> dict[str, int]:
         """Return the transaction condition that the fence is still that of this incarnation.
@@ -117,7 +117,7 @@
 
     async def _register(self) -> bool:
         """Attempt to register once; return True if the stored fence is that of this incarnation."""
-        sent = self.clock.seconds()
+        sent_at = self.clock.seconds()
         lease_id = await self.state.grant_lease(self.timeouts.registration_lease_s)
         await self.mirror.load()
         incarnation = stored_incarnation(self.mirror.value(self.fence_key)) + 1
@@ -131,7 +131,7 @@
             return False
         self.incarnation, self.partition = incarnation, partition
         self.lease_id, self.fence_version = lease_id, revision
-        self.renewed_at = sent
+        self.renewed_at = sent_at
         await self.mirror.load()
         return self.mirror.version(self.fence_key) == revision
 
@@ -156,11 +156,11 @@
 
     async def _renew_until_ended(self) -> None:
         while not self.is_ended:
-            sent = self.clock.seconds()
+            sent_at = self.clock.seconds()
             pause_s = self.timeouts.lease_renewal_interval_s
             try:
                 await self.state.renew_lease(self.lease_id)
-                self.renewed_at = sent
+                self.renewed_at = sent_at
             except LeaseExpiredError:
                 self.end("the lease has expired")
                 return
--- a/src/beamspar/cluster/state_mirror.py
+++ b/src/beamspar/cluster/state_mirror.py
@@ -159,11 +159,11 @@
 
         Raises StateUnavailableError if the state service can't be read.
         """
-        sent = self.clock.seconds()
+        sent_at = self.clock.seconds()
         items, revision = await self.state.scan(keys.CONTROL_PREFIX, RequestPriority.URGENT)
         self._replace_all(items, revision)
         self._advance_revision(revision)
-        self.current_as_of = sent
+        self.current_as_of = sent_at
 
     def _replace_all(self, items: list[KeyValue], revision: int) -> None:
         stored = {item.key: (item.value, item.version) for item in items}
@@ -188,7 +188,7 @@
                 await sleep(self.clock, self.timeouts.retry_delay_s)
 
     async def _watch_once(self, is_over: Callable[[], bool]) -> None:
-        sent = self.clock.seconds()
+        sent_at = self.clock.seconds()
         events, revision = await self.state.watch(
             keys.CONTROL_PREFIX, self.revision, self.timeouts.watch_hold_s
         )
@@ -197,7 +197,7 @@
         for event in events:
             self._apply_event(event)
         self._advance_revision(revision)
-        self.current_as_of = sent
+        self.current_as_of = sent_at
 
     def _apply_event(self, event: WatchEvent) -> None:
         if event.put is not None:
@@ -218,8 +218,8 @@
 
     def observe(self, key: str, value: Any, version: int) -> None:
         """Apply a control record that was written or read independently of the watch."""
-        known = max(self.version(key), self._removed.get(key, 0))
-        if version > known:
+        known_version = max(self.version(key), self._removed.get(key, 0))
+        if version > known_version:
             self._apply(key, value, version)
 
     def observe_cancellations(self, jobs: dict[str, int]) -> None:
@@ -295,17 +295,19 @@
             self._lease_ended_at[name] = self.clock.seconds()
 
     def _index_partition(self, name: str, value: Any, version: int) -> None:
-        before = self.partitions.pop(name, None)
+        previous = self.partitions.pop(name, None)
         if value is None:
             return
         owner = str(value["owner"])
-        keeps_owner = before is not None and before.owner == owner
-        owned_since = before.owned_since if before and keeps_owner else version
+        keeps_owner = previous is not None and previous.owner == owner
+        owned_since = previous.owned_since if previous and keeps_owner else version
         self.partitions[name] = JobPartition(owner, version, owned_since)
 
     def _index_shard(self, name: str, value: Any, version: int) -> None:
-        old = self.shards.pop(name, None)
-        old_holders = {machine.name: old.holder for machine in old.machines} if old else {}
+        previous = self.shards.pop(name, None)
+        old_holders = (
+            {machine.name: previous.holder for machine in previous.machines} if previous else {}
+        )
         for machine in old_holders:
             if self.shard_of.get(machine) == name:
                 del self.shard_of[machine]
--- a/src/beamspar/leader/fleet_view.py
+++ b/src/beamspar/leader/fleet_view.py
@@ -82,9 +82,9 @@
         The entry survives a move of the shard, after which the heartbeats of the new holder list
         fewer images.
         """
-        known = self.decisions.state.caches.get(name, ({}, 0))[0]
-        if images.keys() - known.keys():
-            merged = {**{k: v for k, v in known.items() if k not in images}, **images}
+        cached = self.decisions.state.caches.get(name, ({}, 0))[0]
+        if images.keys() - cached.keys():
+            merged = {**{k: v for k, v in cached.items() if k not in images}, **images}
             if kind in self.machine_types:
                 evict_least_recently_used(merged, self.machine_types[kind])
             self.decisions.decide(CacheChanged(name, merged))
@@ -164,5 +164,5 @@
         return capacities
 
     def reserve_tentatively(self, spec: JobSpec, capacity: MachineCapacity, now: float) -> None:
-        """Reserve capacity for one task until the holder's heartbeats include its use."""
+        """Reserve capacity for one task until the holder's heartbeats can include its use."""
         self._tentative_reservations.reserve(spec, capacity, now)
--- a/src/beamspar/leader/leadership.py
+++ b/src/beamspar/leader/leadership.py
@@ -81,7 +81,7 @@
         return self.leading_since is not None and self.mirror.leader == self.registration.own_name
 
     @property
-    def is_in_charge(self) -> bool:
+    def may_act_as_leader(self) -> bool:
         """Whether this controller leads and may act as the leader.
 
         Its registration lease must be valid, its mirror must include its own election, and it must
@@ -101,7 +101,7 @@
 
         Every live member has sent its complete state, or has had enough time to do so.
         """
-        if not self.is_in_charge or self.leading_since is None:
+        if not self.may_act_as_leader or self.leading_since is None:
             return False
         if self.clock.seconds() - self.leading_since > self.timeouts.worker_heartbeat_interval_s:
             return True
@@ -127,7 +127,7 @@
 
         A former leader that has failed is not required to be confirmed.
         """
-        if not self.is_in_charge:
+        if not self.may_act_as_leader:
             return set()
         confirmed = self.confirmed_members()
         zones: set[str] = set()
--- a/src/beamspar/leader/member_view.py
+++ b/src/beamspar/leader/member_view.py
@@ -22,7 +22,7 @@
     def __init__(self, incarnation: int) -> None:
         self.incarnation = incarnation
         # The member's change count up to which its changes have been applied.
-        self.count = 0
+        self.applied_count = 0
         self.reported_at = NEVER
         # Whether every machine of the member was reported at least once.
         self.is_complete = False
@@ -36,9 +36,9 @@
 
     def apply_heartbeat(self, heartbeat: MemberHeartbeat, now: float) -> bool:
         """Apply a heartbeat; return False if it builds on one that was not received."""
-        if self.count != heartbeat.since:
+        if self.applied_count != heartbeat.since:
             return False
-        self.count, self.classes = heartbeat.count, heartbeat.classes
+        self.applied_count, self.classes = heartbeat.count, heartbeat.classes
         self.is_complete = self.is_complete or not heartbeat.is_partial
         if self.is_complete:
             # A member with incomplete state counts as not reporting. Otherwise instances would be
--- a/src/beamspar/machines/command_sending.py
+++ b/src/beamspar/machines/command_sending.py
@@ -40,19 +40,19 @@
 
     async def _send(self, machine: ManagedMachine, commands: list[Command]) -> None:
         epoch, token = machine.agent_epoch, machine.command_token
-        sent: dict[AttemptKey, SentStart] = {}
+        sent_starts: dict[AttemptKey, SentStart] = {}
         for command in commands:
             if isinstance(command, StartCommand):
                 key = AttemptKey(command.task, command.attempt)
-                sent[key] = _record_start(machine, key, epoch, token)
+                sent_starts[key] = _record_start(machine, key, epoch, token)
         try:
             result = await self.workers.send_commands(machine.info.address, token, epoch, commands)
         except CallFailedError as error:
-            self._handle_failure(machine, sent, bool(commands), error)
+            self._handle_failure(machine, sent_starts, bool(commands), error)
             return
         machine.is_sending_commands = False
         machine.failed_sends = 0
-        _record_outcome(machine, sent, result)
+        _record_outcome(machine, sent_starts, result)
         # Compares with the epoch that was sent, because `machine.agent_epoch` may have changed
         # meanwhile.
         is_epoch_outdated = epoch != result.heartbeat.agent_epoch
@@ -71,7 +71,7 @@
     def _handle_failure(
         self,
         machine: ManagedMachine,
-        sent: dict[AttemptKey, SentStart],
+        sent_starts: dict[AttemptKey, SentStart],
         had_commands: bool,
         error: CallFailedError,
     ) -> None:
@@ -79,7 +79,7 @@
 
         The worker may still execute them.
         """
-        for start in sent.values():
+        for start in sent_starts.values():
             start.is_indeterminate = True
         machine.failed_sends += 1
         pause_s = (
@@ -113,9 +113,9 @@
 
 
 def _record_outcome(
-    machine: ManagedMachine, sent: dict[AttemptKey, SentStart], result: CommandResult
+    machine: ManagedMachine, sent_starts: dict[AttemptKey, SentStart], result: CommandResult
 ) -> None:
-    for key, start in sent.items():
+    for key, start in sent_starts.items():
         if result.is_executed:
             start.is_answered = True
         elif start.agent_epoch == result.heartbeat.agent_epoch and machine.starts.get(key) is start:
--- a/src/beamspar/machines/fault_evidence.py
+++ b/src/beamspar/machines/fault_evidence.py
@@ -38,7 +38,7 @@
     ) -> list[str]:
         """Record that a task of the job failed on the machine.
 
-        Returns the jobs whose failures count against the machine if it is quarantined for them,
+        Return the jobs whose failures count against the machine if it is quarantined for them,
         else an empty list.
         """
         if is_job_at_fault:
--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -201,7 +201,7 @@
     def apply_desired_state(self, update: DesiredStateUpdate) -> list[AttemptStatus]:
         """Apply a job controller's desired state of one partition; ignore outdated updates.
 
-        Returns the known statuses of the attempts that the update lists.
+        Return the known statuses of the attempts that the update lists.
         """
         applied = self.desired_state.apply(update)
         if applied is None:
--- a/src/beamspar/machines/worker_observation.py
+++ b/src/beamspar/machines/worker_observation.py
@@ -181,18 +181,18 @@
 ) -> tuple[dict[AttemptKey, TaskStatus], list[AttemptKey]]:
     """Replace the machine's tasks by the reported ones.
 
-    Returns the tasks that are new or have a new status, and the keys of those that have
+    Return the tasks that are new or have a new status, and the keys of those that have
     disappeared.
     """
-    known = machine.tasks
+    previous = machine.tasks
     # Most heartbeats of machines with hundreds of tasks contain no change.
-    if list(known.values()) == reported:
+    if list(previous.values()) == reported:
         return {}, []
     machine.tasks = {AttemptKey(task.task, task.attempt): task for task in reported}
     changed = {
         key: task
         for key, task in machine.tasks.items()
-        if key not in known or known[key].status != task.status
+        if key not in previous or previous[key].status != task.status
     }
-    absent = [key for key in known if key not in machine.tasks]
+    absent = [key for key in previous if key not in machine.tasks]
     return changed, absent
--- a/src/beamspar/timeouts.py
+++ b/src/beamspar/timeouts.py
@@ -76,8 +76,9 @@
     def _derive_intervals(self) -> None:
         # The interval of members' heartbeats to the leader, of health probes and of placement.
         self.member_heartbeat_interval_s = self.worker_heartbeat_interval_s / 6
-        # How long users' polls are batched for one read of the state service. With a read for every
-        # other poll, polls took more CPU time and request rate than everything else.
+        # How long users' polls are batched for one comparison of record versions by the state
+        # service. With a comparison for every other poll, polls took more CPU time and request rate
+        # than everything else.
         self.poll_batching_s = self.member_heartbeat_interval_s / 4
         # The interval at which a job controller resends its whole desired state, even if no message
         # is known to be lost.
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -43,18 +43,29 @@
 def make_leader(next_limits: NextLimits) -> tuple[Leader, TransactionRecorder]:
     base = settings()
     state = msgspec.structs.replace(base.platform.state, next=next_limits)
-    own = msgspec.structs.replace(
+    own_settings = msgspec.structs.replace(
         base, platform=msgspec.structs.replace(base.platform, state=state)
     )
-    timeouts, clock, recorder = Timeouts(own, OperatorSettings()), SimClock(), TransactionRecorder()
+    timeouts, clock, recorder = (
+        Timeouts(own_settings, OperatorSettings()),
+        SimClock(),
+        TransactionRecorder(),
+    )
     unused: Any = None
     store: Any = recorder
-    registration = Registration(clock, store, own, timeouts)
+    registration = Registration(clock, store, own_settings, timeouts)
     registration.mirror.observe(keys.LEADER, {"name": "rig-0", "inc": 0}, 5)
     rng = random.Random(1)
-    instance_manager = InstanceManager(clock, unused, registration, own, timeouts, {})
+    instance_manager = InstanceManager(clock, unused, registration, own_settings, timeouts, {})
     leader = Leader(
-        clock, registration, store, instance_manager, own, timeouts, OperatorSettings(), rng
+        clock,
+        registration,
+        store,
+        instance_manager,
+        own_settings,
+        timeouts,
+        OperatorSettings(),
+        rng,
     )
     return leader, recorder
 
@@ -88,8 +99,10 @@
         assert len(written) <= 6
     for key, value in changes:
         expected = {machine["name"] for machine in value["machines"]}
-        holding = [
+        machines_by_transaction = [
             {m["name"] for c in written if c["put"] != keys.LEADER for m in c["data"]["machines"]}
             for _, written in recorder.written
         ]
-        assert sum(1 for written_names in holding if written_names & expected) == 1, key
+        assert (
+            sum(1 for written_names in machines_by_transaction if written_names & expected) == 1
+        ), key
--- a/tests/test_steady_state_cost.py
+++ b/tests/test_steady_state_cost.py
@@ -68,8 +68,8 @@
     assert calls["/peer/sync"] <= 3 * 2 * (STEADY_S / 15.0 + 2)
     assert calls["/peer/statuses"] == 0
     assert calls["/peer/asks"] == 0
-    # Lease renewals, watches and the reads that users' polls require. The rate limit of the state
-    # service is 150 requests per second.
+    # Lease renewals, watches and the version comparisons that users' polls require. The rate limit
+    # of the state service is 150 requests per second.
     assert calls["state:1"] <= 16 * STEADY_S
     assert not [address for address in calls if address.endswith(":9000")], (
         "commands were sent to workers"
