--- a/src/beamspar/leader/demand.py
+++ b/src/beamspar/leader/demand.py
@@ -1,4 +1,4 @@
-"""Capacity that jobs request from the leader, and the requests that could not be met."""
+"""Capacity that jobs request from the leader, and the part of it that could not be offered."""
 
 from __future__ import annotations
 
--- a/src/beamspar/machines/command_planning.py
+++ b/src/beamspar/machines/command_planning.py
@@ -258,7 +258,7 @@
         if desired is None:
             return task is None
         observed = observed_status(machine, key, desired)
-        if observed is None or machine.acknowledged_statuses.get(key) != observed:
+        if observed is None or machine.published_statuses.get(key) != observed:
             return False
         if task is None:
             # It is terminated, and that status was sent to its job controller.
--- a/src/beamspar/machines/desired_state.py
+++ b/src/beamspar/machines/desired_state.py
@@ -159,7 +159,7 @@
         return False
     del machine.desired_attempts[key]
     machine.partition_of.pop(key, None)
-    machine.acknowledged_statuses.pop(key, None)
+    machine.published_statuses.pop(key, None)
     if key in machine.starts and key not in machine.terminated:
         # No job controller desires it any more, but the start that this controller sent may still
         # be in transit.
--- a/src/beamspar/machines/managed_machine.py
+++ b/src/beamspar/machines/managed_machine.py
@@ -123,7 +123,7 @@
     # that were sent to job controllers and have not been marked as undelivered since.
     desired_attempts: Attempts = field(default_factory=dict)
     partition_of: dict[AttemptKey, str] = field(default_factory=dict)
-    acknowledged_statuses: dict[AttemptKey, ObservedStatus] = field(default_factory=dict)
+    published_statuses: dict[AttemptKey, ObservedStatus] = field(default_factory=dict)
     # Reported tasks that no job controller desires: the time since which they are unknown, those
     # whose stored record is being read, and those to be stopped.
     unknown_since: dict[AttemptKey, float] = field(default_factory=dict)
--- a/src/beamspar/machines/status_publishing.py
+++ b/src/beamspar/machines/status_publishing.py
@@ -44,7 +44,7 @@
 
 
 class StatusPublisher:
-    """Publishes the statuses that differ from each machine's `acknowledged_statuses`."""
+    """Publishes the statuses that differ from each machine's `published_statuses`."""
 
     def __init__(
         self,
@@ -60,11 +60,11 @@
         for key in machine.pending_keys:
             desired = machine.desired_attempts.get(key)
             observed = observed_status(machine, key, desired) if desired is not None else None
-            if observed is None or machine.acknowledged_statuses.get(key) == observed:
+            if observed is None or machine.published_statuses.get(key) == observed:
                 continue
             owner = self.owner_of(machine.partition_of.get(key, ""))
             if owner:
-                machine.acknowledged_statuses[key] = observed
+                machine.published_statuses[key] = observed
                 by_owner.setdefault(owner, []).append(_message(machine, key, observed))
         for owner, statuses in by_owner.items():
             self.push(owner, statuses)
@@ -85,7 +85,7 @@
                 continue
             observed = observed_status(machine, key, desired)
             if observed is not None:
-                machine.acknowledged_statuses[key] = observed
+                machine.published_statuses[key] = observed
                 statuses.append(_message(machine, key, observed))
         return statuses
 
@@ -97,5 +97,5 @@
             machine = machines.get(status.machine)
             if machine is not None and machine.fencing_token == status.fencing_token:
                 key = AttemptKey(status.task, status.attempt)
-                machine.acknowledged_statuses.pop(key, None)
+                machine.published_statuses.pop(key, None)
                 machine.mark_changed(key)
--- a/tests/test_open_attempts.py
+++ b/tests/test_open_attempts.py
@@ -49,20 +49,20 @@
         pending = machine.pending_keys
         machine.pending_keys = dict.fromkeys([*machine.tasks, *machine.desired_attempts])
         due_for_all = due(self, machine)
-        unacknowledged = {
+        unpublished = {
             key
             for key, desired in machine.desired_attempts.items()
             if (observed := observed_status(machine, key, desired))
-            and machine.acknowledged_statuses.get(key) != observed
+            and machine.published_statuses.get(key) != observed
         }
         counts["all"] += 1
         counts["with something settled"] += len(pending.keys() & machine.pending_keys.keys()) < len(
             machine.pending_keys
         )
         machine.pending_keys = pending
-        if due_for_pending != due_for_all or not unacknowledged <= pending.keys():
+        if due_for_pending != due_for_all or not unpublished <= pending.keys():
             mismatches.append(
-                (machine.info.name, due_for_pending, due_for_all, unacknowledged - pending.keys())
+                (machine.info.name, due_for_pending, due_for_all, unpublished - pending.keys())
             )
         reconcile(self, machine)
 
