--- a/src/beamspar/leader/tentative_reservations.py
+++ b/src/beamspar/leader/tentative_reservations.py
@@ -27,7 +27,7 @@
         self._by_machine: dict[str, list[TentativeReservation]] = {}
 
     def reserve(self, spec: JobSpec, capacity: MachineCapacity, now: float) -> None:
-        """Reserve capacity for one task, in this copy and in later copies of the machine's."""
+        """Reserve capacity for one task, in this copy and in later ones of the machine."""
         capacity.reserve(spec)
         reservation = TentativeReservation(spec, now + self._lifetime_s)
         self._by_machine.setdefault(capacity.name, []).append(reservation)
