--- a/src/beamspar/cluster/state_mirror.py
+++ b/src/beamspar/cluster/state_mirror.py
@@ -25,7 +25,7 @@
 
 log = Logger(namespace="mirror")
 
-# The number of removed keys kept, to recognize a late reply to a write of this controller.
+# The number of removed keys kept, to recognize a late response to a write of this controller.
 MAX_REMEMBERED_REMOVALS = 1000
 # A time long before any reading of the process's clock.
 NEVER = -1e9
@@ -59,7 +59,7 @@
         self.known_members = [self.own_name, *(peer.member for peer in settings.peers)]
         # All changes up to this revision are in the mirror.
         self.revision = 0
-        # The time at which the request was sent whose reply last brought the mirror up to date.
+        # The time at which the request was sent whose response last brought the mirror up to date.
         self.current_as_of = NEVER
         # By key: the stored value and the revision of its last change.
         self.values: dict[str, tuple[Any, int]] = {}
@@ -116,8 +116,7 @@
         return (shard.holder, shard.fencing_token) if shard else None
 
     def partition_condition(self, partition: str) -> dict[str, int]:
-        """Return the transaction condition that a partition's record is still the one in the
-        mirror."""
+        """Return the transaction condition that the partition's record is as in the mirror."""
         record = self.partitions.get(partition)
         return {keys.partition(partition): record.version if record else 0}
 
@@ -160,11 +159,11 @@
 
         Raises StateUnavailableError if the state service can't be read.
         """
-        sent = self.clock.seconds()
+        sent_at = self.clock.seconds()
         items, revision = await self.state.scan(keys.CONTROL_PREFIX, RequestPriority.URGENT)
         self._replace_all(items, revision)
         self._advance_revision(revision)
-        self.current_as_of = sent
+        self.current_as_of = sent_at
 
     def _replace_all(self, items: list[KeyValue], revision: int) -> None:
         stored = {item.key: (item.value, item.version) for item in items}
@@ -189,7 +188,7 @@
                 await sleep(self.clock, self.timeouts.retry_delay_s)
 
     async def _watch_once(self, is_over: Callable[[], bool]) -> None:
-        sent = self.clock.seconds()
+        sent_at = self.clock.seconds()
         events, revision = await self.state.watch(
             keys.CONTROL_PREFIX, self.revision, self.timeouts.watch_hold_s
         )
@@ -198,7 +197,7 @@
         for event in events:
             self._apply_event(event)
         self._advance_revision(revision)
-        self.current_as_of = sent
+        self.current_as_of = sent_at
 
     def _apply_event(self, event: WatchEvent) -> None:
         if event.put is not None:
@@ -219,8 +218,8 @@
 
     def observe(self, key: str, value: Any, version: int) -> None:
         """Apply a control record that was written or read independently of the watch."""
-        known = max(self.version(key), self._removed.get(key, 0))
-        if version > known:
+        known_version = max(self.version(key), self._removed.get(key, 0))
+        if version > known_version:
             self._apply(key, value, version)
 
     def observe_cancellations(self, jobs: dict[str, int]) -> None:
@@ -259,7 +258,7 @@
         if key not in self.values or self.version(key) > version:
             return False
         del self.values[key]
-        # The reply to a write of this controller may arrive after the watch has reported the
+        # The response to a write of this controller may arrive after the watch has returned the
         # removal of the key.
         self._removed[key] = version
         while len(self._removed) > MAX_REMEMBERED_REMOVALS:
@@ -296,17 +295,19 @@
             self._lease_ended_at[name] = self.clock.seconds()
 
     def _index_partition(self, name: str, value: Any, version: int) -> None:
-        before = self.partitions.pop(name, None)
+        previous = self.partitions.pop(name, None)
         if value is None:
             return
         owner = str(value["owner"])
-        keeps_owner = before is not None and before.owner == owner
-        owned_since = before.owned_since if before and keeps_owner else version
+        keeps_owner = previous is not None and previous.owner == owner
+        owned_since = previous.owned_since if previous and keeps_owner else version
         self.partitions[name] = JobPartition(owner, version, owned_since)
 
     def _index_shard(self, name: str, value: Any, version: int) -> None:
-        old = self.shards.pop(name, None)
-        old_holders = {machine.name: old.holder for machine in old.machines} if old else {}
+        previous = self.shards.pop(name, None)
+        old_holders = (
+            {machine.name: previous.holder for machine in previous.machines} if previous else {}
+        )
         for machine in old_holders:
             if self.shard_of.get(machine) == name:
                 del self.shard_of[machine]
@@ -329,12 +330,12 @@
                 self.previous_holders[machine.name] = old_holder
 
     def _raise_fencing_tokens(self, member: str) -> None:
-        """Raise the tokens of a member's shards after a new incarnation or the leader wrote its
-        fence.
+        """Raise the tokens of a member's shards after its fence was written.
 
-        For this controller's own shards, listeners are notified even if the token stays the same. A
-        shard that was leased between this controller's registration and the read that follows it
-        is applied before the controller's fence, and could not be held at that time.
+        A fence is written by a new incarnation of the member, or by the leader. For this
+        controller's own shards, listeners are notified even if the token stays the same: a shard
+        that was leased between this controller's registration and the read that follows it is
+        applied before the controller's fence, and could not be held at that time.
         """
         fence = self.version(keys.fence(member))
         for name, shard in self.shards.items():
--- a/src/beamspar/leader/demand.py
+++ b/src/beamspar/leader/demand.py
@@ -1,4 +1,4 @@
-"""Capacity demand of jobs at the leader: their requests, and the part that was not met."""
+"""Capacity that jobs request from the leader, and the part of it that could not be offered."""
 
 from __future__ import annotations
 
--- a/src/beamspar/leader/leadership.py
+++ b/src/beamspar/leader/leadership.py
@@ -81,9 +81,12 @@
         return self.leading_since is not None and self.mirror.leader == self.registration.own_name
 
     @property
-    def is_in_charge(self) -> bool:
-        """Whether this controller leads, its registration lease is valid, its mirror includes
-        its own election, and it is not handing over leadership."""
+    def may_act_as_leader(self) -> bool:
+        """Whether this controller leads and may act as the leader.
+
+        Its registration lease must be valid, its mirror must include its own election, and it must
+        not be handing over leadership.
+        """
         if not self.is_leading or not self.registration.lease_is_valid():
             return False
         if self.clock.seconds() < self.decisions_paused_until:
@@ -94,9 +97,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the leader's state is rebuilt: every live member has reported its complete
-        state, or has had enough time to do so."""
-        if not self.is_in_charge or self.leading_since is None:
+        """Whether the leader's state is rebuilt, so that it may make decisions.
+
+        Every live member has sent its complete state, or has had enough time to do so.
+        """
+        if not self.may_act_as_leader or self.leading_since is None:
             return False
         if self.clock.seconds() - self.leading_since > self.timeouts.worker_heartbeat_interval_s:
             return True
@@ -122,7 +127,7 @@
 
         A former leader that has failed is not required to be confirmed.
         """
-        if not self.is_in_charge:
+        if not self.may_act_as_leader:
             return set()
         confirmed = self.confirmed_members()
         zones: set[str] = set()
--- a/src/beamspar/machines/worker_observation.py
+++ b/src/beamspar/machines/worker_observation.py
@@ -1,7 +1,7 @@
-"""Processes the reports of workers, from heartbeats and from replies to commands.
+"""Processes workers' heartbeats, both those that they send and those in replies to commands.
 
-A report is accepted only if it is newer than the known state, and the absence of an attempt from
-it counts only once the worker has confirmed the command token.
+A heartbeat is accepted only if it is newer than the known state. An attempt that it does not list
+counts as absent only once the worker has confirmed the command token.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class WorkerObserver:
-    """Updates managed machines from their workers' reports."""
+    """Updates managed machines from their workers' heartbeats."""
 
     def __init__(
         self,
@@ -86,8 +86,10 @@
             machine.idle_since = now
 
     def expire(self, machine: ManagedMachine) -> None:
-        """Declare all attempts on the machine gone: no controller has answered its worker for
-        longer than the worker's lease."""
+        """Declare all attempts on the machine gone.
+
+        No controller has answered its worker for longer than the worker's lease.
+        """
         log.warn(
             "{machine}: the worker's lease has expired, its attempts are gone",
             machine=machine.info.name,
@@ -158,8 +160,10 @@
 
 
 def _observe_token_and_notice(machine: ManagedMachine, heartbeat: WorkerHeartbeat) -> bool:
-    """Update whether the worker has confirmed the command token and whether its machine has a
-    termination notice; return whether either has changed."""
+    """Update the confirmation of the command token and the machine's termination notice.
+
+    Return whether the token is newly confirmed, or a notice has appeared or disappeared.
+    """
     had_confirmed = machine.has_confirmed_token
     had_notice = machine.termination_notice_s is not None
     machine.termination_notice_s = heartbeat.termination_notice_s
@@ -177,18 +181,18 @@
 ) -> tuple[dict[AttemptKey, TaskStatus], list[AttemptKey]]:
     """Replace the machine's tasks by the reported ones.
 
-    Returns the tasks that are new or have a new status, and the keys of those that have
+    Return the tasks that are new or have a new status, and the keys of those that have
     disappeared.
     """
-    known = machine.tasks
+    previous = machine.tasks
     # Most heartbeats of machines with hundreds of tasks contain no change.
-    if list(known.values()) == reported:
+    if list(previous.values()) == reported:
         return {}, []
     machine.tasks = {AttemptKey(task.task, task.attempt): task for task in reported}
     changed = {
         key: task
         for key, task in machine.tasks.items()
-        if key not in known or known[key].status != task.status
+        if key not in previous or previous[key].status != task.status
     }
-    absent = [key for key in known if key not in machine.tasks]
+    absent = [key for key in previous if key not in machine.tasks]
     return changed, absent
--- a/tests/test_open_attempts.py
+++ b/tests/test_open_attempts.py
@@ -1,4 +1,4 @@
-"""Reconciliation checks pending attempts only, and no other attempt may need an action.
+"""Reconciliation checks pending attempts only, so no action may be due for any other attempt.
 
 An attempt that is removed from the pending ones too early, or not added after a change, would never
 be started, stopped, cleared or reported. At each reconciliation of a run with random faults, the
@@ -18,8 +18,11 @@
 
 
 def due(controller: MachineController, machine: ManagedMachine) -> tuple[list[str], set[Any]]:
-    """Return the commands for reported attempts, and the desired attempts that are neither reported
-    nor terminated."""
+    """Return what is due for a machine's pending attempts.
+
+    These are the commands for reported attempts, and the desired attempts that are neither reported
+    nor terminated.
+    """
     commands = sorted(map(str, controller.planner.plan_stops_and_clears(machine)))
     missing = {
         key
@@ -46,20 +49,20 @@
         pending = machine.pending_keys
         machine.pending_keys = dict.fromkeys([*machine.tasks, *machine.desired_attempts])
         due_for_all = due(self, machine)
-        unacknowledged = {
+        unpublished = {
             key
             for key, desired in machine.desired_attempts.items()
             if (observed := observed_status(machine, key, desired))
-            and machine.acknowledged_statuses.get(key) != observed
+            and machine.published_statuses.get(key) != observed
         }
         counts["all"] += 1
         counts["with something settled"] += len(pending.keys() & machine.pending_keys.keys()) < len(
             machine.pending_keys
         )
         machine.pending_keys = pending
-        if due_for_pending != due_for_all or not unacknowledged <= pending.keys():
+        if due_for_pending != due_for_all or not unpublished <= pending.keys():
             mismatches.append(
-                (machine.info.name, due_for_pending, due_for_all, unacknowledged - pending.keys())
+                (machine.info.name, due_for_pending, due_for_all, unpublished - pending.keys())
             )
         reconcile(self, machine)
 
