--- a/src/beamspar/node/cancellations.py
+++ b/src/beamspar/node/cancellations.py
@@ -12,9 +12,9 @@
 
 
 class CancellationNotices:
-    """Holds the confirmed cancellations that a peer has not acknowledged.
+    """Holds the confirmed cancellations that peers have not acknowledged yet.
 
-    They outlive a lost registration, because they have been confirmed to users.
+    They outlive a lost registration, because users have received their confirmation.
     """
 
     def __init__(
@@ -30,9 +30,9 @@
     def confirm(self, job: str, revision: int) -> None:
         """Notify all members of a cancellation that is about to be confirmed to its user.
 
-        Members also observe it in the state service, unless the service is down or fails for them
-        alone. A member that owns the job or holds its machines would then go on running the job
-        until its leases end.
+        Members also observe the cancellation in the state service, unless the service is down or
+        fails for them alone. A member that owns the job or holds its machines would then go on
+        running the job until its leases expire.
         """
         registration = self.current.registration
         if registration is not None and not registration.is_ended:
--- a/src/beamspar/node/capacity_client.py
+++ b/src/beamspar/node/capacity_client.py
@@ -25,17 +25,18 @@
     """Sends capacity requests to the current leader."""
 
     def __init__(
-        self, me: str, current: CurrentIncarnation, peers: PeerClient, timeouts: Timeouts
+        self, own_name: str, current: CurrentIncarnation, peers: PeerClient, timeouts: Timeouts
     ) -> None:
-        self.own_name = me
+        self.own_name = own_name
         self.current = current
         self.peers = peers
         self.timeouts = timeouts
 
     def request(self, requests: list[CapacityRequest]) -> Deferred[list[PlacementOffer] | None]:
-        """Return the leader's offers, or None if it can't be reached.
+        """Return the leader's offers, or None if there is no leader or it does not answer.
 
-        It gives up soon, because users wait for their jobs to be placed.
+        The request times out after one heartbeat interval, because users wait for their jobs to
+        be placed.
         """
         return ensureDeferred(self._request(requests))
 
--- a/src/beamspar/node/departure.py
+++ b/src/beamspar/node/departure.py
@@ -16,12 +16,16 @@
 
 
 class Departure:
-    """Ends the registration when a leave completes, and registers again when it is undone."""
+    """Ends the registration when a leave completes, and registers again after an undo."""
 
     def __init__(
-        self, me: str, state: StateClient, current: CurrentIncarnation, rejoin: Callable[[], None]
+        self,
+        own_name: str,
+        state: StateClient,
+        current: CurrentIncarnation,
+        rejoin: Callable[[], None],
     ) -> None:
-        self.own_name = me
+        self.own_name = own_name
         self.state = state
         self.current = current
         self.rejoin = rejoin
@@ -46,14 +50,14 @@
             )
 
     def answer(self, name: str, body: bytes) -> bytes | None:
-        """Answer an operator's request about a controller that has left.
+        """Answer an operator's request to this controller after it has left.
 
-        Return None if this controller has not left or the message is about something else. Raises
+        Return None if this controller has not left, or for any other message. Raises
         ValidationError or JSONDecodeError if the request is malformed.
         """
         if not self.current.has_left:
             return None
-        # Imported only when needed, because each module lengthens the start of the process.
+        # Imported only when needed, because each module delays the start of the process.
         from beamspar.sharing.messages import CommandReply, LeaveRequest
         from beamspar.sharing.service import shares_after_leave
 
--- a/src/beamspar/node/desired_state_delivery.py
+++ b/src/beamspar/node/desired_state_delivery.py
@@ -34,9 +34,9 @@
     """Sends updates to the machine controllers, here or at a peer."""
 
     def __init__(
-        self, me: str, current: CurrentIncarnation, peers: PeerClient, timeouts: Timeouts
+        self, own_name: str, current: CurrentIncarnation, peers: PeerClient, timeouts: Timeouts
     ) -> None:
-        self.own_name = me
+        self.own_name = own_name
         self.current = current
         self.peers = peers
         self.timeouts = timeouts
--- a/src/beamspar/node/forwarding.py
+++ b/src/beamspar/node/forwarding.py
@@ -16,9 +16,9 @@
 
 log = Logger(namespace="node")
 
-# The response to a poll that takes longer, in heartbeat intervals, may be older than a response
-# that the user has received in the meantime.
-MAX_ANSWER_AGE_HEARTBEATS = 2
+# Longest duration of a forwarded request, in heartbeat intervals, after which a successful response
+# is passed on. An older response may contradict a newer one that the user has received meanwhile.
+MAX_RESPONSE_AGE_HEARTBEATS = 2
 
 
 class RequestForwarder:
@@ -29,16 +29,16 @@
         self.peers = peers
         self.timeouts = timeouts
 
-    async def forward(self, member: str, call: HttpRequest) -> HttpResponse | None:
+    async def forward(self, member: str, request: HttpRequest) -> HttpResponse | None:
         """Return the peer's response, or None if there is none that may be passed on."""
         sent = self.clock.seconds()
         try:
-            data = unpack(call.body) if call.body else None
-            message = ForwardedRequest(call.method, call.path, data)
+            data = unpack(request.body) if request.body else None
+            message = ForwardedRequest(request.method, request.path, data)
             body = await self.peers.call(
                 member, PeerPath.FORWARDED_REQUEST, message, self.timeouts.request_timeout_s
             )
-            answer: ForwardedResponse = decode(body, ForwardedResponse)
+            response: ForwardedResponse = decode(body, ForwardedResponse)
         except (CallFailedError, ValueError, TypeError) as error:
             log.info(
                 "forwarding a request to {member} failed, answering it here: {error}",
@@ -48,12 +48,12 @@
             return None
         age_s = self.clock.seconds() - sent
         if (
-            answer.status == 200
-            and age_s > self.timeouts.member_heartbeat_interval_s * MAX_ANSWER_AGE_HEARTBEATS
+            response.status == 200
+            and age_s > self.timeouts.member_heartbeat_interval_s * MAX_RESPONSE_AGE_HEARTBEATS
         ):
-            # The response was delayed: another controller may have sent the user a newer state.
+            # The response was delayed, so another controller may have sent the user a newer state.
             return None
-        return HttpResponse(answer.status, pack(answer.data), tuple(answer.headers))
+        return HttpResponse(response.status, pack(response.data), tuple(response.headers))
 
 
 async def answer_forwarded(
@@ -65,5 +65,5 @@
     """
     request: ForwardedRequest = decode(body, ForwardedRequest)
     raw = pack(request.data) if request.data is not None else b""
-    answer = await handle(HttpRequest(request.method, request.path, {}, raw))
-    return encode(ForwardedResponse(answer.status, unpack(answer.body), list(answer.headers)))
+    response = await handle(HttpRequest(request.method, request.path, {}, raw))
+    return encode(ForwardedResponse(response.status, unpack(response.body), list(response.headers)))
--- a/src/beamspar/node/health.py
+++ b/src/beamspar/node/health.py
@@ -41,7 +41,8 @@
     def is_healthy(self) -> bool:
         """Whether this controller should receive users' requests.
 
-        In an outage that affects all controllers it stays healthy: no other would serve better.
+        In an outage that affects all controllers, this controller stays healthy, because no other
+        controller would serve better.
         """
         actors = self.current.actors
         sharing = actors.sharing if actors is not None else None
@@ -56,7 +57,8 @@
     def healthy_peer(self) -> str | None:
         """Return the peer that the state service served last while it fails for this controller.
 
-        None unless it has failed here for a heartbeat interval and served a peer in that time.
+        None unless the state service has failed here for a heartbeat interval and has served a peer
+        since the failures began.
         """
         failing_since = self.state.failing_since
         if (
--- a/src/beamspar/node/heartbeats.py
+++ b/src/beamspar/node/heartbeats.py
@@ -22,8 +22,8 @@
 class Heartbeats:
     """Sends heartbeats and tracks how much of this member's state the leader has accepted.
 
-    Only one heartbeat is in flight at a time, so that each is relative to one that the leader has
-    accepted.
+    Only one heartbeat is in flight at a time, so that each heartbeat holds the changes since one
+    that the leader has accepted.
     """
 
     def __init__(
@@ -44,8 +44,8 @@
         self.is_sending = False
         # The leader to which the last heartbeat was sent.
         self.sent_to = ""
-        # The change count that this leader has accepted; with 0 the next heartbeat carries the
-        # full state.
+        # The change count up to which that leader has accepted this member's state; with 0 the next
+        # heartbeat carries the full state.
         self.acknowledged_count = 0
 
     def send_full_state_next(self) -> None:
--- a/src/beamspar/node/incarnation.py
+++ b/src/beamspar/node/incarnation.py
@@ -37,8 +37,8 @@
 class CurrentIncarnation:
     """Holds the reference to the current actors.
 
-    Objects that outlive an incarnation hold this one and look the actors up at each use. Actors
-    that they looked up before an `await` may have been replaced after it.
+    Objects that outlive an incarnation hold this object and look up the actors at each use. Actors
+    that were looked up before an `await` may have been replaced after it.
     """
 
     def __init__(self) -> None:
@@ -51,7 +51,7 @@
         self.has_left = False
 
     def registered_actors(self) -> Actors | None:
-        """Return the actors, or None if they are not registered yet or not any more."""
+        """Return the actors, or None if they are not registered yet or no longer registered."""
         actors = self.actors
         return actors if actors is not None and actors.is_registered() else None
 
--- a/src/beamspar/node/job_lookup.py
+++ b/src/beamspar/node/job_lookup.py
@@ -78,10 +78,10 @@
         self.version_checks = VersionChecks(clock, state, settings, timeouts)
         memory_mb = settings.platform.limits.memory_mb
         max_cached = max(int(memory_mb * CACHED_RECORDS_PER_MB), MIN_CACHED_RECORDS)
-        # End records are final: these entries never become stale.
+        # End records are final, so these entries never become stale.
         self.finished: RecordCache[EndRecord] = RecordCache(max_cached)
         self.stored: RecordCache[StoredJob] = RecordCache(max_cached)
-        # Per job, the requests that share a read which has not been sent yet.
+        # Per job, the results of the requests that share a read which has not been sent yet.
         self.pending_reads: dict[str, list[Deferred[JobState | None]]] = {}
 
     async def state_of(self, job: str) -> JobState | None:
@@ -113,7 +113,7 @@
     def read(self, job: str) -> Deferred[JobState | None]:
         """Return the job's state as stored, sharing one read among all requests until it is sent.
 
-        The deferred fails with StateUnavailableError.
+        The deferred fails with StateUnavailableError if the state can't be determined now.
         """
         result: Deferred[JobState | None] = Deferred()
         pending = self.pending_reads.get(job)
--- a/src/beamspar/node/machine_types.py
+++ b/src/beamspar/node/machine_types.py
@@ -65,9 +65,9 @@
             log.info("the copy of the machine types was not stored: {error}", error=error)
 
     def observe(self, key: str) -> None:
-        """Take the stored copy when it appears in the mirror.
+        """Use the stored copy when it appears in the mirror.
 
-        It is used only as long as the cloud has not responded.
+        Once the cloud has responded, the stored copy is ignored.
         """
         registration = self.current.registration
         if key == keys.MACHINE_TYPES and registration and not self.by_name:
--- a/src/beamspar/node/node.py
+++ b/src/beamspar/node/node.py
@@ -202,7 +202,7 @@
         current.is_loaded = True
 
     def _restart(self, registration: Registration) -> None:
-        """Replace the actors of a lost registration, unless this controller has left."""
+        """Drop the actors of a lost registration; register again unless this controller left."""
         if registration is self.current.registration:
             self.current.actors = None
             if not self.current.has_left:
@@ -211,7 +211,7 @@
     # -- building the actors
 
     def _build_actors(self) -> Actors:
-        """Build new actors for a registration that has not been made yet.
+        """Build new actors with a registration that has not been started yet.
 
         Each actor subscribes to the mirror when it is constructed, so the order of construction
         is the order in which they are notified.
@@ -276,7 +276,7 @@
         actors.machine_controller.on_capacity_freed = job_controller.schedule_placement
 
     def _build_standby(self, actors: Actors) -> Standby:
-        # Loaded only where it is on: each module costs time at the start.
+        # Imported only if the standby is turned on, because each module delays the start.
         from beamspar.standby.standby import Standby
 
         return Standby(
@@ -290,7 +290,7 @@
         )
 
     def _build_sharing(self, actors: Actors) -> Sharing:
-        # Loaded only where it is on: each module costs time at the start.
+        # Imported only if sharing is turned on, because each module delays the start.
         from beamspar.sharing.service import Sharing
 
         return Sharing(
@@ -315,8 +315,8 @@
     def _preference(self, spec: JobSpec) -> Preference:
         """Return the placement preference for the job.
 
-        It combines the CPUs and memory that accelerator jobs use per accelerator with the machine
-        types that are too slow for the start objective of the job's class.
+        The preference combines the CPUs and memory that accelerator jobs use per accelerator with
+        the machine types that are too slow for the start objective of the job's class.
         """
         within_s = self.settings.platform.start_within(spec.job_class)
         slow = slow_kinds(spec, within_s, self.machine_types.by_name.values())
--- a/src/beamspar/node/peer_client.py
+++ b/src/beamspar/node/peer_client.py
@@ -14,8 +14,9 @@
 
 log = Logger(namespace="node")
 
-# Time of the last failed call to a peer before there was one: earlier than any time of the clock,
-# and than NEVER_ANSWERED, so that a peer counts as reachable at first.
+# Values for the times of the last failed and the last answered call if there was none. NEVER_FAILED
+# is earlier than any time of the clock and than NEVER_ANSWERED, so that a peer without calls counts
+# as reachable.
 NEVER_FAILED = -1.0
 NEVER_ANSWERED = 0.0
 
@@ -36,22 +37,22 @@
         self.last_failed: dict[str, float] = {}
         # By peer, the time at which the first call of the current run of failures was sent.
         self.failing_since: dict[str, float] = {}
-        # By peer, whether its last failed call was refused. A crashed process, whose address
-        # refuses connections, is back soon.
+        # By peer, whether its last failed call was refused. The address of a crashed process, which
+        # is soon restarted, refuses connections.
         self.last_failure_refused: dict[str, bool] = {}
 
     async def call(self, member: str, path: str, message: Any, timeout_s: float) -> bytes:
-        """Send a request to a peer and return the body of its answer.
+        """Send a request to a peer and return the body of the response.
 
-        Raises CallFailedError if there is no answer in time, and CallRefusedError if the answer is
-        an error.
+        Raises CallFailedError if there is no response in time, and CallRefusedError if the response
+        is an error.
         """
         address = self.addresses.get(member)
         if address is None:
             raise CallFailedError(f"no member {member}")
         sent_at = self.clock.seconds()
         try:
-            answer = await self.net.request(
+            response = await self.net.request(
                 "POST", address, f"{PEER_PREFIX}{path}", encode(message), timeout_s
             )
         except CallFailedError as error:
@@ -61,9 +62,9 @@
             raise
         self.failing_since.pop(member, None)
         self.last_answered[member] = max(self.last_answered.get(member, NEVER_ANSWERED), sent_at)
-        if answer.status != 200:
-            raise CallRefusedError(f"{member} answered {answer.status}")
-        return answer.body
+        if response.status != 200:
+            raise CallRefusedError(f"{member} answered {response.status}")
+        return response.body
 
     async def notify(self, member: str, path: str, message: Any) -> bool:
         """Send the message once; return False if it may be lost."""
@@ -93,5 +94,5 @@
         return self.last_failure_refused.get(member, False)
 
     def unreachable_since(self, member: str) -> float | None:
-        """Return since when calls to the peer have failed; None while they are answered."""
+        """Return since when calls to the peer have failed; None if the last one was answered."""
         return self.failing_since.get(member)
--- a/src/beamspar/node/peer_dispatch.py
+++ b/src/beamspar/node/peer_dispatch.py
@@ -91,26 +91,26 @@
         # Answers a user's request that a peer has forwarded, without forwarding it again.
         self.answer_user = answer_user
 
-    async def handle(self, call: HttpRequest) -> HttpResponse:
+    async def handle(self, request: HttpRequest) -> HttpResponse:
         """Answer a message; reject and log one that is malformed or has no handler here."""
         try:
-            return HttpResponse(200, await self._answer(call))
+            return HttpResponse(200, await self._answer(request))
         except (msgspec.ValidationError, orjson.JSONDecodeError, KeyError) as error:
             log.info(
                 "rejected message {path}, malformed or without a handler here: {error}",
-                path=call.path,
+                path=request.path,
                 error=error,
             )
             return HttpResponse(400)
 
-    async def _answer(self, call: HttpRequest) -> bytes:
-        if call.path == f"{PEER_PREFIX}{PeerPath.FORWARDED_REQUEST}":
-            return await answer_forwarded(call.body, self.answer_user)
-        name = call.path.removeprefix(PEER_PREFIX)
-        answer = await self._dispatch_to_standby(name, call.body)
-        if answer is None:
-            answer = await self._dispatch_to_sharing(name, call.body)
-        return answer if answer is not None else self._dispatch(name, call.body)
+    async def _answer(self, request: HttpRequest) -> bytes:
+        if request.path == f"{PEER_PREFIX}{PeerPath.FORWARDED_REQUEST}":
+            return await answer_forwarded(request.body, self.answer_user)
+        name = request.path.removeprefix(PEER_PREFIX)
+        response = await self._dispatch_to_standby(name, request.body)
+        if response is None:
+            response = await self._dispatch_to_sharing(name, request.body)
+        return response if response is not None else self._dispatch(name, request.body)
 
     async def _dispatch_to_standby(self, name: str, body: bytes) -> bytes | None:
         actors = self.current.registered_actors()
--- a/src/beamspar/node/polls.py
+++ b/src/beamspar/node/polls.py
@@ -19,7 +19,7 @@
 
 # How long a user waits for a response, in heartbeat intervals.
 MAX_WAIT_HEARTBEATS = 2
-# Time of the last log line before there was one: earlier than any time of the clock.
+# Value for the time of the last log line if there was none: earlier than any time of the clock.
 NEVER = -1e9
 
 
@@ -40,7 +40,7 @@
         self.current = current
         self.jobs = jobs
         self.max_wait_s = timeouts.member_heartbeat_interval_s * MAX_WAIT_HEARTBEATS
-        # Polls that were rejected, and when that count was last logged.
+        # The number of rejected polls, and the time at which it was last logged.
         self.rejected_count = 0
         self.rejections_logged_at = NEVER
 
@@ -58,8 +58,8 @@
             return busy()
         if self.clock.seconds() - received_at > self.max_wait_s and not _is_final(job_state):
             # The response of the state service was delayed. In the meantime another controller
-            # may have reported the job's end to the user or accepted the job, and this state
-            # would be older.
+            # may have reported the job's end to the user or accepted the job, and this
+            # response would be outdated.
             return busy()
         if job_state is None:
             # A job that is being accepted here may have been stored since the read.
@@ -73,9 +73,9 @@
         )
 
     def _is_overloaded(self, job: str) -> bool:
-        """Whether the user would give up before the read is sent; count the poll as rejected if so.
+        """Whether the user would give up before the read is sent; such a poll counts as rejected.
 
-        Finished jobs need no read.
+        Polls of jobs whose end is cached need no read.
         """
         if job in self.jobs.finished:
             return False
--- a/src/beamspar/node/public_api.py
+++ b/src/beamspar/node/public_api.py
@@ -51,43 +51,45 @@
         self.cancellations = UserCancellations(state, current, self.jobs, notices)
         self.worker_heartbeats = WorkerHeartbeats(current, peers, contacts)
 
-    async def handle(self, call: HttpRequest) -> HttpResponse:
+    async def handle(self, request: HttpRequest) -> HttpResponse:
         """Answer a request of a user, a worker or the load balancer."""
-        return await self._answer(call, may_forward=True)
+        return await self._answer(request, may_forward=True)
 
-    async def answer_forwarded(self, call: HttpRequest) -> HttpResponse:
+    async def answer_forwarded(self, request: HttpRequest) -> HttpResponse:
         """Answer a request that a peer has forwarded, without forwarding it again."""
-        return await self._answer(call, may_forward=False)
+        return await self._answer(request, may_forward=False)
 
-    async def _answer(self, call: HttpRequest, may_forward: bool) -> HttpResponse:
-        if call.path == "/v1/report":
-            return self.worker_heartbeats.answer(call) if call.method == "POST" else respond(405)
-        if call.path == "/up":
-            return self._answer_health_check(call)
-        parts = call.path.strip("/").split("/")
+    async def _answer(self, request: HttpRequest, may_forward: bool) -> HttpResponse:
+        if request.path == "/v1/report":
+            return (
+                self.worker_heartbeats.answer(request) if request.method == "POST" else respond(405)
+            )
+        if request.path == "/up":
+            return self._answer_health_check(request)
+        parts = request.path.strip("/").split("/")
         if parts[0] != "submissions":
             return error(404, "no such path")
         peer = self.health.healthy_peer() if may_forward else None
         if peer is not None:
-            answer = await self.forwarder.forward(peer, call)
-            if answer is not None:
-                return answer
-        return await self._answer_user(call, parts[1:])
+            response = await self.forwarder.forward(peer, request)
+            if response is not None:
+                return response
+        return await self._answer_user(request, parts[1:])
 
-    def _answer_health_check(self, call: HttpRequest) -> HttpResponse:
-        if call.method != "GET":
+    def _answer_health_check(self, request: HttpRequest) -> HttpResponse:
+        if request.method != "GET":
             return respond(405)
         return respond(200 if self.health.is_healthy() else 503)
 
-    async def _answer_user(self, call: HttpRequest, parts: list[str]) -> HttpResponse:
+    async def _answer_user(self, request: HttpRequest, parts: list[str]) -> HttpResponse:
         """Answer a request below `/submissions`."""
         match parts:
             case []:
-                is_post = call.method == "POST"
-                return await self.submissions.submit(call) if is_post else respond(405)
+                is_post = request.method == "POST"
+                return await self.submissions.submit(request) if is_post else respond(405)
             case [job]:
-                return await self.polls.poll(job) if call.method == "GET" else respond(405)
+                return await self.polls.poll(job) if request.method == "GET" else respond(405)
             case [job, "withdraw"]:
-                is_post = call.method == "POST"
+                is_post = request.method == "POST"
                 return await self.cancellations.cancel(job) if is_post else respond(405)
         return error(404, "no such path")
--- a/src/beamspar/node/record_cache.py
+++ b/src/beamspar/node/record_cache.py
@@ -23,7 +23,7 @@
         return self._values.get(job)
 
     def put(self, job: str, value: T) -> None:
-        """Cache the value, and evict the values stored least recently beyond the limit."""
+        """Cache the value; evict the least recently stored values beyond the limit."""
         self._values[job] = value
         self._values.move_to_end(job)
         while len(self._values) > self.max_entries:
--- a/src/beamspar/node/responses.py
+++ b/src/beamspar/node/responses.py
@@ -10,7 +10,7 @@
 
 
 def respond(status: int, data: Any = None, retry_s: int = 0) -> HttpResponse:
-    """Return a response with a MessagePack body."""
+    """Return a response with a MessagePack body, and a retry-after header if `retry_s` is set."""
     headers = (("retry-after", str(retry_s)),) if retry_s else ()
     return HttpResponse(status, pack(data if data is not None else {}), headers)
 
--- a/src/beamspar/node/status_delivery.py
+++ b/src/beamspar/node/status_delivery.py
@@ -13,13 +13,13 @@
     """Queues the statuses that are sent in the next iteration of the event loop."""
 
     def __init__(
-        self, clock: Clock, me: str, current: CurrentIncarnation, peers: PeerClient
+        self, clock: Clock, own_name: str, current: CurrentIncarnation, peers: PeerClient
     ) -> None:
         self.clock = clock
-        self.own_name = me
+        self.own_name = own_name
         self.current = current
         self.peers = peers
-        # By the member that owns the jobs of the attempts.
+        # Queued statuses by the member that owns the jobs of the attempts.
         self.queued: dict[str, list[AttemptStatus]] = {}
 
     def publish(self, member: str, statuses: list[AttemptStatus]) -> None:
--- a/src/beamspar/node/submissions.py
+++ b/src/beamspar/node/submissions.py
@@ -24,7 +24,7 @@
 
 log = Logger(namespace="requests")
 
-# Bytes that a job's description may take per KB of the largest stored value: the job's record
+# Bytes that a job's description may take per KB of the limit on stored values: the job's record
 # holds the description together with the job's progress.
 SPEC_BYTES_PER_VALUE_KB = 480
 # Concurrent submissions per MB of memory, so that their buffers stay small.
@@ -56,13 +56,13 @@
         memory_mb = settings.platform.limits.memory_mb
         self.max_in_progress = max(int(memory_mb * SUBMISSIONS_PER_MB), MIN_SUBMISSIONS)
 
-    async def submit(self, call: HttpRequest) -> HttpResponse:
+    async def submit(self, request: HttpRequest) -> HttpResponse:
         """Accept the job.
 
-        Submitting is idempotent: for a job that exists already the response is that of a poll.
+        Submission is idempotent: the response for a job that already exists is that of a poll.
         """
         try:
-            data = unpack(call.body)
+            data = unpack(request.body)
         except (msgspec.DecodeError, UnicodeDecodeError):
             return error(400, "body is not MessagePack")
         job = data.get("id") if isinstance(data, dict) else None
@@ -94,13 +94,13 @@
             job_controller is not None and job in job_controller.jobs
         )
 
-    async def _state_or(self, job: str, answer: HttpResponse) -> HttpResponse:
-        """Respond as to a poll if the job exists, and with `answer` otherwise.
+    async def _state_or(self, job: str, rejection: HttpResponse) -> HttpResponse:
+        """Respond as to a poll if the job exists, and with `rejection` otherwise.
 
-        An existing job is never refused, whatever the repeated body says.
+        A repeated submission of an existing job is never rejected, whatever its body contains.
         """
-        state = await self.polls.poll(job)
-        return answer if state.status == 404 else state
+        poll_response = await self.polls.poll(job)
+        return rejection if poll_response.status == 404 else poll_response
 
     async def _accept(self, job: str, spec: JobSpec) -> HttpResponse:
         job_controller = self.current.job_controller
--- a/src/beamspar/node/user_cancellations.py
+++ b/src/beamspar/node/user_cancellations.py
@@ -20,8 +20,8 @@
 
 log = Logger(namespace="requests")
 
-# Writes that are attempted before the user has to retry: each may conflict with a change of the
-# record, which is written as tasks end.
+# Writes that are attempted before the user has to retry. Each may conflict with a change of the
+# record, which the job controller writes when tasks end.
 MAX_WRITE_ATTEMPTS = 6
 
 
@@ -43,15 +43,15 @@
     async def cancel(self, job: str) -> HttpResponse:
         """Cancel the job.
 
-        Cancelling is idempotent, and a job that has ended keeps its final state.
+        Cancellation is idempotent, and a job that has ended keeps its final state.
         """
         if not JOB_ID.match(job):
             return no_such_job()
         try:
             for _ in range(MAX_WRITE_ATTEMPTS):
-                answer = await self._try_to_cancel(job)
-                if answer is not None:
-                    return answer
+                response = await self._try_to_cancel(job)
+                if response is not None:
+                    return response
         except (StateUnavailableError, LeaseExpiredError) as error:
             log.info(
                 "cancellation of {job} not confirmed, the client is to retry: {error}",
--- a/src/beamspar/node/version_checks.py
+++ b/src/beamspar/node/version_checks.py
@@ -54,7 +54,8 @@
             batch = dict(list(self.pending_checks.items())[: self.max_conditions])
             for item in batch:
                 del self.pending_checks[item]
-            # Of several versions of one key the last is compared; the others count as outdated.
+            # If several versions of a key are in the batch, the last one is compared and the others
+            # count as outdated.
             conditions = {item.key: item.version for item in batch}
             failed = await self._compare(conditions)
             for item, results in batch.items():
--- a/src/beamspar/node/worker_contacts.py
+++ b/src/beamspar/node/worker_contacts.py
@@ -7,19 +7,19 @@
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock
 
-# Unassigned machines that one heartbeat reports to the leader.
+# Maximum number of unassigned machines that one heartbeat reports to the leader.
 MAX_UNASSIGNED = 500
 
 
 class WorkerContacts:
-    """Collects what the next heartbeat reports to the leader about such workers."""
+    """Collects the machines of such workers, which the next heartbeat reports to the leader."""
 
     def __init__(self, clock: Clock, timeouts: Timeouts) -> None:
         self.clock = clock
         self.timeouts = timeouts
         # Machines in no shard, by name.
         self.unassigned: dict[str, Machine] = {}
-        # By machine, the last contact of a worker that its holder does not serve.
+        # By machine, the time of the last contact of a worker that its holder may not serve.
         self.unserved: dict[str, float] = {}
 
     def observe_unassigned(self, machine: Machine, leader: Leader | None) -> None:
@@ -30,7 +30,7 @@
             self.unassigned[machine.name] = machine
 
     def observe_unserved(self, machine: str) -> None:
-        """Record a machine whose holder can't be reached, or does not answer the worker."""
+        """Record a machine whose worker may be unable to reach its holder."""
         self.unserved[machine] = self.clock.seconds()
 
     def unserved_machines(self) -> list[str]:
--- a/src/beamspar/node/worker_heartbeats.py
+++ b/src/beamspar/node/worker_heartbeats.py
@@ -22,7 +22,7 @@
 
 
 class WorkerHeartbeats:
-    """Passes heartbeats to the machine controller and records those of other machines."""
+    """Passes heartbeats to the machine controller; redirects or rejects those of other machines."""
 
     def __init__(
         self, current: CurrentIncarnation, peers: PeerClient, contacts: WorkerContacts
@@ -31,13 +31,13 @@
         self.peers = peers
         self.contacts = contacts
 
-    def answer(self, call: HttpRequest) -> HttpResponse:
+    def answer(self, request: HttpRequest) -> HttpResponse:
         """Respond with the worker's commands, or with the controller that holds its machine.
 
         The response is 503 if this controller can't act now or no controller holds the machine.
         """
         try:
-            heartbeat = parse_worker_heartbeat(call.body)
+            heartbeat = parse_worker_heartbeat(request.body)
         except InvalidInputError as invalid:
             log.info("rejected a malformed worker heartbeat: {error}", error=invalid)
             return error(400, str(invalid))
@@ -56,7 +56,7 @@
     def _redirect(self, machine: str, holder: str) -> HttpResponse:
         is_reachable = self.peers.is_reachable(holder)
         if is_reachable or not self.peers.was_refused(holder):
-            # The worker may be about to reach its holder; the leader can tell whether it does.
+            # The worker may still reach the holder; the leader observes whether it does.
             self.contacts.observe_unserved(machine)
         return respond(421, redirect_response(holder if is_reachable else None))
 
