--- a/src/beamspar/sharing/command.py
+++ b/src/beamspar/sharing/command.py
@@ -1,7 +1,7 @@
 """The operators' commands on shares: list holders, move a shard, leave the service.
 
-In their texts a shard is called a block. They are subcommands of `beamsparctl`, like those of the
-standby. Exit statuses: 0 done, 1 refused or no reply, 2 invalid settings or usage.
+The texts of the commands call a shard a block. The commands are subcommands of `beamsparctl`, like
+those of the standby. Exit statuses: 0 done, 1 refused or no reply, 2 invalid settings or usage.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 def leading(replies: dict[str, SharesReply | str]) -> SharesReply | None:
-    """Return the reply of the controller that leads and decides; None if no controller does."""
+    """Return the reply of the leader that makes decisions; None if there is none."""
     valid = [reply for reply in replies.values() if isinstance(reply, SharesReply)]
     return next((reply for reply in valid if reply.leading), None)
 
--- a/src/beamspar/sharing/handover.py
+++ b/src/beamspar/sharing/handover.py
@@ -1,8 +1,8 @@
-"""The leader's side of a handover: it has the sources prepare, then writes the shards' records.
+"""The leader's side of a handover: it requests preparation, then writes the shards' records.
 
-Each step has a time limit. Until its record is written a shard belongs to its source, which resumes
-work on it without a further message; from then on it belongs to the target, even if the leader or
-the source fails.
+Each step has a time limit. Until its record is written, a shard belongs to its source, which
+resumes starts on it without a further message. From then on the shard belongs to the target, even
+if the leader or the source fails.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
 
 log = Logger(namespace="sharing")
 
-# How long a shard is not moved again after a move, in worker leases.
+# How long after a move a shard is not moved again, in worker leases.
 COOLDOWN_LEASES = 4
-# Completed moves that are kept to be shown to operators.
+# Maximum number of completed moves that are kept to be shown to operators.
 MAX_COMPLETED_SHOWN = 50
 
 # Sends a prepare request to a member; raises CallFailedError or ValueError.
@@ -78,22 +78,22 @@
             del self.moved_at[name]
 
     async def carry_out(self, moves: list[Move]) -> None:
-        """Make these moves, except those that can't be prepared in time and are not forced.
+        """Make these moves, except unforced ones that are not prepared in time and outdated ones.
 
         Raises what `ShardWriter.write` raises; a move whose write failed is planned again.
         """
-        before = {move.shard: self.mirror.shards.get(move.shard) for move in moves}
-        moves = [move for move in moves if self._is_still_valid(move, before[move.shard])]
+        shards_before = {move.shard: self.mirror.shards.get(move.shard) for move in moves}
+        moves = [move for move in moves if self._is_still_valid(move, shards_before[move.shard])]
         self.in_progress = {move.shard: _shown(move, MoveStage.PREPARING) for move in moves}
         try:
-            ready = await self._prepare_all(moves, before)
+            ready = await self._prepare_all(moves, shards_before)
             chosen = [
                 move
                 for move in moves
                 if (move.is_forced or move.shard in ready)
-                and self._is_still_valid(move, before[move.shard])
+                and self._is_still_valid(move, shards_before[move.shard])
                 and _fencing_token(self.mirror.shards.get(move.shard))
-                == _fencing_token(before[move.shard])
+                == _fencing_token(shards_before[move.shard])
             ]
             await self._commit(chosen)
         finally:
@@ -101,11 +101,11 @@
 
     def _is_still_valid(self, move: Move, shard: MachineShard | None) -> bool:
         """Return whether the source still holds the shard and the target is reachable."""
-        present = self.mirror.shards.get(move.shard)
+        current_shard = self.mirror.shards.get(move.shard)
         return (
             shard is not None
-            and present is not None
-            and present.holder == move.source
+            and current_shard is not None
+            and current_shard.holder == move.source
             and move.target != move.source
             and not self.is_pinned(move.shard)
             and move.target in self.shard_leasing.reachability.reachable_members()
@@ -125,15 +125,16 @@
             )
         ready: set[str] = set()
         requests = [
-            spawn(self._prepare(source, wanted, ready), f"preparing {source}")
-            for source, wanted in fencing_tokens.items()
+            spawn(self._prepare(source, tokens, ready), f"preparing {source}")
+            for source, tokens in fencing_tokens.items()
         ]
         for request in requests:
             await request
         return ready
 
     async def _prepare(self, source: str, shards: dict[str, int], ready: set[str]) -> None:
-        # Twice the time for which a source waits for its starts; it resumes by itself after it.
+        # The length of the pause. For half of it the source waits for its starts in flight; at its
+        # end the source resumes starts by itself.
         for_s = self.timeouts.member_heartbeat_interval_s * 2
         try:
             reply = await self.prepare(
@@ -160,8 +161,8 @@
             shard = self.mirror.shards[move.shard]
             record = shard_record(move.target, shard.machines, previous_holder_may_act=True)
             changes.append(RecordChange(keys.shard(move.shard), record))
-            # A target that has ended in the meantime would leave the shard without a working holder
-            # until its registration lease expires.
+            # If the target has ended in the meantime, the shard would have no working holder until
+            # the target's registration lease expires.
             key = keys.member(move.target)
             conditions[key] = self.mirror.version(key)
             self.in_progress[move.shard] = _shown(move, MoveStage.COMMITTING)
--- a/src/beamspar/sharing/leave.py
+++ b/src/beamspar/sharing/leave.py
@@ -1,8 +1,9 @@
-"""Orderly leave of a controller: it hands over leadership and shards, then may be stopped.
+"""Orderly leave of a controller: it hands over leadership and shards, and may then be stopped.
 
 The leaving controllers are stored in one record that is changed by compare-and-swap, so of two
-controllers that leave at the same time the second observes the first, and the last one that serves
-is refused. An entry names the incarnation that leaves, so a restarted controller serves again.
+controllers that leave at the same time the second observes the first, and a leave of the last
+serving controller is refused. An entry names the incarnation that leaves, so a restarted controller
+serves again.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 log = Logger(namespace="sharing")
 
-# Attempts to change the record when other controllers change it at the same time.
+# Attempts to change the record while other controllers change it concurrently.
 MAX_ATTEMPTS = 3
 # How long a leaving controller reports itself unhealthy before it ends its registration, in worker
 # heartbeats: the load balancer needs some time to stop sending users to it.
@@ -38,13 +39,13 @@
 
 
 def leaving_members(registration: Registration) -> set[str]:
-    """Return the controllers that are leaving by the mirror; none if no other would serve."""
+    """Return the controllers that the mirror shows as leaving; none if all members are."""
     leaving = set(_entries(registration)) & registration.mirror.members
     return leaving if registration.mirror.members - leaving else set()
 
 
 def _entries(registration: Registration) -> dict[str, int]:
-    """Return the entries of the record that name the present incarnation of a controller."""
+    """Return the entries of the record that name the current incarnation of a controller."""
     value, _ = registration.mirror.values.get(keys.LEAVING_MEMBERS, ({}, 0))
     entries = {}
     for member, incarnation in (_decode(value) or {}).items():
@@ -98,7 +99,7 @@
         return self.registration.own_name in leaving_members(self.registration)
 
     async def request(self, undo: bool) -> CommandReply:
-        """Begin to leave, or with `undo` serve again."""
+        """Begin to leave the service, or with `undo` serve again."""
         for _ in range(MAX_ATTEMPTS):
             if not self.registration.lease_is_valid():
                 return CommandReply(False, "this controller is not registered at present")
@@ -122,7 +123,9 @@
                 return CommandReply(False, str(error))
             else:
                 log.info(
-                    "{me} {what}", me=self.registration.own_name, what="stays" if undo else "leaves"
+                    "{me} {what}",
+                    me=self.registration.own_name,
+                    what="serves again" if undo else "begins to leave the service",
                 )
                 return CommandReply(True)
         return CommandReply(False, "the record keeps changing: try again")
@@ -134,7 +137,8 @@
             del entries[self.registration.own_name]
         else:
             entries[self.registration.own_name] = self.registration.incarnation
-            # Ensures that a controller that keeps serving is registered when the write is applied.
+            # Ensures that one of the controllers that keep serving is registered when the write is
+            # applied.
             key = keys.member(min(others))
             conditions[key] = self.mirror.values.get(key, (None, 0))[1]
         revision = await self.state.transact(
--- a/src/beamspar/sharing/messages.py
+++ b/src/beamspar/sharing/messages.py
@@ -26,7 +26,7 @@
 
     SERVING = "serving"
     LEAVING = "leaving"
-    # The process may be stopped.
+    # The controller has left, and its process may be stopped.
     LEFT = "left"
 
 
@@ -40,7 +40,7 @@
 
 
 class PrepareRequest(msgspec.Struct, frozen=True):
-    """Announces moves of these shards (name: fencing token): the holder pauses starts there."""
+    """Announces moves of these shards (name: fencing token); the holder pauses starts on them."""
 
     member: str
     shards: dict[str, int] = msgspec.field(name="blocks")
@@ -66,7 +66,7 @@
     # The fencing tokens of the new holder and of the sender.
     fencing_token: int
     former_fencing_token: int
-    # No holder before the sender can still answer the machine's worker.
+    # Whether no holder before the sender can still answer the machine's worker.
     sole: bool
     # How long ago a holder with a valid lease may have answered the worker last.
     answered_ago_s: float
@@ -75,7 +75,7 @@
     sequence: int
     report_agent_epoch: int
     report_sequence: int
-    # Tasks of earlier epochs are proven to have ended.
+    # Tasks of earlier agent epochs are proven to have ended.
     min_agent_epoch: int
     silent_s: float
     idle_s: float
@@ -128,7 +128,8 @@
     member: str
     machines: int
     shards: int = msgspec.field(name="blocks")
-    # The average number of tasks that are bound or pending, and how late its timers fire.
+    # The average number of tasks that are bound or pending, and how late the controller's timers
+    # fire, in seconds.
     demand: float
     late_s: float
     target: float
--- a/src/beamspar/sharing/move_requests.py
+++ b/src/beamspar/sharing/move_requests.py
@@ -1,4 +1,4 @@
-"""Moves that operators requested and that are not made yet."""
+"""Moves that operators have requested and that are not made yet."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from beamspar.sharing.planner import Move, MoveReason
 from beamspar.sharing.planner_inputs import ScaleInView
 
-# Limit of requested moves that are not made yet.
+# Maximum number of requested moves that are not made yet.
 MAX_PENDING_MOVES = 200
 
 
--- a/src/beamspar/sharing/planner.py
+++ b/src/beamspar/sharing/planner.py
@@ -15,7 +15,7 @@
 
 # Bounds of a controller's share by demand, relative to an even share.
 MIN_SHARE, MAX_SHARE = 0.5, 1.5
-# Part of its share that a controller loses when its timers fire late by a heartbeat or more.
+# Part of its share that a controller loses if its timers fire late by a heartbeat interval or more.
 MAX_LATENESS_CUT = 0.5
 # Smallest imbalance at which a shard moves, as a share of the even share...
 MIN_IMBALANCE = 0.25
@@ -37,9 +37,9 @@
 
     member: str
     zone: str = ""
-    # Tasks of its jobs that are bound or pending.
+    # The number of tasks of its jobs that are bound or pending.
     demand: float = 0.0
-    # How late its timers fire, in heartbeats.
+    # How late the controller's timers fire, in heartbeat intervals.
     lateness: float = 0.0
     is_leaving: bool = False
 
@@ -51,9 +51,9 @@
     holder: str
     zone: str
     machines: int
-    # It moved recently, or one of its machines is draining: only a leave moves it.
+    # The shard moved recently, or one of its machines is draining: only a leave moves it.
     is_in_cooldown: bool = False
-    # The deletion of one of its machines is in progress: nothing moves it.
+    # The deletion of one of its machines is in progress: the shard is not moved.
     is_pinned: bool = False
 
 
@@ -64,8 +64,8 @@
     source: str
     target: str
     reason: MoveReason
-    # The move is made even if the source can't prepare for it; the target then takes the machines
-    # over as from a holder that does not cooperate.
+    # Whether the move is made even if the source can't prepare for it; the target then takes the
+    # machines over as from a holder that does not cooperate.
     is_forced: bool = False
 
 
@@ -154,7 +154,7 @@
         if shard.holder not in group or target is None or target == shard.holder:
             return
         even_share = sum(self.held.values()) / len(self.staying)
-        # At a multiple of the shard's size, the move can't turn the imbalance round.
+        # Above a multiple of the shard's size, the move can't reverse the imbalance.
         threshold = max(even_share * MIN_IMBALANCE, MIN_IMBALANCE_SHARDS * shard.machines)
         if self.surplus(shard.holder) - self.surplus(target) > threshold:
             self._add(shard, target, MoveReason.LOAD)
--- a/src/beamspar/sharing/planner_inputs.py
+++ b/src/beamspar/sharing/planner_inputs.py
@@ -1,4 +1,4 @@
-"""Inputs of the planner: load and shards of the controllers, and machines to be deleted."""
+"""Inputs of the planner: the controllers' load and shards, and machines to be deleted."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     def is_pinned(self, shard: str) -> bool:
         """Return whether the deletion of one of the shard's machines is requested or in progress.
 
-        A new holder would place work on the machine that is lost with it.
+        A new holder would accept work for the machine, and the work would be lost with it.
         """
         instance_manager = self.leader.instance_manager
         return self._has_any_of(shard, instance_manager.to_delete) or self._has_any_of(
@@ -74,7 +74,7 @@
             view = self.shard_leasing.members[member]
             self.demand.observe(member, view.demand, now)
             if reachability.was_cut_off(member):
-                # Its workers could not reach it until recently, so it gets no shards yet.
+                # The member's workers could not reach it until recently, so it gets no shards yet.
                 continue
             loads.append(
                 Load(
--- a/src/beamspar/sharing/service.py
+++ b/src/beamspar/sharing/service.py
@@ -35,7 +35,7 @@
 
 
 class Sharing:
-    """One controller's part in sharing machines; it lives as long as its registration."""
+    """One controller's part in sharing machines, for the lifetime of its registration."""
 
     def __init__(
         self,
@@ -112,7 +112,7 @@
     # -- replies to messages
 
     def shares(self) -> SharesReply:
-        """Return what operators see; only the leader's reply has the shares and moves."""
+        """Return the reply that operators see; only the leader's contains the shares and moves."""
         standing = Standing.LEAVING if self.leave.is_leaving() else Standing.SERVING
         reply = SharesReply(
             self.registration.own_name, self.mirror.leader, self.leader.is_ready, standing
@@ -159,5 +159,5 @@
 
 
 def shares_after_leave(member: str) -> SharesReply:
-    """Return what operators see of a controller that has left and whose process may be stopped."""
+    """Return the reply of a controller that has left and whose process may be stopped."""
     return SharesReply(member, None, False, Standing.LEFT)
--- a/src/beamspar/sharing/transfer.py
+++ b/src/beamspar/sharing/transfer.py
@@ -1,8 +1,8 @@
 """The holders' side of a handover: preparing a shard, and passing on the state of its machines.
 
-Only the shard's record determines who holds a machine. The state that is passed on just saves time:
-it has when a silent worker was answered last, so that the new holder need not wait for the longest
-lease that the former holder may have had, and whether a machine is draining or faulty.
+Only the shard's record determines who holds a machine. The state that is passed on only saves
+time: it includes when a silent worker was last answered, so that the new holder need not wait for
+the longest lease that the former holder may have had, and whether a machine is draining or faulty.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
         self.machine_controller = machine_controller
         self.timeouts = timeouts
         self.send = send
-        # Machines that were moved away, by new holder and name, with their new fencing token.
+        # Machines that were moved away, by new holder and name, with their new fencing tokens.
         self.unsent_releases: dict[str, dict[str, tuple[ManagedMachine, int]]] = {}
         # How many machines were taken over with the state that their former holder passed on.
         self.taken_over_count = 0
@@ -66,13 +66,13 @@
     async def prepare(self, request: PrepareRequest) -> PrepareReply:
         """Pause starts on the shards, and wait until no start of this controller is in flight.
 
-        Running work continues and heartbeats are still answered, so no lease expires should the
-        leader fail now. The reply names the shards that became ready in time.
+        Running work continues and heartbeats are still answered, so no lease expires if the leader
+        fails now. The reply names the shards that became ready in time.
         """
         if request.member != self.mirror.leader or not self.registration.lease_is_valid():
             log.info(
-                "ignored a prepare request of {member}: it does not lead, or this controller's"
-                " lease is not valid",
+                "ignored a prepare request of {member}: that member does not lead, or this"
+                " controller's lease is not valid",
                 member=request.member,
             )
             return PrepareReply([])
@@ -124,9 +124,9 @@
     async def _release(self, successor: str) -> None:
         """Send the queued states until they are acknowledged.
 
-        Until then the successor treats the machines like those of a holder that passes nothing on.
+        Until then the successor treats the machines like those of a holder that passes on no state.
         """
-        # The state is of no use once the longest lease that this controller may have had is over.
+        # The state is useless once the longest lease that this controller may have had has expired.
         give_up_at = self.clock.seconds() + self.timeouts.registration_lease_s
         unsent = self.unsent_releases[successor]
         while unsent and not self.registration.is_ended and self.clock.seconds() < give_up_at:
@@ -189,7 +189,7 @@
         fence, _ = self.mirror.values.get(keys.fence(request.member), ({}, 0))
         if fence.get("inc") != request.incarnation:
             log.info(
-                "refused a release of {member}: it is not from its present incarnation",
+                "refused a release of {member}: it is not from the member's current incarnation",
                 member=request.member,
             )
             return ReleaseReply([])
@@ -224,10 +224,10 @@
         now = self.clock.seconds()
         if state.sole:
             # Neither the sender nor an earlier holder can answer the worker any more, so the
-            # sender's last answer counts. Without it, the loss of a machine that died during its
-            # move was noticed only after one and a half leases.
-            answered = min(machine.last_possible_answer_at, now - state.answered_ago_s)
-            machine.last_possible_answer_at = max(machine.answered_at, answered)
+            # sender's last answer counts. Otherwise, the loss of a machine that dies during its
+            # move would be detected only after one and a half leases.
+            last_answered_at = min(machine.last_possible_answer_at, now - state.answered_ago_s)
+            machine.last_possible_answer_at = max(machine.answered_at, last_answered_at)
             machine.is_exclusive = True
         # Late copies of older heartbeats are recognized by epoch and sequence.
         if (machine.agent_epoch, machine.observed_seq) < (state.agent_epoch, state.sequence):
