--- a/src/beamspar/decision_log/decision_log.py
+++ b/src/beamspar/decision_log/decision_log.py
@@ -35,8 +35,8 @@
 class DecisionLog:
     """Numbers and stores the leader's decisions, and answers followers' requests.
 
-    It never waits for a follower. Its memory is bounded: it stores a limited number of entries, and
-    at most one snapshot transfer per member.
+    The log never waits for a follower. Its memory is bounded: it stores a limited number of
+    entries, and at most one snapshot transfer per member.
     """
 
     def __init__(self, clock: Clock, state: LeaderState) -> None:
@@ -51,14 +51,14 @@
         self.followers: dict[str, FollowerProgress] = {}
 
     def begin(self, term: int) -> None:
-        """Start a log for this term; it begins with the present state."""
+        """Start the log of a new term, which begins with the current state."""
         self.term, self.index = term, 0
         self.recent_entries.clear()
         self.snapshot_transfers.clear()
         self.followers.clear()
 
     def end(self) -> None:
-        """Stop leading: followers receive replies without a term from now on."""
+        """End the log: followers receive replies with term 0 from now on."""
         self.begin(0)
 
     def decide(self, decision: Decision) -> None:
--- a/src/beamspar/decision_log/decisions.py
+++ b/src/beamspar/decision_log/decisions.py
@@ -113,9 +113,9 @@
 
 
 class LeaderState:
-    """The state from leader decisions that are not in the records of the state service.
+    """The state that results from the decisions in the log, which no stored record holds.
 
-    It only saves a successor time and cost. Safety depends on the stored records alone.
+    This state only saves a successor time and cost. Safety depends on the stored records alone.
     """
 
     def __init__(self) -> None:
--- a/src/beamspar/standby/command.py
+++ b/src/beamspar/standby/command.py
@@ -1,7 +1,7 @@
-"""The operators' command: show which controller leads or follows, and hand the lead over.
+"""The operators' command: show which controller leads or follows, and hand over leadership.
 
 It calls the controllers at their peer addresses, which the settings file lists. Exit statuses:
-0 done, 1 no controller leads or the lead was not handed over, 2 invalid settings or usage.
+0 done, 1 no controller leads or leadership was not handed over, 2 invalid settings or usage.
 """
 
 from __future__ import annotations
@@ -43,21 +43,21 @@
 
 def addresses(settings: Settings) -> dict[str, str]:
     """Return the peer address of every controller."""
-    found = {settings.member: settings.peer_bind}
-    found.update({peer.member: peer.peer_addr for peer in settings.peers})
-    return dict(sorted(found.items()))
+    by_member = {settings.member: settings.peer_bind}
+    by_member.update({peer.member: peer.peer_addr for peer in settings.peers})
+    return dict(sorted(by_member.items()))
 
 
 def statuses(settings: Settings) -> dict[str, StandbyStatus | str]:
     """Return each controller's status, or the reason why it sent none."""
-    found: dict[str, StandbyStatus | str] = {}
+    by_member: dict[str, StandbyStatus | str] = {}
     for member, address in addresses(settings).items():
         try:
             response = call(address, StandbyPath.STATUS, {}, STATUS_TIMEOUT_S)
-            found[member] = msgspec.convert(response, StandbyStatus)
+            by_member[member] = msgspec.convert(response, StandbyStatus)
         except (NoAnswerError, msgspec.ValidationError) as error:
-            found[member] = str(error)
-    return found
+            by_member[member] = str(error)
+    return by_member
 
 
 def describe(status: StandbyStatus) -> str:
@@ -87,17 +87,19 @@
 @click.pass_obj
 def status(settings: Settings, as_json: bool) -> None:
     """Who leads and who follows; exits with 1 if nobody decides."""
-    found = statuses(settings)
+    by_member = statuses(settings)
     if as_json:
         plain = {
             member: {"error": value} if isinstance(value, str) else msgspec.to_builtins(value)
-            for member, value in found.items()
+            for member, value in by_member.items()
         }
         click.echo(orjson.dumps(plain).decode())
     else:
-        for member, value in found.items():
+        for member, value in by_member.items():
             click.echo(f"{member}: {value if isinstance(value, str) else describe(value)}")
-    if not any(isinstance(value, StandbyStatus) and value.is_deciding for value in found.values()):
+    if not any(
+        isinstance(value, StandbyStatus) and value.is_deciding for value in by_member.values()
+    ):
         sys.exit(NOT_DONE)
 
 
--- a/src/beamspar/standby/failover.py
+++ b/src/beamspar/standby/failover.py
@@ -15,7 +15,7 @@
 
 log = Logger(namespace="standby")
 
-# How long a follower waits for each one before it in the succession, in heartbeat intervals.
+# How long a follower waits for each member ahead of it in the succession, in heartbeat intervals.
 SUCCESSOR_WAIT_HEARTBEATS = 2
 
 
@@ -74,7 +74,7 @@
         self._confirm_members(except_for=leader)
 
     async def take_lead(self, request: TakeLeadRequest) -> TakeLeadReply:
-        """Take the lead from a leader that hands over, if its whole log is replicated here."""
+        """Take over leadership from a leader that hands over, if its whole log is replicated."""
         replica = self._replica
         is_complete = replica.term == request.term and replica.index >= request.index
         if not is_complete or self._mirror.leader != request.member or self._leader.is_electing:
@@ -84,7 +84,7 @@
         return TakeLeadReply(self._mirror.leader == self._context.own_name)
 
     async def _wait_for_turn(self, succession: list[str]) -> None:
-        """Give each preferred successor the time to be elected first."""
+        """Wait until each preferred successor has had time to be elected."""
         me = self._context.own_name
         position = succession.index(me) if me in succession else len(succession)
         if position:
@@ -110,7 +110,7 @@
         """Request a full heartbeat from every live member.
 
         Members send one by themselves once their mirror names the new leader. The request saves
-        waiting for a member whose mirror is late.
+        waiting for a member whose mirror lags.
         """
         if self._leader.is_leading:
             for member in sorted(self._mirror.members - {self._context.own_name, except_for}):
--- a/src/beamspar/standby/failover_history.py
+++ b/src/beamspar/standby/failover_history.py
@@ -6,12 +6,12 @@
 
 # How long a failover counts, in worker leases.
 HISTORY_WORKER_LEASES = 8
-# Failovers within that time that need no delay.
+# Number of failovers within that time that are not delayed.
 MAX_FAILOVERS_WITHOUT_DELAY = 2
 
 
 class FailoverHistory:
-    """Owns the times of failovers, in which one leader replaced another, as observed here."""
+    """Owns the times of observed failovers, in which one leader replaced another."""
 
     def __init__(self, timeouts: Timeouts) -> None:
         self.times: list[float] = []
@@ -29,7 +29,8 @@
     def may_fail_over(self, now: float) -> bool:
         """Return whether the delay since the last failover is over.
 
-        The first MAX_FAILOVERS_WITHOUT_DELAY need no delay; it doubles with each further one.
+        The first MAX_FAILOVERS_WITHOUT_DELAY failovers are not delayed. The next one has to
+        wait for a leader lease, and the delay doubles with each further one.
         """
         history_s = self._timeouts.worker_lease_s * HISTORY_WORKER_LEASES
         self.times = [at for at in self.times if now - at < history_s]
--- a/src/beamspar/standby/hand_over.py
+++ b/src/beamspar/standby/hand_over.py
@@ -19,13 +19,13 @@
 
 log = Logger(namespace="standby")
 
-# In request timeouts: how long no decisions are made, and of that how long the followers may take
-# to catch up, and the successor to be elected.
+# In request timeouts: the pause of decisions, and within it the limits for the followers to catch
+# up and for the successor to be elected.
 PAUSE_REQUESTS, CATCH_UP_REQUESTS, ELECTION_REQUESTS = 3, 1, 2
 
 
 class LeadershipHandOver:
-    """Ranks the followers of this leader and hands the lead over to one of them."""
+    """Ranks the followers of this leader and hands over leadership to one of them."""
 
     def __init__(
         self, context: StandbyContext, decision_log: DecisionLog, zones: dict[str, str]
@@ -65,9 +65,9 @@
         return [member for *_, member in sorted(ranked)]
 
     async def hand_over(self, request: HandOverRequest) -> HandOverReply:
-        """Hand the lead over to a follower that has replicated the whole log.
+        """Hand over leadership to a follower that has replicated the whole log.
 
-        No decisions are made meanwhile. If no follower takes the lead, this controller keeps it.
+        No decisions are made meanwhile. If no follower takes over, this controller keeps leading.
         """
         if not self._leader.is_ready:
             leader = self._mirror.leader or ""
@@ -83,21 +83,21 @@
                 return self._not_handed_over("no such follower has the whole log")
             has_taken = await self._offer_lead(successor)
         except (CallFailedError, ValueError) as error:
-            log.info("handing the lead over failed, resuming decisions: {error}", error=error)
+            log.info("handing over leadership failed, resuming decisions: {error}", error=error)
             return self._not_handed_over("the follower did not answer")
         finally:
             self._leader.decisions_paused_until = self._context.clock.seconds()
         if not has_taken:
             return self._not_handed_over(f"{successor} could not take the lead")
-        log.info("handed the lead over to {member}", member=successor)
+        log.info("handed over leadership to {member}", member=successor)
         return HandOverReply(True, successor)
 
     def _not_handed_over(self, reason: str) -> HandOverReply:
-        """Return the reply for a lead that was not handed over."""
+        """Return the reply for a hand-over that failed."""
         return HandOverReply(False, self._context.own_name, reason)
 
     async def _offer_lead(self, successor: str) -> bool:
-        """Request that the follower take the lead, and return whether it has.
+        """Request that the follower take over leadership, and return whether it has.
 
         Raises CallFailedError.
         """
@@ -111,8 +111,8 @@
     async def _wait_for_complete_follower(self, wanted: str, deadline: float) -> str | None:
         """Wait for a follower that has replicated all decisions made before this call.
 
-        Return `wanted` if it is given, otherwise the first complete one in the succession, and
-        None if there is none by `deadline`.
+        Return `wanted` if it is given, otherwise the first complete follower in the succession.
+        Return None if there is no such follower by `deadline`.
         """
         index = self._decision_log.index
         while True:
--- a/src/beamspar/standby/leader_follower.py
+++ b/src/beamspar/standby/leader_follower.py
@@ -29,7 +29,7 @@
         replica: Replica,
         on_unreachable: Callable[[str, list[str]], Awaitable[None]],
     ) -> None:
-        # The followers in the leader's latest order of preference as successors.
+        # The followers in the latest order of succession that the leader sent.
         self.succession: list[str] = []
         self._context = context
         self._registration = context.registration
--- a/src/beamspar/standby/messages.py
+++ b/src/beamspar/standby/messages.py
@@ -22,13 +22,13 @@
 
 
 class HandOverRequest(msgspec.Struct, frozen=True):
-    """An operator's request to the leader to hand the lead over, to `to` if it is set."""
+    """An operator's request to the leader to hand over leadership, to `to` if it is set."""
 
     to: str = ""
 
 
 class HandOverReply(msgspec.Struct, frozen=True):
-    """The current leader, and the reason if the lead was not handed over."""
+    """The current leader, and the reason if leadership was not handed over."""
 
     is_done: bool = msgspec.field(name="done")
     leader: str = ""
@@ -36,7 +36,7 @@
 
 
 class TakeLeadRequest(msgspec.Struct, frozen=True):
-    """The leader's request to a follower that has replicated its whole log to take the lead."""
+    """The leader's request that a follower with its whole log take over leadership."""
 
     member: str
     term: int
@@ -44,7 +44,7 @@
 
 
 class TakeLeadReply(msgspec.Struct, frozen=True):
-    """Whether the follower has taken the lead."""
+    """Whether the follower has taken over leadership."""
 
     is_taken: bool = msgspec.field(name="taken")
 
@@ -73,11 +73,11 @@
     member: str
     leader: str | None
     is_leading: bool = msgspec.field(name="leading")
-    # It leads and has confirmed which members are alive, so it may make decisions.
+    # The controller leads and has confirmed which members are alive, so it may make decisions.
     is_deciding: bool = msgspec.field(name="deciding")
     term: int
     index: int
     lag: int
     succession: list[str]
-    # Recent failovers that it has observed.
+    # The number of recent failovers that the controller has observed.
     failovers: int = msgspec.field(name="takeovers")
--- a/src/beamspar/standby/standby.py
+++ b/src/beamspar/standby/standby.py
@@ -39,10 +39,10 @@
 class Standby:
     """Assembles the parts of one incarnation's standby and handles the messages to it.
 
-    While another controller leads, it fetches that leader's new decisions. When the leader stops
-    responding, it has the failure confirmed and stands for election in its place. While this
-    controller leads, it serves the followers. An instance lives as long as the registration that
-    it was created for.
+    While another controller leads, the standby fetches that leader's new decisions. When the leader
+    stops responding, the standby confirms the failure and stands for election in its place. While
+    this controller leads, the standby serves the followers. An instance lives as long as the
+    registration that it was created for.
     """
 
     def __init__(
@@ -78,17 +78,17 @@
         spawn(self._follower.run(), "following the leader")
 
     def follow(self, request: FollowRequest) -> FollowReply:
-        """Return the entries that a follower lacks; of term 0 if this controller does not lead."""
+        """Return the entries that a follower lacks; term 0 if this controller does not lead."""
         if not self._leader.is_leading:
             return FollowReply()
         return self.log.answer(request, self._hand_over.succession())
 
     async def hand_over(self, request: HandOverRequest) -> HandOverReply:
-        """Hand the lead over to a follower that has replicated the whole log."""
+        """Hand over leadership to a follower that has replicated the whole log."""
         return await self._hand_over.hand_over(request)
 
     async def take_lead(self, request: TakeLeadRequest) -> TakeLeadReply:
-        """Take the lead from a leader that hands over, if its whole log is replicated here."""
+        """Take over leadership from a leader that hands over, if its whole log is replicated."""
         return await self._failover.take_lead(request)
 
     async def probe(self, request: ProbeRequest) -> ProbeReply:
@@ -125,7 +125,7 @@
             case StandbyPath.CONFIRM:
                 decode(body, ConfirmRequest)
                 if not self.registration.lease_is_valid():
-                    # Without a valid lease its machines and jobs may have another owner by now.
+                    # Without a valid lease, its machines and jobs may belong to another controller.
                     raise KeyError(path)
                 return encode(self._heartbeat())
             case StandbyPath.HAND_OVER:
