--- a/tests/kill_leader.py
+++ b/tests/kill_leader.py
@@ -88,7 +88,7 @@
         self.kills = kills
         self.rng = rng
         self.jobs = 0
-        self.submitting = True
+        self.is_submitting = True
 
     async def status(self, name: str) -> dict[str, Any] | None:
         """Return the status of the controller's standby; None if it does not respond."""
@@ -98,8 +98,8 @@
             )
         except CallFailedError:
             return None
-        found: dict[str, Any] | None = orjson.loads(answer.body) if answer.status == 200 else None
-        return found
+        status: dict[str, Any] | None = orjson.loads(answer.body) if answer.status == 200 else None
+        return status
 
     async def wait_for_deciding_leader(self, term: int = 0) -> dict[str, Any]:
         """Wait for a controller that makes decisions in a term after `term`; return its status."""
@@ -116,7 +116,7 @@
 
     def submit(self) -> None:
         """Submit a random job, possibly schedule its cancellation, and schedule the next one."""
-        if not self.submitting:
+        if not self.is_submitting:
             return
         job = f"j-{self.jobs}"
         self.jobs += 1
@@ -136,7 +136,7 @@
         followers = status["succession"]
         paused = followers[0] if followers and self.rng.random() < 0.25 else ""
         if paused:
-            # The preferred follower falls behind, and resumes once the leader is killed.
+            # The preferred follower lags, and resumes once the leader is killed.
             self.world.hold(paused, True)
             await sleep(clock, 1.0)
         killed_at = clock.seconds()
@@ -162,7 +162,7 @@
         return await run_command(self.world, *words)
 
     async def hand_over(self) -> CommandRun:
-        """Hand the lead over, with retries: on a busy machine all followers may lag at first."""
+        """Hand over leadership, with retries: on a busy machine all followers may lag at first."""
         for _ in range(HAND_OVER_TRIES):
             done = await self.command("hand-over")
             if done.status == 0:
@@ -186,7 +186,7 @@
             await self.hand_over(),
             await self.command("status", "--json"),
         ]
-        self.submitting = False
+        self.is_submitting = False
         load_after = os.getloadavg()[0]
         await sleep(self.world.clock, FINISHING_S)
         unfinished = [
--- a/tests/reshuffle.py
+++ b/tests/reshuffle.py
@@ -3,9 +3,9 @@
     PYTHONPATH=src:. python -m tests.reshuffle --minutes 10 --report target/reshuffle
 
 Five controllers run as real processes under steady batch load. Every few seconds shards are moved
-to random controllers. Now and then controllers are killed, paused or made to leave, often during
-moves. Prints one JSON object at the end. With `--report`, also writes the history as a columnar
-file (Parquet) and the distributions as a page with a plot.
+to random controllers. At random intervals controllers are killed, paused or requested to
+leave, often during moves. Prints one JSON object at the end. With `--report`, also writes the
+history as a columnar file (Parquet) and the distributions as a page with a plot.
 """
 
 from __future__ import annotations
@@ -150,7 +150,7 @@
         elif kind == "pause":
             name = self.rng.choice(alive)
             self.world.hold(name, True)
-            # Wake this very process, as the controller may have been killed and restarted.
+            # Resume this process only: the controller may have been killed and restarted meanwhile.
             process = self.world.processes[name]
             for_s = self.rng.choice([0.5, 3.0, 20.0])
             self.world.clock.callLater(for_s, self.world.wake, process)
@@ -185,7 +185,7 @@
         while clock.seconds() < until:
             await self.reshuffle()
             if self.faults and clock.seconds() > next_fault:
-                # This is often during the moves that were just requested.
+                # The fault often occurs during the moves that were just requested.
                 await sleep(clock, self.rng.uniform(0.0, 0.6))
                 self.disturb()
                 next_fault = clock.seconds() + self.rng.uniform(8.0, 25.0)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -43,7 +43,7 @@
 
 
 def check_whole(world: SharingWorld) -> None:
-    """Check the rules, that each machine can be given work, and that all jobs are done or run."""
+    """Check that no rule is broken, each machine is served, arrays are done and services run."""
     assert world.checker.broken == []
     assert world.ownership.faults == []
     assert world.unserved() == {}
--- a/tests/test_leave.py
+++ b/tests/test_leave.py
@@ -44,7 +44,7 @@
     assert healthy[0][0] == 503
     assert standings(world)[member] == "left" and held(world, member) == []
     assert world.leader() not in ("", member)
-    # Other controllers own its jobs at once, not only when its registration lease would expire.
+    # Other controllers own its jobs at once, before its registration lease would have expired.
     assert all(
         value[0]["owner"] != member
         for key, value in world.state.items.items()
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback: the leader is killed, and the lead is handed over by command.
+"""Real processes on loopback: the leader is killed, and leadership is handed over by command.
 
 The test checks rules and order only, because durations depend on the machine. They are measured by
 `python -m tests.kill_leader --kills 50 --report target/takeovers`.
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -8,7 +8,7 @@
 
 
 def moved_back() -> World:
-    """Return a world in which a restarted controller without shards gets some of live ones."""
+    """Return a world in which shards move from live controllers to a restarted one without any."""
     world = World(
         3,
         nodes=4,
--- a/tests/test_moving_machines.py
+++ b/tests/test_moving_machines.py
@@ -59,10 +59,10 @@
     inside = [name for name in world.names if world.settings[name].site == zone]
     inside += [name for name, worker in world.cloud.workers.items() if worker.zone == zone]
     outside = {*world.names, *world.cloud.workers, "state", "cloud"} - set(inside)
-    for one in inside:
-        for other in outside:
-            world.network.cut(one, other, "hold")
-            world.clock.callLater(FAULT_DURATION_S, world.network.heal, one, other)
+    for inner in inside:
+        for outer in outside:
+            world.network.cut(inner, outer, "hold")
+            world.clock.callLater(FAULT_DURATION_S, world.network.heal, inner, outer)
 
 
 def cancel(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
--- a/tests/test_polls.py
+++ b/tests/test_polls.py
@@ -23,15 +23,15 @@
 
 
 def poll(world: World, node: str, job: str, times: int) -> list[tuple[int, Any]]:
-    """Send the controller that many polls at once; the returned list fills with the responses."""
-    answers: list[tuple[int, Any]] = []
+    """Send the controller `times` concurrent polls; return a list that fills with the responses."""
+    responses: list[tuple[int, Any]] = []
     for _ in range(times):
-        world.call(node, "GET", f"/submissions/{job}").addCallback(answers.append)
-    return answers
+        world.call(node, "GET", f"/submissions/{job}").addCallback(responses.append)
+    return responses
 
 
 def exhaust_rate_limit(world: World, requests: float) -> None:
-    """Exhaust the controller's rate limit for requests, and overdraw it by that many."""
+    """Exhaust the controller's rate limit for requests, and overdraw it by `requests`."""
     limiter = world.nodes["rig-1"].state.request_limiter
     limiter.refill()
     limiter.available = -requests
@@ -56,9 +56,9 @@
     # The rate limit delays the first read, and the polls that arrive in the meantime share it.
     exhaust_rate_limit(world, 1.0)
     paths = record_reads(world, "j-1")
-    answers = poll(world, "rig-1", "j-1", 40)
+    responses = poll(world, "rig-1", "j-1", 40)
     world.run(22.0)
-    assert [status for status, _ in answers] == [200] * 40
+    assert [status for status, _ in responses] == [200] * 40
     assert len(paths) == 1
 
 
@@ -80,9 +80,9 @@
     for number in range(200):
         poll(world, "rig-1", f"j-other-{number}", 1)
     world.run(20.2)
-    answers = poll(world, "rig-1", "j-1", 3)
+    responses = poll(world, "rig-1", "j-1", 3)
     world.run(20.3)
-    assert [status for status, _ in answers] == [503] * 3
+    assert [status for status, _ in responses] == [503] * 3
     assert world.nodes["rig-1"].api.polls.rejected_count >= 3
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "expected"),
     [
         ("member = ", "not TOML"),
         ("member = 'x'\n", "public_addr"),
@@ -128,13 +128,15 @@
         (SETTINGS.replace("lease_s = 17.0", "lease_s = 90.0"), "cancel_s"),
     ],
 )
-def test_invalid_settings_are_reported_in_one_line(tmp_path: Path, text: str, says: str) -> None:
+def test_invalid_settings_are_reported_in_one_line(
+    tmp_path: Path, text: str, expected: str
+) -> None:
     file = settings_file(tmp_path, text)
     completed = subprocess.run(
         [*run_command(), str(file)], cwd=ROOT, capture_output=True, text=True
     )
     assert completed.returncode == 2
-    assert says in completed.stderr
+    assert expected in completed.stderr
     assert len(completed.stderr.strip().splitlines()) == 1
 
 
@@ -210,11 +212,11 @@
 for name, module in list(sys.modules.items()):
     if name.split(".")[0] in ("beamspar", "twisted") and getattr(module, "__file__", None):
         source, compiled = Path(module.__file__), Path(module.__cached__)
-        # The header of compiled code says which source it is of, by its time.
+        # The header of a compiled file holds the modification time of its source.
         mtime = int.from_bytes(compiled.read_bytes()[8:12], "little") if compiled.exists() else 0
         print(name, source, mtime == int(source.stat().st_mtime))
 """
-# Libraries that are not needed to serve and together take about a tenth of the start time.
+# Modules that are not needed to serve and together take about a tenth of the start time.
 NOT_LOADED = ("twisted.web.client", "twisted.internet.endpoints", "twisted.plugin")
 
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -70,7 +70,7 @@
 def test_a_machine_that_dies_during_its_move_is_soon_declared_lost(passes_on: bool) -> None:
     """The former holder's last answer counts, not the longest lease that it may have had.
 
-    Only if the former holder can't pass its state on does the new one wait for that lease as well.
+    The new holder waits for that lease as well only if the former one can't pass on its state.
     """
     world = running()
     shard, source, target = world.choose_move()
@@ -78,7 +78,7 @@
     if not passes_on:
         world.network.cut(source, target, "drop")
         world.clock.callLater(30.0, world.network.heal, source, target)
-    # With the cloud up the machine would be returned as silent, which also proves its loss.
+    # If the cloud were up, the silent machine would be deleted, which also proves its loss.
     world.cloud.down = True
     world.hooks["commit"] = world.cloud.workers[machine].die
     world.send(world.leader(), "move", {"block": shard, "to": target})
@@ -90,7 +90,7 @@
         if held is not None and held.is_expired:
             lost_s = world.clock.seconds() - since
     assert world.checker.broken == []
-    # One worker lease, or the longest lease that the former holder may have had as well.
+    # One worker lease; without the passed-on state, the former holder's longest lease as well.
     assert (0 < lost_s < 20) if passes_on else lost_s > 40, lost_s
 
 
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("way", ["asked for", "leave", "holder ends", "cloud down"])
 def test_a_machine_that_drains_while_its_shard_moves(way: str) -> None:
-    """The machine is not returned with work on it, nor left draining or without a holder."""
+    """The machine is neither deleted with work on it nor left draining or without a holder."""
     world = SharingWorld(5)
     # There is much idle capacity once these tasks have ended.
     world.run(12)
@@ -127,7 +127,7 @@
         world.send(holder, "leave", {})
         world.clock.callLater(20.0, setattr, world.cloud, "down", False)
     for number in range(8):
-        # New work needs the capacity in the meantime.
+        # New jobs need the capacity in the meantime.
         world.clock.callLater(number * 2.0, world.submit, f"j-s{number}", parcels=2)
     returned: list[str] = []
     busy: list[str] = []
@@ -137,7 +137,7 @@
         returned = [n for n in world.ownership.names if n not in world.cloud.machines]
         busy += [n for n in returned if n in before]
     assert world.checker.broken == [] and world.ownership.faults == []
-    assert busy == [], "a machine with running tasks was returned"
+    assert busy == [], "a machine with running tasks was deleted"
     assert world.unserved() == {}, "a machine stays draining or has no serving holder"
     assert [j for j in world.checker.accepted if world.running(j) != 2 and "s" in j[2:]] == []
 
@@ -156,8 +156,8 @@
     assert world.ownership.moves > 10
 
 
-# Recipient, path and body of a message, and a part of the reply (None: status 400). None of them
-# may change anything.
+# Recipient, path and body of a message, and a part of the reply (None: status 400). No message may
+# change anything.
 BAD = [
     ("leader", "move", {"block": "host-9", "to": "rig-1"}, "no block host-9"),
     ("leader", "move", {"block": "?", "to": "rig-9"}, "no controller rig-9"),
@@ -185,7 +185,7 @@
     shard = next(n for n, r in sorted(world.shards().items()) if r["holder"] == member)
     machine = world.shards()[shard]["machines"][0]["name"]
     held = world.nodes[member].machine_controller.machines[machine]
-    # As if that machine had moved here, sent by a controller that was never its holder.
+    # The state as if that machine had moved here, sent by a controller that never held it.
     state = MachineState(
         machine, held.fencing_token, 1, True, 99.0, 9, 9, 9, 9, 9, 0, 0, 99, True, True
     )
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -1,7 +1,7 @@
 """The warm standby: when a failover happens, how long it takes, and what state survives it.
 
-A failed leader must be replaced within seconds. A slow or reachable leader must keep the lead, and
-a successor must not repeat or lose its predecessor's decisions.
+A failed leader must be replaced within seconds. A slow or reachable leader must stay the leader,
+and a successor must not repeat or lose its predecessor's decisions.
 """
 
 from __future__ import annotations
@@ -85,7 +85,7 @@
     world.network.frozen[old] = world.clock.seconds() + 12.0
     assert run_until_failover(world, old) < FAILOVER_S
     new = world.leader()
-    # Once it continues, it first takes itself for the leader, and then finds that it was replaced.
+    # Once it resumes, it acts as the leader at first, and then detects that it was replaced.
     world.run(world.clock.seconds() + 20.0)
     assert world.leader() == new
     assert not world.nodes[old].leader.is_leading
@@ -111,7 +111,7 @@
 
 
 def test_an_isolated_member_does_not_take_the_lead() -> None:
-    """Each side suspects the other; the suspicion that no member confirms has no effect."""
+    """Each side suspects the other; a suspicion that no other member confirms has no effect."""
     world = deployment()
     old = world.leader()
     alone = next(name for name in world.names if name != old)
@@ -123,7 +123,7 @@
 
 
 def test_the_last_two_of_three_replace_each_other() -> None:
-    """If no other member is registered, the remaining one's own probes decide."""
+    """If no other member is registered, the probes of the remaining one decide."""
     world = deployment()
     old = world.leader()
     third = next(name for name in world.names if name != old)
@@ -356,7 +356,7 @@
 
 
 def test_a_leader_of_the_production_release_is_not_replaced() -> None:
-    """It responds that it has no log, so it is alive, and no other member is asked to probe it."""
+    """The leader responds that it has no log, so it is alive and no other member probes it."""
     world = World(1, old=["rig-1", "rig-2"], tuning={"standby": True})
     world.run(1.0)
     world.crash("rig-0", 20.0)
@@ -388,7 +388,7 @@
 
 
 def test_a_new_leader_requests_the_heartbeat_of_a_member_whose_mirror_is_late() -> None:
-    """Its mirror still names the old leader, so it sends the new one no heartbeat by itself.
+    """That mirror still names the old leader, so the member sends the new one no heartbeat.
 
     Without the new leader's request, the failover would take longer than the limit below.
     """
@@ -437,8 +437,8 @@
     ).offers
     zones = {world.checker.machines[offer.machine][1] for offer in offers}
     assert offers and zones <= leader.confirmed_zones()
-    # Once the time limit for confirmation is over or the third responds again, capacity is offered
-    # in all zones.
+    # Once the time limit for confirmation is over or the third controller responds again, capacity
+    # is offered in all zones.
     world.run(world.clock.seconds() + 10.0)
     assert leader.is_ready and world.checker.broken == []
 
--- a/tests/test_standby_command.py
+++ b/tests/test_standby_command.py
@@ -40,14 +40,14 @@
 
 @pytest.fixture
 def controllers() -> Iterator[Controllers]:
-    found = Controllers()
+    fake = Controllers()
     addresses = {"rig-0": "rig-0:81", "rig-1": "rig-1:81", "rig-2": "rig-2:81"}
     with (
-        mock.patch.object(command, "call", found.call),
+        mock.patch.object(command, "call", fake.call),
         mock.patch.object(command, "addresses", lambda settings: addresses),
         mock.patch.object(command, "load", lambda path: settings()),
     ):
-        yield found
+        yield fake
 
 
 def run(*words: str) -> tuple[int, str]:
