--- a/src/beamspar/decision_log/decisions.py
+++ b/src/beamspar/decision_log/decisions.py
@@ -113,7 +113,7 @@
 
 
 class LeaderState:
-    """The state that results from the decisions in the log, which no stored record holds.
+    """The state that results from the leader's decisions and that no stored record holds.
 
     This state only saves a successor time and cost. Safety depends on the stored records alone.
     """
--- a/src/beamspar/sharing/handover.py
+++ b/src/beamspar/sharing/handover.py
@@ -42,7 +42,7 @@
 Prepare = Callable[[str, PrepareRequest], Awaitable[PrepareReply]]
 
 
-class Handover:
+class ShardHandover:
     """Owns the moves in progress while this controller leads."""
 
     def __init__(
--- a/src/beamspar/sharing/planner_inputs.py
+++ b/src/beamspar/sharing/planner_inputs.py
@@ -7,7 +7,7 @@
 from beamspar.cluster.registration import Registration
 from beamspar.leader.leader import Leader
 from beamspar.leader.shard_distribution import zone_of
-from beamspar.sharing.handover import Handover
+from beamspar.sharing.handover import ShardHandover
 from beamspar.sharing.leave import leaving_members
 from beamspar.sharing.planner import DemandAverage, Holding, Load
 from beamspar.state.control_records import MachineShard
@@ -53,7 +53,7 @@
         registration: Registration,
         leader: Leader,
         timeouts: Timeouts,
-        handover: Handover,
+        handover: ShardHandover,
         scale_in: ScaleInView,
     ) -> None:
         self.clock = clock
--- a/src/beamspar/sharing/service.py
+++ b/src/beamspar/sharing/service.py
@@ -12,7 +12,7 @@
 from beamspar.leader.leader import Leader
 from beamspar.machines.machine_controller import MachineController
 from beamspar.protocol.peer_messages import decode, encode
-from beamspar.sharing.handover import Handover, send_prepare
+from beamspar.sharing.handover import ShardHandover, send_prepare
 from beamspar.sharing.leave import Leave, leaving_members
 from beamspar.sharing.messages import (
     LeaveRequest,
@@ -58,7 +58,7 @@
         self.transfer = Transfer(clock, registration, machine_controller, timeouts, send)
         self.leave = Leave(clock, registration, state, leader, timeouts, resign)
         scale_in = ScaleInView(registration, leader)
-        self.handover = Handover(
+        self.handover = ShardHandover(
             clock, registration, self.shard_leasing, timeouts, self._prepare, scale_in.is_pinned
         )
         self.inputs = PlannerInputs(clock, registration, leader, timeouts, self.handover, scale_in)
--- a/src/beamspar/standby/hand_over.py
+++ b/src/beamspar/standby/hand_over.py
@@ -108,17 +108,17 @@
         reply: TakeLeadReply = decode(body, TakeLeadReply)
         return reply.is_taken
 
-    async def _wait_for_complete_follower(self, wanted: str, deadline: float) -> str | None:
+    async def _wait_for_complete_follower(self, wanted_member: str, deadline: float) -> str | None:
         """Wait for a follower that has replicated all decisions made before this call.
 
-        Return `wanted` if it is given, otherwise the first complete follower in the succession.
-        Return None if there is no such follower by `deadline`.
+        Return `wanted_member` if it is set, otherwise the first complete follower in the
+        succession. Return None if there is no such follower by `deadline`.
         """
         index = self._decision_log.index
         while True:
             for member in self.succession():
                 is_complete = self._decision_log.followers[member].index >= index
-                if wanted in ("", member) and is_complete:
+                if wanted_member in ("", member) and is_complete:
                     return member
             if self._context.clock.seconds() >= deadline:
                 return None
