--- a/tests/reshuffle.py
+++ b/tests/reshuffle.py
@@ -32,7 +32,7 @@
 START_S, SETTLE_S = 60.0, 60.0
 
 
-class Spread(msgspec.Struct):
+class Distribution(msgspec.Struct):
     """A distribution, in seconds."""
 
     count: int
@@ -41,7 +41,7 @@
     most: float = 0.0
 
     @classmethod
-    def of(cls, values: list[float]) -> Spread:
+    def of(cls, values: list[float]) -> Distribution:
         """Return the distribution of these values."""
         if not values:
             return cls(0)
@@ -65,10 +65,10 @@
     tasks_started_again: int
     # Time from the write of a shard's record to the first contact with a machine under the new
     # fencing token: of moves without a fault in that time, and of all moves.
-    gap_undisturbed: Spread
-    gap_all: Spread
-    submit_quiet: Spread
-    submit_moving: Spread
+    gap_undisturbed: Distribution
+    gap_all: Distribution
+    submit_quiet: Distribution
+    submit_moving: Distribution
     block_writes: int
     load_before: float
     load_after: float
@@ -194,7 +194,7 @@
                 self._contact(gap)
             seen = len(gaps)
         self.is_submitting = self.is_reshuffling = False
-        written = [e.get("put") or e["drop"] for _, e in world.state.history[writes:]]
+        written_keys = [e.get("put") or e["drop"] for _, e in world.state.history[writes:]]
         await sleep(clock, 20.0)
         for name in world.names:
             await self.send(name, "leave", {"undo": True})
@@ -205,7 +205,7 @@
             for job in world.checker.accepted
             if jobs[job]["shape"] == "sweep" and world.status(job) != "done"
         ]
-        again = [
+        extra_starts = [
             world.checker.start_counts.get(job, 0) - jobs[job]["parcels"]
             for job in world.checker.accepted
             if jobs[job]["shape"] == "sweep"
@@ -219,12 +219,12 @@
             ownership_faults=list(world.ownership.faults),
             unfinished=unfinished,
             accepted=len(world.checker.accepted),
-            tasks_started_again=sum(max(count, 0) for count in again),
-            gap_undisturbed=Spread.of(undisturbed),
-            gap_all=Spread.of([gap for _, gap, _ in self.contacts]),
-            submit_quiet=Spread.of(self.latencies[False]),
-            submit_moving=Spread.of(self.latencies[True]),
-            block_writes=sum(1 for key in written if key.startswith("c/block/")),
+            tasks_started_again=sum(max(count, 0) for count in extra_starts),
+            gap_undisturbed=Distribution.of(undisturbed),
+            gap_all=Distribution.of([gap for _, gap, _ in self.contacts]),
+            submit_quiet=Distribution.of(self.latencies[False]),
+            submit_moving=Distribution.of(self.latencies[True]),
+            block_writes=sum(1 for key in written_keys if key.startswith("c/block/")),
             load_before=load_before,
             load_after=os.getloadavg()[0],
             commands=commands,
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -230,24 +230,28 @@
     world = running()
     shard, source, target = world.choose_move()
     sent: list[bytes] = []
-    request = world._carry
+    carry = world._carry
 
-    def keep(*call: Any) -> Any:
-        if call[3] == "/peer/release":
-            sent.append(call[4])
-        return request(*call)
+    def recording_carry(*arguments: Any) -> Any:
+        if arguments[3] == "/peer/release":
+            sent.append(arguments[4])
+        return carry(*arguments)
 
-    world._carry = keep
+    world._carry = recording_carry
     for to in (target, source, target):
         world.send_and_wait(world.leader(), "move", {"block": shard, "to": to})
         world.run(world.clock.seconds() + 3)
-    taken = [world.nodes[name].sharing.transfer.taken_over_count for name in (source, target)]
-    assert len(sent) >= 3 and taken[0] >= 2 and taken[1] >= 4
+    taken_over_counts = [
+        world.nodes[name].sharing.transfer.taken_over_count for name in (source, target)
+    ]
+    assert len(sent) >= 3 and taken_over_counts[0] >= 2 and taken_over_counts[1] >= 4
     for body in list(sent):
         for member in (source, target):
             world.send(member, "release", None, body)
     world.run(world.clock.seconds() + 2)
-    assert [world.nodes[n].sharing.transfer.taken_over_count for n in (source, target)] == taken
+    assert [
+        world.nodes[n].sharing.transfer.taken_over_count for n in (source, target)
+    ] == taken_over_counts
     world.run(95)
     check_whole(world)
 
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -180,13 +180,17 @@
     world.run(world.clock.seconds() + 0.5)
     old = world.leader()
     rented = len(world.cloud.machines)
-    first = set(world.cloud.instances_by_request)
+    requests_before = set(world.cloud.instances_by_request)
     world.crash(old, None)
     run_until_failover(world, old)
     world.run(world.clock.seconds() + 6.0)
     # Machines for the headroom may still be rented, but not the job's machines a second time.
-    more = len(world.cloud.machines) - rented
-    assert more <= 2, (rented, more, set(world.cloud.instances_by_request) - first)
+    new_machines = len(world.cloud.machines) - rented
+    assert new_machines <= 2, (
+        rented,
+        new_machines,
+        set(world.cloud.instances_by_request) - requests_before,
+    )
 
 
 def test_an_indeterminate_rental_is_repeated_under_its_name() -> None:
