--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -107,7 +107,7 @@
 
 
 def test_alternating_demand_causes_hardly_any_moves() -> None:
-    """Planned by the last heartbeat alone, the same shards move back and forth with the demand."""
+    """Plans from the last heartbeat alone would move the same shards back and forth."""
     average = DemandAverage(68.0)
     holdings = shards("a", 20) + shards("b", 20)
     moved = {"averaged": 0, "last": 0}
