--- a/src/beamspar/protocol/cloud.py
+++ b/src/beamspar/protocol/cloud.py
@@ -12,7 +12,7 @@
 
     STARTING = "starting"
     RUNNING = "running"
-    # It stopped by itself: it is listed until it is deleted, and no longer charged.
+    # It stopped by itself. It remains listed until it is deleted, and is no longer charged.
     FAILED = "failed"
 
 
--- a/src/beamspar/protocol/codec.py
+++ b/src/beamspar/protocol/codec.py
@@ -32,7 +32,7 @@
 def convert(data: Any, kind: Any) -> Any:
     """Return decoded data as a message of type `kind`; raises InvalidInputError if invalid.
 
-    A malformed reply therefore fails only its call, and never this process.
+    A malformed response therefore fails only its call, and never this process.
     """
     try:
         return msgspec.convert(data, kind)
--- a/src/beamspar/protocol/peer_messages.py
+++ b/src/beamspar/protocol/peer_messages.py
@@ -80,7 +80,7 @@
     task: str
     attempt: int
     action: DesiredAction
-    # The resources that it takes; left out if it is only to be stopped or cleared.
+    # The resources that it takes; omitted if it is only to be stopped or cleared.
     cpus: float = 0.0
     gpus: float = 0.0
     memory_gb: float = 0.0
@@ -183,7 +183,8 @@
     # Its free resources and cached images.
     capacity: MachineCapacity = msgspec.field(name="room")
     fencing_token: int = msgspec.field(name="number")
-    # Its worker has reported the fencing token of the latest commands, so its reports are complete.
+    # Its worker has reported the fencing token of the latest commands, so its heartbeats are
+    # complete.
     has_confirmed_token: bool = msgspec.field(name="fresh")
     # Its worker has sent no heartbeat for so long that its lease has expired.
     is_expired: bool = msgspec.field(name="lost")
@@ -229,9 +230,9 @@
     # itself: by machine, images and their sizes in GB.
     caches_known: int = 0
     caches: dict[str, dict[str, float]] = {}
-    # Machines whose workers sent heartbeats here because their own controller doesn't respond.
+    # Machines whose workers sent heartbeats here because their machine controller doesn't respond.
     unserved_machines: list[str] = msgspec.field(name="strays", default_factory=list)
-    # There are more changes than fit into one message; the next heartbeat continues from here.
+    # There are more changes than fit into one message; the next heartbeat continues with the rest.
     is_partial: bool = msgspec.field(name="partial", default=False)
     # The number of its jobs' tasks that are bound or pending, and the lateness of its timers.
     demand: int = 0
@@ -243,8 +244,8 @@
 
     # Whether the receiver of the heartbeat leads.
     is_leading: bool = msgspec.field(name="leading")
-    # Every live member has sent its heartbeat or the time for it is over, so the leader offers
-    # capacity.
+    # Whether the leader offers capacity, which it does once every live member has sent its
+    # heartbeat or the time for that has passed.
     is_ready: bool = msgspec.field(name="ready", default=False)
     # The heartbeat's changes were applied; otherwise the next heartbeat must be a full snapshot.
     is_accepted: bool = msgspec.field(name="taken", default=False)
@@ -293,7 +294,7 @@
 _MACHINE_STATUS_BYTES = 1024
 _DESIRED_ATTEMPT_BYTES = 256
 _ATTEMPT_STATUS_BYTES = 256
-# The maximum number of each in one message, so that they fill at most half of it.
+# The maximum number of each in one message, which is then at most half full.
 MAX_MACHINE_STATUSES = MAX_PEER_MESSAGE_BYTES // 2 // _MACHINE_STATUS_BYTES
 MAX_DESIRED_ATTEMPTS = MAX_PEER_MESSAGE_BYTES // 2 // _DESIRED_ATTEMPT_BYTES
 MAX_ATTEMPT_STATUSES = MAX_PEER_MESSAGE_BYTES // 2 // _ATTEMPT_STATUS_BYTES
@@ -307,6 +308,6 @@
 def decode(body: bytes, kind: Any) -> Any:
     """Return JSON as a message of type `kind`.
 
-    Raises ValidationError or JSONDecodeError if it is malformed.
+    Raises msgspec.ValidationError or orjson.JSONDecodeError if it is malformed.
     """
     return msgspec.convert(orjson.loads(body), kind)
--- a/src/beamspar/protocol/workers.py
+++ b/src/beamspar/protocol/workers.py
@@ -47,7 +47,7 @@
 
 
 class WorkerHeartbeat(msgspec.Struct):
-    """A worker's report about itself; heartbeats are ordered by (agent_epoch, seq)."""
+    """A heartbeat, in which a worker reports its state; ordered by (agent_epoch, seq)."""
 
     machine: str = msgspec.field(name="rig")
     # HOST:PORT that receives direct commands.
--- a/src/beamspar/state/client.py
+++ b/src/beamspar/state/client.py
@@ -26,21 +26,21 @@
 from beamspar.transport.clock import Clock, sleep
 from beamspar.transport.http import CallFailedError, HttpResponse, Net
 
-# The error text with which the service rejects a put under an expired lease (PROTOCOL).
+# The error text with which the service rejects a put under an expired lease, as fixed by its API.
 LEASE_NOT_FOUND = "no such lease"
 # Users' polls are admitted after accepts, which have the same priority but a lower weight.
 POLL_WEIGHT = 1.0
 # Factor on each controller's equal share of the service's rates, as not all are busy at once.
 SHARE_FACTOR = 1.25
-# The fraction of its share that a controller uses: for requests always, for changes as the lower
-# bound that refusals of the service can reduce their rate to.
+# The fraction of its share that a controller uses. It always applies to the rate of requests, but
+# only to the lower bound of the rate of changes, down to which refusals reduce that rate.
 REQUEST_MARGIN = 0.8
 MIN_CHANGE_MARGIN = 0.8
 # The fraction of the service's rate that one controller's changes may reach while others are idle.
 MAX_CHANGE_SHARE = 0.9
 # The lower bound of a controller's fair rate, per second.
 MIN_FAIR_RATE_PER_S = 2.0
-# Retries of a transaction that the service refuses because of its rate limit.
+# The maximum number of retries of a transaction that the service refuses because of its rate limit.
 MAX_RATE_LIMIT_RETRIES = 5
 # Rows per page of a scan.
 ROWS_PER_PAGE = 1000
@@ -72,8 +72,8 @@
     floods it causes lease renewals of the others to be refused. So each keeps to its share.
 
     Every call raises StateUnavailableError if it was not executed or was a read without a usable
-    reply. Calls that change something raise its subclass OutcomeUnknownError if they may have been
-    executed.
+    response. Calls that change something raise its subclass OutcomeUnknownError if they may have
+    been executed.
     """
 
     def __init__(self, clock: Clock, net: Net, settings: Settings, timeouts: Timeouts) -> None:
@@ -87,9 +87,9 @@
         self.request_limiter = request_limiter(clock, limits, controller_count)
         self.change_limiter = change_limiter(clock, limits, controller_count)
         self._queue = RequestQueue(clock, self.request_limiter, self.change_limiter)
-        # Since when calls of the service have failed; None while they succeed.
+        # Since when calls to the service have failed; None while they succeed.
         self.failing_since: float | None = None
-        # When the service last replied without a server error; rate limit refusals count as well.
+        # When the service last responded without a server error; rate limit refusals count too.
         self.last_success_at = NEVER
 
     def polls_backlog_s(self) -> float:
@@ -114,55 +114,57 @@
     async def _call(
         self, method: str, path: str, body: Any, timeout_s: float, is_change: bool
     ) -> tuple[int, dict[str, Any]]:
-        """Send an admitted request; return the status and the decoded body of the reply."""
-        # Raised for a call without a usable reply: a change may have been executed.
-        no_reply_error = OutcomeUnknownError if is_change else StateUnavailableError
+        """Send an admitted request; return the status and the decoded body of the response."""
+        # Raised for a call without a usable response: a change may have been executed.
+        no_response_error = OutcomeUnknownError if is_change else StateUnavailableError
         encoded_body = pack(body) if body is not None else None
         try:
-            answer = await self._net.request(method, self._address, path, encoded_body, timeout_s)
+            response = await self._net.request(method, self._address, path, encoded_body, timeout_s)
         except CallFailedError as error:
             self._record_outcome(served=False)
-            raise no_reply_error(str(error)) from error
-        self._raise_if_not_executed(method, path, answer, is_change)
-        if answer.status >= 500:
+            raise no_response_error(str(error)) from error
+        self._raise_if_not_executed(method, path, response, is_change)
+        if response.status >= 500:
             self._record_outcome(served=False)
-            raise no_reply_error(f"{method} {path}: reply with status {answer.status}")
+            raise no_response_error(f"{method} {path}: response with status {response.status}")
         try:
-            data = unpack(answer.body) if answer.body else {}
+            data = unpack(response.body) if response.body else {}
         except msgspec.DecodeError as error:
-            raise no_reply_error(
-                f"{method} {path}: reply is not valid MessagePack: {error}"
+            raise no_response_error(
+                f"{method} {path}: response is not valid MessagePack: {error}"
             ) from error
         self._record_outcome(served=True)
-        return answer.status, data if isinstance(data, dict) else {}
+        return response.status, data if isinstance(data, dict) else {}
 
     def _raise_if_not_executed(
-        self, method: str, path: str, answer: HttpResponse, is_change: bool
+        self, method: str, path: str, response: HttpResponse, is_change: bool
     ) -> None:
-        """Raise an error if the reply states that the request was not executed."""
-        if answer.status == 429:
+        """Raise an error if the response states that the request was not executed."""
+        if response.status == 429:
             self._record_outcome(served=True)
             if not is_change:
                 self.request_limiter.on_refused()
             raise RateLimitedError(f"{method} {path}: rate limit exceeded (status 429)")
-        if answer.status == 503:
+        if response.status == 503:
             self._record_outcome(served=False)
             raise StateUnavailableError(
-                f"{method} {path}: service unavailable (status {answer.status})"
+                f"{method} {path}: service unavailable (status {response.status})"
             )
 
     def _convert(self, data: Any, target_type: Any, status: int) -> Any:
         if status != 200:
-            raise StateUnavailableError(f"reply to a read has unexpected status {status}")
+            raise StateUnavailableError(f"response to a read has unexpected status {status}")
         try:
             return msgspec.convert(data, target_type)
         except msgspec.ValidationError as error:
-            raise StateUnavailableError(f"malformed reply to a read: {error}") from error
+            raise StateUnavailableError(f"malformed response to a read: {error}") from error
 
     def _revision(self, data: dict[str, Any]) -> int:
         revision = data.get("ledger_rev")
         if not isinstance(revision, int):
-            raise StateUnavailableError("malformed reply to a read: ledger_rev is not an integer")
+            raise StateUnavailableError(
+                "malformed response to a read: ledger_rev is not an integer"
+            )
         return revision
 
     # -- reads
@@ -211,7 +213,7 @@
             last_key = rows[-1].key
 
     async def watch(self, prefix: str, since: int, hold_s: float) -> tuple[list[WatchEvent], int]:
-        """Return the changes below the prefix after a revision, and the revision they lead to.
+        """Return the changes below the prefix since a revision, and the revision that they lead to.
 
         Waits up to `hold_s` for a change, and returns an empty list if none occurs. Raises
         CompactedError if the service no longer keeps all changes after the given revision.
@@ -257,7 +259,7 @@
         revision = data.get("ledger_rev")
         if status != 200 or not isinstance(revision, int):
             raise OutcomeUnknownError(
-                f"malformed reply to a transaction: status {status}, ledger_rev {revision!r}"
+                f"malformed response to a transaction: status {status}, ledger_rev {revision!r}"
             )
         return revision
 
@@ -290,7 +292,7 @@
         lease_id = data.get("permit")
         if status != 200 or not isinstance(lease_id, int):
             raise StateUnavailableError(
-                f"malformed reply to a lease grant: status {status}, permit {lease_id!r}"
+                f"malformed response to a lease grant: status {status}, permit {lease_id!r}"
             )
         return lease_id
 
@@ -302,7 +304,9 @@
         if status == 404:
             raise LeaseExpiredError(f"lease {lease_id} has expired")
         if status != 200:
-            raise StateUnavailableError(f"reply to a lease renewal has unexpected status {status}")
+            raise StateUnavailableError(
+                f"response to a lease renewal has unexpected status {status}"
+            )
 
     async def revoke_lease(self, lease_id: int) -> None:
         """Revoke a lease, which removes the keys that are stored under it."""
@@ -311,5 +315,5 @@
         status, _ = await self._call("DELETE", path, None, self._timeout_s, True)
         if status not in (200, 204, 404):
             raise StateUnavailableError(
-                f"reply to a lease revocation has unexpected status {status}"
+                f"response to a lease revocation has unexpected status {status}"
             )
--- a/src/beamspar/state/errors.py
+++ b/src/beamspar/state/errors.py
@@ -8,11 +8,11 @@
 
 
 class StateUnavailableError(Exception):
-    """The request was not executed, or was a read without a usable reply: retry it later."""
+    """The request was not executed, or was a read without a usable response: retry it later."""
 
 
 class OutcomeUnknownError(StateUnavailableError):
-    """A change without a usable reply: it may have been executed, or may be executed later."""
+    """A change without a usable response: it may have been executed, or may be executed later."""
 
 
 class RateLimitedError(StateUnavailableError):
--- a/src/beamspar/state/job_records.py
+++ b/src/beamspar/state/job_records.py
@@ -37,7 +37,8 @@
 TASK_BYTES = 44
 # The fraction of a value that is available to tasks; the rest is for the specification.
 TASKS_SHARE_OF_VALUE = 1 / 2
-# The size limit of a transaction in KiB (PROTOCOL), and the fraction of it that is used.
+# The size limit of a transaction in KiB, as fixed by the state service's API, and the fraction of
+# it that is used.
 MAX_TRANSACTION_KB = 64.0
 TRANSACTION_FILL_RATIO = 0.75
 BYTES_PER_KB = 1024
--- a/src/beamspar/state/rate_limiter.py
+++ b/src/beamspar/state/rate_limiter.py
@@ -13,9 +13,9 @@
 class RateLimiter:
     """A token bucket with a rate that grows while tokens are short and the service refuses nothing.
 
-    All controllers seldom have much to write at the same time. One with a hundred records to move
-    may use the rate that the others leave unused. When they use it, refusals by the service reduce
-    the rate to this controller's fair share again.
+    It is rare that all controllers have much to write at the same time. A controller with a hundred
+    records to move may use the rate that the others leave unused. Once the others use it, refusals
+    by the service reduce the rate of this controller to its fair share again.
 
     `rate` is the present rate per second. `available` is the number of tokens left; it may be
     negative, as urgent requests don't wait for tokens.
--- a/src/beamspar/state/request_queue.py
+++ b/src/beamspar/state/request_queue.py
@@ -11,7 +11,7 @@
 from beamspar.state.rate_limiter import RateLimiter
 from beamspar.transport.clock import Clock
 
-# The lower bound of the delay until the queue is checked again for enough tokens.
+# The shortest delay after which the queue is checked again, when tokens are short.
 MIN_DELAY_S = 0.005
 
 
