--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,6 +1,6 @@
-"""Run the tests that fail for a known fault apart from the others, and excuse their failure.
+"""Run the tests with known faults apart from the others, and excuse their failure.
 
-KNOWN-RED.txt at the root has one line for each, at most three: test, cause, issue. With
+KNOWN-RED.txt at the root lists them, one per line and at most three: test, cause, issue. With
 `--deselect` this prints the pytest arguments that keep them out of the main run. Without it, this
 runs them, prints their lines, and fails if there are more than three, if a line names no test, or
 if a listed test passes.
@@ -33,12 +33,12 @@
 
 def check(root: Path) -> int:
     """Run the listed tests and print their results; return 0 if all fail as listed, else 1."""
-    found = entries(root)
+    listed = entries(root)
     status = 0
-    if len(found) > MAX_ENTRIES:
-        print(f"KNOWN-RED.txt: {len(found)} entries, {MAX_ENTRIES} at most")
+    if len(listed) > MAX_ENTRIES:
+        print(f"KNOWN-RED.txt: {len(listed)} entries, {MAX_ENTRIES} at most")
         status = 1
-    for test, line in found:
+    for test, line in listed:
         exit_status = run_test(root, test)
         result = {0: "passes: take it off the list", 1: "red"}.get(exit_status, "names no test")
         print(f"known red: {line}: {result}")
--- a/src/beamspar/settings.py
+++ b/src/beamspar/settings.py
@@ -48,7 +48,7 @@
 class Objective(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
     """A service-level objective for one class of jobs."""
 
-    # What it limits; only WAIT_OBJECTIVE is used here.
+    # What it limits; only WAIT_OBJECTIVE is used.
     kind: str = ""
     job_class: str = ""
     # The time limit, and the share of cases that are to meet it.
@@ -94,7 +94,7 @@
 
     @property
     def smallest(self) -> StateServiceLimits:
-        """The smaller one of each present and announced limit.
+        """The smaller of the present and the announced value of each limit.
 
         All writes stay within these, because the change takes effect without further notice.
         """
@@ -141,12 +141,12 @@
 
     def start_within(self, job_class: str) -> float:
         """Return the seconds within which tasks of the class should start; 0 if not limited."""
-        found = [
+        limits_s = [
             objective.within_s
             for objective in self.objectives
             if objective.kind == WAIT_OBJECTIVE and objective.job_class == job_class
         ]
-        return min(found, default=0.0)
+        return min(limits_s, default=0.0)
 
 
 class Settings(msgspec.Struct, frozen=True, rename={"platform": "facts", "peers": "siblings"}):
--- a/src/beamspar/transport/clock.py
+++ b/src/beamspar/transport/clock.py
@@ -22,10 +22,13 @@
         """Call the function after `delay` seconds; the returned timer can be cancelled."""
 
 
-def spawn(work: Coroutine[Any, Any, Any], what: str) -> Deferred[Any]:
-    """Run a coroutine in the background, and log its failure, as no caller awaits it."""
+def spawn(work: Coroutine[Any, Any, Any], label: str) -> Deferred[Any]:
+    """Run a coroutine in the background, and log its failure, as no caller awaits it.
+
+    `label` names the work in that log line.
+    """
     done = ensureDeferred(work)
-    done.addErrback(lambda failure: log.failure("{what} failed", failure, what=what))
+    done.addErrback(lambda failure: log.failure("{label} failed", failure, label=label))
     return done
 
 
--- a/src/beamspar/transport/connection_limits.py
+++ b/src/beamspar/transport/connection_limits.py
@@ -11,14 +11,14 @@
 
 # Shares of all sockets: connections from users and workers, connections from peers, and direct
 # commands to workers. The number of connections to peers follows from the number that a peer
-# accepts. The rest is for the state service and the cloud, whose calls are bounded by rate limits,
-# and for a margin.
+# accepts. The remaining sockets are for calls to the state service and the cloud, which rate limits
+# bound, and for a margin.
 PUBLIC_SHARE = 0.55
 PEERS_SHARE = 0.08
 WORKER_COMMANDS_SHARE = 0.15
 # The share of a server's connection limit up to which connections are kept alive between requests.
-# Each further one is closed with its first response, so that a controller that is the only one
-# left, with more workers than sockets, can still respond to every worker.
+# Each further one is closed after its first response, so that the only controller still running can
+# respond to every worker even if there are more workers than sockets.
 KEEP_ALIVE_SHARE = 0.8
 # The path of direct commands to a worker, and the prefix of the paths of calls to peers.
 WORKER_COMMANDS_PATH = "/orders"
@@ -55,7 +55,7 @@
 class ConnectionLimits:
     """Owns the limits on concurrent calls to workers and to peers.
 
-    If many of them hang, each call holds its socket until its timeout.
+    If many workers or peers hang, each call to one of them holds its socket until its timeout.
     """
 
     def __init__(self, sockets: Sockets) -> None:
--- a/src/beamspar/transport/http_client.py
+++ b/src/beamspar/transport/http_client.py
@@ -299,7 +299,7 @@
         now = self._clock.seconds()
         for connection in [c for idle in self._idle.values() for c in idle]:
             if now - connection.idle_since >= self._idle_s:
-                # Removed at once, as a call sent before the end is observed would be lost.
+                # Removed at once: a call sent on it before its end is observed would be lost.
                 self.remove(connection)
                 connection.transport.loseConnection()
             else:
--- a/src/beamspar/transport/http_server.py
+++ b/src/beamspar/transport/http_server.py
@@ -15,8 +15,8 @@
 
 log = Logger(namespace="http")
 
-# Headers that are not parsed, as nothing uses them: most requests carry some, at hundreds of
-# requests per second.
+# Headers that are not parsed, as nothing uses them. Most requests contain some of them, and there
+# are hundreds of requests per second.
 _IGNORED_HEADERS = (b"content-type:", b"host:", b"accept:", b"accept-encoding:", b"user-agent:")
 
 # Earlier than any reading of the clock.
@@ -41,7 +41,7 @@
 
 
 class _Request(Request):
-    """A request that is passed directly to the site's handler, and answered in one write.
+    """A request that is passed directly to the site's handler; its response is sent in one write.
 
     The resources, sessions, forms and content-type parsing of twisted.web would take more than
     half of the processor time of a worker's heartbeat or a user's poll.
@@ -62,36 +62,36 @@
         }
         site: Site = self.channel.factory
         body = self.content.read(site.body_limit + 1) if self.content is not None else b""
-        call = HttpRequest(self.method.decode("latin1"), self.path.decode("latin1"), query, body)
-        spawn(self._serve(site, call), f"{call.method} {call.path}")
+        request = HttpRequest(self.method.decode("latin1"), self.path.decode("latin1"), query, body)
+        spawn(self._serve(site, request), f"{request.method} {request.path}")
 
-    async def _serve(self, site: Site, call: HttpRequest) -> None:
-        answer = await self._answer(site, call)
+    async def _serve(self, site: Site, request: HttpRequest) -> None:
+        response = await self._call_handler(site, request)
         if not self.is_client_disconnected:
-            self._send(answer, has_body=call.method != "HEAD")
+            self._send(response, has_body=request.method != "HEAD")
 
-    async def _answer(self, site: Site, call: HttpRequest) -> HttpResponse:
-        if len(call.body) > site.body_limit:
+    async def _call_handler(self, site: Site, request: HttpRequest) -> HttpResponse:
+        if len(request.body) > site.body_limit:
             return HttpResponse(400)
         try:
-            return await site.handler(call)
+            return await site.handler(request)
         except Exception:
-            log.failure("{method} {path} failed", method=call.method, path=call.path)
+            log.failure("{method} {path} failed", method=request.method, path=request.path)
             return HttpResponse(500)
 
-    def _send(self, answer: HttpResponse, has_body: bool) -> None:
+    def _send(self, response: HttpResponse, has_body: bool) -> None:
         lines = [
-            b"HTTP/1.1 %d %s" % (answer.status, RESPONSES.get(answer.status, b"")),
+            b"HTTP/1.1 %d %s" % (response.status, RESPONSES.get(response.status, b"")),
             b"content-type: application/msgpack",
-            b"content-length: %d" % len(answer.body),
+            b"content-length: %d" % len(response.body),
         ]
-        lines += [f"{name}: {value}".encode() for name, value in answer.headers]
+        lines += [f"{name}: {value}".encode() for name, value in response.headers]
         channel: Any = self.channel
         if not channel.may_stay_open:
             channel.persistent = False
         if not channel.persistent:
             lines.append(b"connection: close")
-        body = answer.body if has_body else b""
+        body = response.body if has_body else b""
         self.startedWriting = 1
         channel.write(b"\r\n".join([*lines, b"", body]))
         self.finish()  # type: ignore[no-untyped-call]
--- a/src/beamspar/transport/tcp.py
+++ b/src/beamspar/transport/tcp.py
@@ -19,17 +19,17 @@
 from beamspar.transport.http_client import HttpClient
 from beamspar.transport.http_server import Site
 
-# Connections that may wait to be accepted by a listening socket.
+# The maximum number of connections that wait to be accepted by a listening socket.
 LISTEN_BACKLOG = 256
 
 
 class SteadyReactor(EPollReactor):
     """A reactor on the monotonic clock.
 
-    Twisted's reactor takes `seconds` and all its timers from the wall clock, which may be off by
-    up to two seconds within its bound, more than the safety margins of the leases. With it, a
-    machine controller declared machines expired whose leases were still valid and which still ran
-    tasks.
+    Twisted's reactor takes `seconds` and all its timers from the wall clock. That may drift by up
+    to two seconds within its permitted bound, which is more than the safety margins of the leases.
+    With it, a machine controller declared machines expired whose leases were still valid and which
+    still ran tasks.
     """
 
     seconds = staticmethod(time.monotonic)
