--- a/tests/standins/checker.py
+++ b/tests/standins/checker.py
@@ -1,4 +1,4 @@
-"""Checks the service's guarantees against what workers do and which replies users get."""
+"""Checks the service's guarantees against what workers do and which responses users get."""
 
 from __future__ import annotations
 
@@ -25,22 +25,24 @@
         # What users submitted, by job ID.
         self.jobs: dict[str, dict[str, Any]] = {}
         # By task: the machines that it is on now, each with the attempt.
-        # By machine: its type, its zone and whether it is a spot machine.
-        # By job: the indexes of its completed tasks.
         self.placements: dict[str, set[tuple[str, int]]] = {}
+        # By machine: its type, its zone and whether it is a spot machine.
         self.machines: dict[str, tuple[str, str, bool]] = {}
+        # By job: the indexes of its completed tasks.
         self.done: dict[str, set[int]] = {}
-        # By job: when a user was first sent that it is accepted.
+        # By job: when a user first got a response that it is accepted.
         self.accepted: dict[str, float] = {}
         # Jobs that must be rejected: they fit no machine type or lack a field.
         self.invalid: set[str] = set()
-        # By job: when a query was last answered; since when it has been pending though it fits.
+        # By job: when a query was last answered.
         self.last_answered: dict[str, float] = {}
+        # By job: since when it has had pending tasks of which one could run.
         self.waiting_since: dict[str, float] = {}
         # Called when the last task of a job completes.
         self.on_finished: Callable[[str], None] = lambda job: None
-        # Jobs that were ever submitted, and by job the final state that users were sent, and when.
+        # Jobs that were ever submitted.
         self.requested: set[str] = set()
+        # By job: the final state in responses to users, and when it was first sent.
         self.final_answers: dict[str, tuple[str, float]] = {}
         # Numbers of started attempts: of all jobs, and by job.
         self.started = 0
@@ -56,9 +58,9 @@
     def start(self, task: str, attempt: int, machine: str) -> None:
         """Record and check that an attempt starts on a machine."""
         self.started += 1
-        others = [m for m, _ in self.placements.get(task, set()) if m != machine]
-        if others:
-            self.report("ran_twice", f"{task} starts on {machine}, is on {others}")
+        other_machines = [m for m, _ in self.placements.get(task, set()) if m != machine]
+        if other_machines:
+            self.report("ran_twice", f"{task} starts on {machine}, is on {other_machines}")
         job, _, _ = task.partition("/")
         self.start_counts[job] = self.start_counts.get(job, 0) + 1
         spec = self.jobs[job]
@@ -145,10 +147,10 @@
         if (cpus_max and cpus > cpus_max + 1e-6) or (gpus_max and gpus > gpus_max + 1e-6):
             self.report("quota", f"{team} uses {cpus} cpus and {gpus} gpus")
 
-    # -- replies to users
+    # -- responses to users
 
     def submitted(self, job: str, status: int) -> None:
-        """Record and check the status of a reply to a submission of the job."""
+        """Record and check the status of a response to a submission of the job."""
         if status in (200, 201):
             self.accepted.setdefault(job, self.clock.seconds())
             if job in self.invalid:
@@ -157,10 +159,10 @@
             self.report("forgotten", f"{job} submitted again gets {status}")
 
     def answered(self, job: str, status: int, data: Any, sent_at: float | None = None) -> None:
-        """Record and check the reply to a query or cancellation.
+        """Record and check the response to a query or cancellation.
 
-        A reply may report a state older than the final one if the request was sent, at `sent_at`,
-        before the user was sent that final state.
+        A response may contain a state older than the final one if the request was sent, at
+        `sent_at`, before a user got the final state.
         """
         now = self.clock.seconds()
         if (
@@ -196,7 +198,7 @@
                 self.last_answered[job] = now
 
     def check_waiting(self, job: str, fits: bool, limit_s: float = 90.0) -> None:
-        """Check that no job has pending tasks for long while `fits`, i.e. one could run."""
+        """Check that the job has no pending tasks for long while `fits`: one of them could run."""
         now = self.clock.seconds()
         if not fits:
             self.waiting_since.pop(job, None)
--- a/tests/standins/gangs.py
+++ b/tests/standins/gangs.py
@@ -1,4 +1,4 @@
-"""How the tasks of a gang rendezvous, start, save a checkpoint and complete together."""
+"""Simulates how the tasks of a gang gather, start, save a checkpoint and complete together."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
     from tests.standins.workers import Worker
 
 Key = tuple[str, int]
-Member = tuple["Worker", Key, dict[str, Any]]
+GangTask = tuple["Worker", Key, dict[str, Any]]
 
 
 class Attempt:
-    """One attempt of a gang: its tasks by index, and its progress."""
+    """One attempt of a gang: its gathered tasks by index, and its progress."""
 
     def __init__(self, job: str) -> None:
         self.job = job
-        self.members: dict[int, Member] = {}
+        self.gang_tasks: dict[int, GangTask] = {}
         self.started_at: float | None = None
         # When the first stop command reached a running task.
         self.stopped_at: float | None = None
@@ -45,22 +45,22 @@
         self.first_started_at: dict[str, float] = {}
 
     def gather(self, worker: Worker, key: Key, task: dict[str, Any]) -> None:
-        """Let a task that has its image wait for the others of its attempt."""
+        """Let a task that has its image wait for the other tasks of its attempt."""
         job, _, index = key[0].partition("/")
         attempt = self.attempts.setdefault((job, key[1]), Attempt(job))
         task["status"] = "gathering"
-        attempt.members[int(index)] = (worker, key, task)
+        attempt.gang_tasks[int(index)] = (worker, key, task)
         self.clock.callLater(self.gather_timeout_s, self._stop_waiting, worker, key, task)
-        if len(attempt.members) == self.checker.jobs[job]["parcels"] and not attempt.is_ended:
+        if len(attempt.gang_tasks) == self.checker.jobs[job]["parcels"] and not attempt.is_ended:
             self._begin(attempt)
 
     def _begin(self, attempt: Attempt) -> None:
         attempt.started_at = self.clock.seconds()
         self.first_started_at.setdefault(attempt.job, attempt.started_at)
-        for worker, _, task in attempt.members.values():
+        for worker, _, task in attempt.gang_tasks.values():
             task["status"] = "running"
             worker.schedule_heartbeat()
-        for worker, key, _ in list(attempt.members.values()):
+        for worker, key, _ in list(attempt.gang_tasks.values()):
             if worker.hung:
                 self.lose_task(key)
         run_s = self.checker.jobs[attempt.job].get("run_s")
@@ -76,7 +76,7 @@
         if attempt.is_ended or attempt.stopped_at is not None:
             return
         attempt.is_ended = True
-        for worker, key, task in list(attempt.members.values()):
+        for worker, key, task in list(attempt.gang_tasks.values()):
             worker.finish(key, task, "done")
 
     def _progress(self, attempt: Attempt) -> float:
@@ -88,9 +88,9 @@
         """Handle that a task left its machine or that its machine hangs."""
         job, _, index = key[0].partition("/")
         attempt = self.attempts.get((job, key[1]))
-        if attempt is None or attempt.is_ended or int(index) not in attempt.members:
+        if attempt is None or attempt.is_ended or int(index) not in attempt.gang_tasks:
             return
-        del attempt.members[int(index)]
+        del attempt.gang_tasks[int(index)]
         if attempt.started_at is not None:
             self._fail(attempt)
 
@@ -104,7 +104,7 @@
         )
         if attempt.stopped_at is not None:
             self.failed_saves[attempt.job] = self.failed_saves.get(attempt.job, 0) + 1
-        for worker, key, task in list(attempt.members.values()):
+        for worker, key, task in list(attempt.gang_tasks.values()):
             delay_s = self.peer_timeout_s * self.rng.random()
             self.clock.callLater(delay_s, self._end_for_lost_peer, worker, key, task)
 
@@ -138,18 +138,18 @@
 
     def _check_stopped_together(self, attempt: Attempt) -> None:
         if not attempt.is_ended and any(
-            task["status"] != "saving" for _, _, task in attempt.members.values()
+            task["status"] != "saving" for _, _, task in attempt.gang_tasks.values()
         ):
             self._fail(attempt)
 
     def _task_saved(self, attempt: Attempt, task: dict[str, Any]) -> None:
         """Mark a task as saved; the checkpoint is complete once all tasks have saved."""
         task["has_saved"] = True
-        members = list(attempt.members.values())
-        if attempt.is_ended or not all(task.get("has_saved") for _, _, task in members):
+        gang_tasks = list(attempt.gang_tasks.values())
+        if attempt.is_ended or not all(task.get("has_saved") for _, _, task in gang_tasks):
             return
         attempt.is_ended = True
         self.checkpointed_s[attempt.job] = self._progress(attempt)
         self.saved_stops[attempt.job] = self.saved_stops.get(attempt.job, 0) + 1
-        for worker, key, member in members:
-            worker.finish(key, member, "stopped")
+        for worker, key, gang_task in gang_tasks:
+            worker.finish(key, gang_task, "stopped")
--- a/tests/standins/history.py
+++ b/tests/standins/history.py
@@ -12,7 +12,7 @@
 from beamspar.decision_log.messages import FollowReply
 from beamspar.decision_log.replica import Replica
 
-BLOCK, LEADER = "c/block/", "c/leader"
+SHARD_PREFIX, LEADER_KEY = "c/block/", "c/leader"
 
 
 class LeaderHistory:
@@ -56,11 +56,11 @@
             by_revision.setdefault(revision, []).append(event)
         shards: dict[str, list[str]] = {}
         for revision, events in sorted(by_revision.items()):
-            changed = [e for e in events if (e.get("put") or e["drop"]).startswith(BLOCK)]
+            changed = [e for e in events if (e.get("put") or e["drop"]).startswith(SHARD_PREFIX)]
             for event in changed:
                 machines = [m["name"] for m in event["data"]["machines"]] if "put" in event else []
                 shards[event.get("put") or event["drop"]] = machines
-            if changed and not any(event.get("put") == LEADER for event in events):
+            if changed and not any(event.get("put") == LEADER_KEY for event in events):
                 self.faults.append(f"blocks change without the lead at {revision}")
             names = [name for machines in shards.values() for name in machines] if changed else []
             if len(names) != len(set(names)):
@@ -79,15 +79,15 @@
             history.decided(log.term, log.index, decision)
 
     def watched_apply(replica: Replica, reply: FollowReply) -> bool:
-        before = replica.index
-        more = apply(replica, reply)
+        previous_index = replica.index
+        result = apply(replica, reply)
         is_restored = reply.is_snapshot and reply.is_last_part and not replica.snapshot_parts
         if is_restored and replica.term == reply.term:
             history.restored(id(replica), reply.term, reply.snapshot_index)
         for entry in [] if reply.is_snapshot else reply.entries:
-            if entry.index > before:
+            if entry.index > previous_index:
                 history.replicated(id(replica), reply.term, entry.index, entry.decision)
-        return more
+        return result
 
     with (
         mock.patch.object(DecisionLog, "decide", watched_decide),
--- a/tests/standins/loopback.py
+++ b/tests/standins/loopback.py
@@ -209,7 +209,7 @@
 
 
 def drive(reactor: Any, world: LoopbackWorld, work: Coroutine[Any, Any, Any]) -> Any:
-    """Run a tool's work on the deployment, then stop that.
+    """Run a tool's work on the deployment, then stop the deployment.
 
     Return the result of the work, or exit with status 1 if it fails.
     """
--- a/tests/standins/net.py
+++ b/tests/standins/net.py
@@ -1,4 +1,4 @@
-"""A simulated network on a test clock, with partitions, held messages and dead hosts."""
+"""A simulated network on a test clock, with partitions, held messages and stopped hosts."""
 
 from __future__ import annotations
 
@@ -36,28 +36,28 @@
         self.busy_until: dict[str, float] = {}
         # Total size of the request bodies between controllers.
         self.peer_bytes = 0
-        # By address with a limit: the maximum of open connections, and the open ones by caller with
-        # whether each stays open between calls. By host: its addresses with a limit.
-        self.most_connections: dict[str, int] = {}
+        # By address with a limit: the maximum number of open connections, and the open ones by name
+        # with whether each stays open between calls. By host: its addresses with a limit.
+        self.max_connections_at: dict[str, int] = {}
         self.connections: dict[str, dict[str, bool]] = {}
         self.limited_addresses: dict[str, set[str]] = {}
         # By host: its outgoing calls in flight, its limit of open sockets and its peak of these.
-        self.calls_under_way: dict[str, int] = {}
+        self.calls_in_flight: dict[str, int] = {}
         self.socket_limits: dict[str, int] = {}
         self.peak_sockets: dict[str, int] = {}
         self.rejected_connections = 0
         self.user_connections = 0
         # The host that sent the call being delivered.
         self.caller = ""
-        # The generation of its process: each restart of a host counts up.
+        # The generation of that host's process, which increases with each restart.
         self.caller_generation = 0
-        # Pairs of hosts of which the first can't open connections to the second.
+        # Pairs of hosts of which the first can't open connections to the second one.
         self.blocked_pairs: set[tuple[str, str]] = set()
         # Called with the sender and body of each request with commands to a worker.
         self.on_commands: Callable[[str, bytes], None] = lambda source, body: None
 
     def seconds_until_ready(self, host: str) -> float:
-        """Return in how many seconds the host runs again; it may run now if that is 0 or less."""
+        """Return the seconds until the host runs again; if 0 or negative, it may run now."""
         until = max(self.frozen.get(host, 0.0), self.busy_until.get(host, 0.0))
         return until - self.clock.seconds()
 
@@ -72,15 +72,15 @@
         self.handlers[address] = (host, handler)
         self.alive.add(host)
 
-    def cut(self, one: str, other: str, mode: str, both: bool = True) -> None:
+    def cut(self, source: str, target: str, mode: str, both: bool = True) -> None:
         """Cut messages from one host to the other, or both ways; the mode is `drop` or `hold`."""
-        self.cuts[(one, other)] = mode
+        self.cuts[(source, target)] = mode
         if both:
-            self.cuts[(other, one)] = mode
+            self.cuts[(target, source)] = mode
 
-    def heal(self, one: str, other: str) -> None:
+    def heal(self, host: str, other_host: str) -> None:
         """End the cuts between the two hosts and deliver held messages."""
-        for pair in ((one, other), (other, one)):
+        for pair in ((host, other_host), (other_host, host)):
             self.cuts.pop(pair, None)
         ready = [h for h in self.held_messages if self.cuts.get((h[0], h[1])) is None]
         self.held_messages = [
@@ -94,11 +94,11 @@
         incoming = sum(
             len(self.connections[address]) for address in self.limited_addresses.get(host, ())
         )
-        return incoming + self.calls_under_way.get(host, 0)
+        return incoming + self.calls_in_flight.get(host, 0)
 
-    def limit_connections(self, host: str, address: str, most: int) -> None:
-        """Allow at most `most` open connections at the address from now on."""
-        self.most_connections[address], self.connections[address] = most, {}
+    def limit_connections(self, host: str, address: str, max_connections: int) -> None:
+        """Limit the number of open connections at the address from now on."""
+        self.max_connections_at[address], self.connections[address] = max_connections, {}
         self.limited_addresses.setdefault(host, set()).add(address)
 
     def _open_connection(self, source: str, address: str) -> str | None:
@@ -106,20 +106,22 @@
 
         The name is empty if the address has no limit.
         """
-        most = self.most_connections.get(address)
+        max_connections = self.max_connections_at.get(address)
         connections = self.connections.setdefault(address, {})
-        if most is None:
+        if max_connections is None:
             return ""
-        # There are many users; each call of one uses a new connection.
+        # There are many users, so each of their calls uses a new connection.
         self.user_connections += 1
         name = source if source != "users" else f"users {self.user_connections}"
         if name in connections:
             return name
         host = self.handlers[address][0]
-        if len(connections) >= most or self.sockets(host) >= self.socket_limits.get(host, 1 << 30):
+        if len(connections) >= max_connections or self.sockets(host) >= self.socket_limits.get(
+            host, 1 << 30
+        ):
             self.rejected_connections += 1
             return None
-        connections[name] = source != "users" and may_stay_open(len(connections), most)
+        connections[name] = source != "users" and may_stay_open(len(connections), max_connections)
         self.peak_sockets[host] = max(self.peak_sockets.get(host, 0), self.sockets(host))
         return name
 
@@ -131,7 +133,7 @@
         return self.latency * (0.5 + self.rng.random())
 
     def carry(self, source: str, target: str, deliver: Callable[[], None]) -> None:
-        """Deliver one message after a random delay, unless the connection is cut."""
+        """Deliver one message after a random delay, unless its path is cut."""
         mode = self.cuts.get((source, target))
         if mode == "hold":
             self.held_messages.append((source, target, deliver))
@@ -155,35 +157,35 @@
         result: Deferred[HttpResponse] = Deferred()
         settled: list[bool] = []
         generation = self.generation.get(source, 0)
-        self.calls_under_way[source] = self.calls_under_way.get(source, 0) + 1
+        self.calls_in_flight[source] = self.calls_in_flight.get(source, 0) + 1
         self.peak_sockets[source] = max(self.peak_sockets.get(source, 0), self.sockets(source))
 
-        def settle(answer: HttpResponse | None) -> None:
+        def settle(response: HttpResponse | None) -> None:
             wait_s = self.seconds_until_ready(source)
             if wait_s > 0:
-                # A busy or frozen host processes replies and the time-out once it runs again.
-                self.clock.callLater(wait_s, settle, answer)
+                # A busy or frozen host processes responses and the timeout once it runs again.
+                self.clock.callLater(wait_s, settle, response)
                 return
             if settled or self.generation.get(source, 0) != generation:
                 return
             self.occupy_processor(source)
             settled.append(True)
-            self.calls_under_way[source] -= 1
+            self.calls_in_flight[source] -= 1
             if timer.active():
                 timer.cancel()
-            if answer is None:
+            if response is None:
                 result.errback(CallFailedError(f"{method} {address}{path}"))
             else:
-                result.callback(answer)
+                result.callback(response)
 
         timer = self.clock.callLater(limit_s, settle, None)
-        found = self.handlers.get(address)
-        if found is not None and (source, found[0]) in self.blocked_pairs:
+        registered = self.handlers.get(address)
+        if registered is not None and (source, registered[0]) in self.blocked_pairs:
             return result
-        if found is None or found[0] not in self.alive:
+        if registered is None or registered[0] not in self.alive:
             self.clock.callLater(self._delay(), settle, None)
             return result
-        target, _ = found
+        target, _ = registered
 
         def arrive() -> None:
             wait_s = self.seconds_until_ready(target)
@@ -205,15 +207,15 @@
                 _call_handler(entry[1], HttpRequest(method, name, query, body or b""))
             )
             reply.addBoth(lambda result: (self._close_connection(connection, address), result)[1])
-            reply.addCallback(lambda answer: self.carry(target, source, lambda: settle(answer)))
+            reply.addCallback(lambda response: self.carry(target, source, lambda: settle(response)))
             reply.addErrback(lambda _: self.carry(target, source, lambda: settle(None)))
 
         self.carry(source, target, arrive)
         return result
 
 
-async def _call_handler(handler: Handler, call: HttpRequest) -> HttpResponse:
-    return await handler(call)
+async def _call_handler(handler: Handler, request: HttpRequest) -> HttpResponse:
+    return await handler(request)
 
 
 class HostNet:
@@ -247,14 +249,16 @@
 
         return ensureDeferred(self.connection_limits.run(path, call))
 
-    def listen(self, address: str, handler: Handler, most: int, limit: int) -> Deferred[Any]:
-        assert most > 0
+    def listen(
+        self, address: str, handler: Handler, max_connections: int, body_limit: int
+    ) -> Deferred[Any]:
+        assert max_connections > 0
 
-        async def limited(call: HttpRequest) -> HttpResponse:
-            return HttpResponse(400) if len(call.body) > limit else await handler(call)
+        async def limited(request: HttpRequest) -> HttpResponse:
+            return HttpResponse(400) if len(request.body) > body_limit else await handler(request)
 
         self.network.serve(self.host, address, limited)
-        self.network.limit_connections(self.host, address, most)
+        self.network.limit_connections(self.host, address, max_connections)
         done: Deferred[Any] = Deferred()
         done.callback(None)
         return done
--- a/tests/standins/ownership.py
+++ b/tests/standins/ownership.py
@@ -1,4 +1,4 @@
-"""Checks which controllers own machines, by each stored revision and accepted command."""
+"""Checks which controllers hold machines, by each stored revision and accepted command."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     A machine is in no shard before its first lease, and then in exactly one until it is returned
     to the cloud. Under one fencing token only one controller acts on it. `gaps` has an entry for
     each machine whose shard got another holder: the seconds from the stored change to the first
-    contact with its worker under the new fencing token.
+    response or command that its worker accepts under the new fencing token.
     """
 
     def __init__(self, clock: Any, is_returned: Callable[[str], bool]) -> None:
@@ -67,7 +67,10 @@
         return self.ids[machine]
 
     def acted(self, machine: str, token: int, controller: str) -> None:
-        """Check that a worker accepted a reply or command under this fencing token."""
+        """Record that a worker accepted a response or command, and check who sent it.
+
+        Under one fencing token, only one controller may act on a machine.
+        """
         if controller and self.acting.setdefault((machine, token), controller) != controller:
             first_controller = self.acting[(machine, token)]
             self.faults.append(
--- a/tests/standins/releases.py
+++ b/tests/standins/releases.py
@@ -45,8 +45,8 @@
     def call_failed(self) -> type[Exception]:
         """The exception for a failed call, which has another name in the production release."""
         http = self.module(HTTP_MODULES[self.node_module])
-        found: type[Exception] = getattr(http, "CallFailedError", None) or http.CallFailed
-        return found
+        exception: type[Exception] = getattr(http, "CallFailedError", None) or http.CallFailed
+        return exception
 
     def node(
         self, clock: Any, net: Any, raw_settings: dict[str, Any], operator_settings: Any, rng: Any
--- a/tests/standins/sharing.py
+++ b/tests/standins/sharing.py
@@ -14,9 +14,9 @@
 from tests.standins.world import ZONES, World
 
 SHARD_PREFIX = "c/block/"
-# When a fault begins: as the leader requests the source to prepare, as the source replies, as the
-# shard's record is sent to the state service, as the reply to that arrives, and as the source sends
-# its state of the shard to the target.
+# The moments at which a fault may begin: when the leader requests the source to prepare, when the
+# source replies, when the shard's record is sent to the state service, when the response to that
+# arrives, and when the source sends its state of the shard to the target.
 MOMENTS = ["prepare", "prepared", "commit", "committed", "release"]
 
 
@@ -51,20 +51,22 @@
             self._run_hook("commit")
         if path == "/peer/release":
             self._run_hook("release")
-        reply = self._carry(source, method, address, path, body, limit_s)
+        result = self._carry(source, method, address, path, body, limit_s)
         if path == "/peer/prepare":
-            reply.addCallback(lambda answer: (self._run_hook("prepared"), answer)[1])
+            result.addCallback(lambda response: (self._run_hook("prepared"), response)[1])
         if is_move:
-            reply.addCallback(lambda answer: (self._run_hook("committed"), answer)[1])
-        return reply
+            result.addCallback(lambda response: (self._run_hook("committed"), response)[1])
+        return result
 
     def send(self, member: str, path: str, message: Any, raw: bytes | None = None) -> list[Any]:
-        """Send a peer's or an operator's message; its status and reply are added to the list."""
+        """Send a peer's or an operator's message; the returned list gets its status and reply."""
         result: list[Any] = []
         body = orjson.dumps(message) if raw is None else raw
         done = self.network.request("tool", "POST", f"{member}:81", f"/peer/{path}", body, 5.0)
         done.addCallbacks(
-            lambda answer: result.extend((answer.status, orjson.loads(answer.body or b"null"))),
+            lambda response: result.extend(
+                (response.status, orjson.loads(response.body or b"null"))
+            ),
             lambda failure: result.extend((0, failure.getErrorMessage())),
         )
         return result
@@ -79,7 +81,9 @@
         """Return the stored shards by name."""
         items = self.state.items.items()
         return {
-            key.removeprefix(SHARD_PREFIX): v[0] for key, v in items if key.startswith(SHARD_PREFIX)
+            key.removeprefix(SHARD_PREFIX): item[0]
+            for key, item in items
+            if key.startswith(SHARD_PREFIX)
         }
 
     def choose_move(self, source: str = "") -> tuple[str, str, str]:
@@ -90,7 +94,7 @@
             others = [n for n in self.names if n not in (holder, leader)]
             if holder == source or (not source and holder != leader):
                 return name, holder, others[0]
-        raise AssertionError(f"no shard to move is held by {source or 'a controller that follows'}")
+        raise AssertionError(f"no shard to move is held by {source or 'a follower'}")
 
     def reshuffle(self, rng: random.Random, until: float, every_s: float = 2.0) -> None:
         """Request moves of random shards to random controllers every `every_s` until `until`."""
@@ -113,14 +117,14 @@
 
     def unserved(self) -> dict[str, str]:
         """Return running machines that the holder of their shard can't use for placement."""
-        found = {}
+        unserved_machines = {}
         for name, worker in self.cloud.workers.items():
             holders = [r["holder"] for r in self.shards().values()
                        if any(m["name"] == name for m in r["machines"])]  # fmt: skip
             if worker.dead or worker.hung or name not in self.cloud.machines:
                 continue
             holder = self.nodes[holders[0]].machine_controller if len(holders) == 1 else None
-            held = holder.machines.get(name) if holder else None
-            if held is None or not holder.summaries.is_usable(held):
-                found[name] = f"held by {holders}"
-        return found
+            machine = holder.machines.get(name) if holder else None
+            if machine is None or not holder.summaries.is_usable(machine):
+                unserved_machines[name] = f"held by {holders}"
+        return unserved_machines
--- a/tests/standins/state.py
+++ b/tests/standins/state.py
@@ -57,8 +57,9 @@
         self.requests = RateLimit(clock, limits.pop("served_rps", limits["rps"]))
         self.changes = RateLimit(clock, limits.pop("served_write_rps", limits["write_rps"]))
         self.throttled_count = 0
-        # Returns the calling process. Hosts that the service rejects while it serves others.
+        # Returns the calling process.
         self.caller = caller
+        # Hosts whose requests the service refuses while it serves others.
         self.refused_hosts: set[str] = set()
         self.revision = 1
         self.items: dict[str, tuple[Any, int, int | None]] = {}
@@ -71,19 +72,19 @@
         # Descriptions of what exceeded a size limit; the size of the largest accepted value.
         self.oversized: list[str] = []
         self.largest = 0
-        # The share of transactions that get no reply. They are applied late, after newer ones;
+        # The share of transactions that get no response. They are applied late, after newer ones;
         # with `loses_answer_only` they are applied at once.
         self.late_share = 0.0
         self.loses_answer_only = False
-        # With this they are never applied.
+        # If set, they are never applied at all.
         self.never_applies_late = False
-        # Only transactions that change a key with this prefix are affected. How many more of
-        # them are affected; -1 means any number.
+        # Only transactions that change a key with this prefix are affected, and only this number of
+        # further ones; -1 means any number.
         self.late_keys = ""
         self.late_count_left = -1
-        # Maximum of the random delay of all other replies.
+        # The maximum random delay of all other responses.
         self.slow_s = 0.0
-        # By host: the delay of replies to its watches; other replies aren't affected.
+        # By host: the delay of responses to its watches; other responses aren't affected.
         self.late_watches: dict[str, float] = {}
         # Called with the keys of each applied transaction and the process that sent it.
         self.on_commit: Callable[[list[str], Writer | None], None] = lambda keys, writer: None
@@ -149,19 +150,19 @@
     def _watch_answer(self, events: list[dict[str, Any]]) -> HttpResponse:
         return HttpResponse(200, pack({"ledger_rev": self.revision, "events": events}))
 
-    async def handle(self, call: HttpRequest) -> HttpResponse:
+    async def handle(self, request: HttpRequest) -> HttpResponse:
         """Serve one request."""
         writer = self.caller()
         host = writer.host
         if self.down or host in self.refused_hosts:
             return HttpResponse(503)
-        body = unpack(call.body) if call.body else {}
+        body = unpack(request.body) if request.body else {}
         if not self.requests.acquire(1) or (
-            call.path == "/multi" and not self.changes.acquire(len(body.get("apply", [])))
+            request.path == "/multi" and not self.changes.acquire(len(body.get("apply", [])))
         ):
             self.throttled_count += 1
             return HttpResponse(429)
-        if call.path == "/multi" and self._loses_answer(body):
+        if request.path == "/multi" and self._loses_answer(body):
             if self.loses_answer_only:
                 self._transact(body, writer)
             elif not self.never_applies_late:
@@ -171,15 +172,15 @@
             slow: Deferred[None] = Deferred()
             self.clock.callLater(self.slow_s * self.rng.random(), slow.callback, None)
             await slow
-        if call.path.startswith("/store/"):
-            item = self.items.get(call.path.removeprefix("/store/"))
+        if request.path.startswith("/store/"):
+            item = self.items.get(request.path.removeprefix("/store/"))
             if item is None:
                 return HttpResponse(404, pack({"ledger_rev": self.revision}))
-            key = call.path.removeprefix("/store/")
+            key = request.path.removeprefix("/store/")
             return HttpResponse(200, pack({"key": key, "data": item[0], "entry_rev": item[1]}))
-        if call.path == "/store":
-            prefix, after = call.query["under"], call.query.get("since", "")
-            keys = sorted(k for k in self.items if k.startswith(prefix) and k > after)
+        if request.path == "/store":
+            prefix, since = request.query["under"], request.query.get("since", "")
+            keys = sorted(k for k in self.items if k.startswith(prefix) and k > since)
             rows = [
                 {"key": k, "data": self.items[k][0], "entry_rev": self.items[k][1]}
                 for k in keys[:1000]
@@ -188,34 +189,34 @@
                 200,
                 pack({"rows": rows, "truncated": len(keys) > 1000, "ledger_rev": self.revision}),
             )
-        if call.path == "/multi":
+        if request.path == "/multi":
             return self._transact(body, writer)
-        if call.path == "/grants":
+        if request.path == "/grants":
             lease_id, self.next_lease_id = self.next_lease_id, self.next_lease_id + 1
             life = body["life_ms"] / 1000
             self.leases[lease_id] = (life, self.clock.seconds() + life)
             return HttpResponse(200, pack({"permit": lease_id}))
-        if call.path.startswith("/grants/"):
-            lease_id = int(call.path.split("/")[2])
+        if request.path.startswith("/grants/"):
+            lease_id = int(request.path.split("/")[2])
             if lease_id not in self.leases:
                 return HttpResponse(404)
-            if call.method == "DELETE":
+            if request.method == "DELETE":
                 self._end_lease(lease_id)
                 return HttpResponse(200, pack({}))
             life = self.leases[lease_id][0]
             self.leases[lease_id] = (life, self.clock.seconds() + life)
             return HttpResponse(200, pack({}))
-        if call.path == "/watch":
-            answer = await self._watch(call.query, host)
+        if request.path == "/watch":
+            response = await self._watch(request.query, host)
             if host in self.late_watches:
                 late: Deferred[None] = Deferred()
                 self.clock.callLater(self.late_watches[host], late.callback, None)
                 await late
-            return answer
+            return response
         return HttpResponse(400)
 
     def _loses_answer(self, body: Any) -> bool:
-        """Return whether this transaction gets no reply."""
+        """Return whether this transaction gets no response."""
         changes = body.get("apply", [])
         keys = [change.get("put") or change["drop"] for change in changes]
         if not self.late_count_left or not any(key.startswith(self.late_keys) for key in keys):
@@ -232,8 +233,8 @@
         self.requests.rate = limits.get("rps", self.requests.rate)
         self.changes.rate = limits.get("write_rps", self.changes.rate)
 
-    def _reject(self, what: str) -> HttpResponse:
-        self.oversized.append(what)
+    def _reject(self, description: str) -> HttpResponse:
+        self.oversized.append(description)
         return HttpResponse(400, pack({"error": "too large"}))
 
     def _apply_late(self, body: Any, writer: Writer) -> None:
--- a/tests/standins/stored_use.py
+++ b/tests/standins/stored_use.py
@@ -3,8 +3,8 @@
 A controller may crash between any two writes, and its successor starts the tasks that the stored
 job records bind. So after every write, for every team with a quota, the tasks bound by the stored
 job records of a partition must fit the partition's allocation in the team's record, and the
-allocations of all partitions must fit the quota. This fails some time before tasks that run
-exceed the quota.
+allocations of all partitions must fit the quota. This check fails before running tasks exceed the
+quota.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 Items = dict[str, tuple[Any, int, int | None]]
 
 
-def _exceeds(amounts: Amounts, other: Amounts) -> bool:
-    return any(one > two + EPS for one, two in zip(amounts, other, strict=True))
+def _exceeds(amounts: Amounts, limits: Amounts) -> bool:
+    return any(amount > limit + EPS for amount, limit in zip(amounts, limits, strict=True))
 
 
 class StoredUse:
@@ -53,10 +53,12 @@
         excess = self._excess()
         for (team, partition), amounts in excess.items():
             if reported and _exceeds(amounts, self.excess.get((team, partition), (0.0, 0.0))):
-                what = "allocations exceed"
+                description = "allocations exceed"
                 if partition:
-                    what = f"jobs of {partition} exceed its allocation"
-                self.report("stored_quota", f"{team}: {what} by {amounts}, written by {writer}")
+                    description = f"jobs of {partition} exceed its allocation"
+                self.report(
+                    "stored_quota", f"{team}: {description} by {amounts}, written by {writer}"
+                )
         self.excess = excess
 
     def _update_job(self, job: str) -> None:
@@ -82,7 +84,7 @@
         for partition, team, amounts in self.jobs.values():
             total_used = used.get((team, partition), (0.0, 0.0))
             used[(team, partition)] = (total_used[0] + amounts[0], total_used[1] + amounts[1])
-        found: dict[tuple[str, str], Amounts] = {}
+        excesses: dict[tuple[str, str], Amounts] = {}
         for team, limit in self.limits.items():
             record = self.items.get(QUOTA_PREFIX + team, ({},))[0]
             allocations = {name: (entry[0], entry[1]) for name, entry in record.items()}
@@ -90,25 +92,25 @@
                 sum(cpus for cpus, _ in allocations.values()),
                 sum(gpus for _, gpus in allocations.values()),
             )
-            _add_excess(found, (team, ""), total, limit, limit)
+            _add_excess(excesses, (team, ""), total, limit, limit)
             for (owner, partition), amounts in used.items():
                 if owner == team:
                     allocated = allocations.get(partition, (0, 0))
-                    _add_excess(found, (team, partition), amounts, allocated, limit)
-        return found
+                    _add_excess(excesses, (team, partition), amounts, allocated, limit)
+        return excesses
 
 
 def _add_excess(
-    found: dict[tuple[str, str], Amounts],
+    excesses: dict[tuple[str, str], Amounts],
     key: tuple[str, str],
     amounts: Amounts,
     allowed: Amounts,
     limit: Amounts,
 ) -> None:
-    """Add the excess of the amounts over `allowed` to `found`, where the team has a limit."""
+    """Add the excess of the amounts over `allowed` to `excesses`, where the team has a limit."""
     excess = tuple(
-        max(have - most, 0.0) if cap else 0.0
-        for have, most, cap in zip(amounts, allowed, limit, strict=True)
+        max(amount - allowance, 0.0) if limit_amount else 0.0
+        for amount, allowance, limit_amount in zip(amounts, allowed, limit, strict=True)
     )
     if any(part > EPS for part in excess):
-        found[key] = (excess[0], excess[1])
+        excesses[key] = (excess[0], excess[1])
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -33,7 +33,7 @@
         self.images: set[str] = set()
         self.lease_started_at = clock.seconds()
         self.target = rng.choice(sorted(controllers))
-        self.is_heartbeat_under_way = self.is_heartbeat_due = False
+        self.is_heartbeat_in_flight = self.is_heartbeat_due = False
         # Every task that reaches the state running ends with an error.
         self.is_faulty = False
         self.dead = self._hung = False
@@ -42,8 +42,8 @@
         self.sent_heartbeats: list[bytes] = []
         # Called with each sent heartbeat, so that copies of it can be delivered again.
         self.on_heartbeat: Callable[[bytes], None] = lambda body: None
-        # Called with the machine, the fencing token of each accepted reply or command request, and
-        # the controller that sent it.
+        # Called with the machine, the fencing token of each accepted heartbeat response or command
+        # request, and the controller that sent it.
         self.on_fencing_token: Callable[[str, int, str], None] = (
             lambda machine, fencing_token, controller: None
         )
@@ -80,7 +80,7 @@
         if self.dead:
             return
         # A hung machine executes nothing and keeps its tasks only if it resumes within its lease.
-        # Past the lease the tasks are lost, even if the machine itself finds out later.
+        # Past the lease the tasks are lost, even if the machine detects the expiry only later.
         if self.clock.seconds() > self.lease_started_at + self.settings["lease_s"]:
             self._drop_tasks()
             self.agent_epoch += 1
@@ -118,11 +118,11 @@
             self.clock.callLater(delay_s, self._send_heartbeat)
 
     def _send_heartbeat(self) -> None:
-        if self.dead or self.hung or self.is_heartbeat_under_way:
+        if self.dead or self.hung or self.is_heartbeat_in_flight:
             return
-        self.is_heartbeat_due, self.is_heartbeat_under_way = False, True
-        sent, agent_epoch = self.clock.seconds(), self.agent_epoch
-        self.last_sent = sent
+        self.is_heartbeat_due, self.is_heartbeat_in_flight = False, True
+        sent_at, agent_epoch = self.clock.seconds(), self.agent_epoch
+        self.last_sent = sent_at
         body = pack(self.message())
         self.sent_heartbeats.append(body)
         self.on_heartbeat(body)
@@ -130,26 +130,26 @@
             self.name, "POST", self.controllers[self.target], "/v1/report", body, 4.0
         )
         call.addCallbacks(
-            lambda a: self._answered(a, sent, agent_epoch), lambda _: self._try_next_controller()
+            lambda a: self._answered(a, sent_at, agent_epoch), lambda _: self._try_next_controller()
         )
 
     def _try_next_controller(self) -> None:
-        self.is_heartbeat_under_way = False
+        self.is_heartbeat_in_flight = False
         names = sorted(self.controllers)
         self.target = names[(names.index(self.target) + 1) % len(names)]
         self.clock.callLater(1.0, self._send_heartbeat)
 
-    def _answered(self, answer: HttpResponse, sent: float, agent_epoch: int) -> None:
-        self.is_heartbeat_under_way = False
-        data = unpack(answer.body) if answer.body else {}
+    def _answered(self, response: HttpResponse, sent_at: float, agent_epoch: int) -> None:
+        self.is_heartbeat_in_flight = False
+        data = unpack(response.body) if response.body else {}
         if (
-            answer.status == 421
+            response.status == 421
             and data.get("dispatcher") in self.controllers
             and (data["dispatcher"] != self.target)
         ):
             self.target = data["dispatcher"]
             self.clock.callLater(0.2, self._send_heartbeat)
-        elif answer.status != 200:
+        elif response.status != 200:
             self._try_next_controller()
         elif (
             data.get("baton", -1) >= self.fencing_token
@@ -158,7 +158,7 @@
         ):
             self.on_fencing_token(self.name, data["baton"], self.target)
             self._observe_fencing_token(data["baton"])
-            self.lease_started_at = max(self.lease_started_at, sent)
+            self.lease_started_at = max(self.lease_started_at, sent_at)
             self._execute(data["orders"])
 
     def _observe_fencing_token(self, fencing_token: int) -> None:
@@ -167,7 +167,7 @@
             self.schedule_heartbeat()
 
     async def handle(self, call: HttpRequest) -> HttpResponse:
-        """Execute the commands of a controller and return a heartbeat."""
+        """Execute the direct commands of a controller and return a heartbeat."""
         caller = self.network.caller
         while self.hung:
             resumed: Deferred[None] = Deferred()
@@ -209,7 +209,7 @@
         spec = self.checker.jobs[key[0].partition("/")[0]]
         task: dict[str, Any] = {"status": "fetching"}
         self.tasks[key] = task
-        live = [
+        live_specs = [
             self.checker.jobs[t.partition("/")[0]]
             for (t, a), s in self.tasks.items()
             if s["status"] != "ended"
@@ -219,7 +219,7 @@
             task.update(status="ended", why="in_use")
             return
         for field in ("cpus", "accelerators", "memory_gb"):
-            if sum(s[field] for s in live) > self.kind[field] + 1e-6:
+            if sum(s[field] for s in live_specs) > self.kind[field] + 1e-6:
                 task.update(status="ended", why="no_room")
                 return
         self.checker.start(key[0], key[1], self.name)
@@ -238,7 +238,7 @@
         if self.is_faulty or spec.get("faulty"):
             self._end(key, task, "error")
         elif spec["shape"] == "ensemble" and self.checker.done.get(job):
-            # A gang completes as a whole: one completed task means that its result exists.
+            # A gang completes as a whole: if one of its tasks has completed, its result exists.
             self._end(key, task, "done")
         elif int(index) in self.checker.done.get(job, set()):
             self._end(key, task, "done")
@@ -327,8 +327,8 @@
             for name in body["rigs"]:
                 machine = self.machines.pop(name, None)
                 if machine:
-                    place = (machine["rig_kind"], machine["yard"], machine["standby"])
-                    self.capacity[place] = self.capacity.get(place, 0) + 1
+                    pool = (machine["rig_kind"], machine["yard"], machine["standby"])
+                    self.capacity[pool] = self.capacity.get(pool, 0) + 1
                     worker = self.workers.get(name)
                     if worker:
                         worker.die()
@@ -345,27 +345,29 @@
         self.tokens -= 1
         return True
 
-    def _list(self, since: str, most: int) -> HttpResponse:
+    def _list(self, since: str, page_size: int) -> HttpResponse:
         now = self.clock.seconds()
         names = sorted(name for name in self.machines if name > since)
-        names_on_page = names[: min(most, self.PAGE)]
-        rigs = []
+        names_on_page = names[: min(page_size, self.PAGE)]
+        listed_machines = []
         for name in names_on_page:
             machine = self.machines[name]
             listed = {k: v for k, v in machine.items() if k != "born"}
-            rigs.append({**listed, "held_s": now - machine["born"]})
-        return HttpResponse(200, pack({"rigs": rigs, "truncated": len(names_on_page) < len(names)}))
+            listed_machines.append({**listed, "held_s": now - machine["born"]})
+        return HttpResponse(
+            200, pack({"rigs": listed_machines, "truncated": len(names_on_page) < len(names)})
+        )
 
     def _scale_out(self, body: dict[str, Any]) -> HttpResponse:
         if body["hire"] in self.instances_by_request:
             return HttpResponse(200, pack({"rigs": self.instances_by_request[body["hire"]]}))
-        place = (body["rig_kind"], body["yard"], body["standby"])
-        count = min(body["how_many"], self.capacity.get(place, 0))
+        pool = (body["rig_kind"], body["yard"], body["standby"])
+        count = min(body["how_many"], self.capacity.get(pool, 0))
         if not count:
             return HttpResponse(503, pack({"error": "no capacity"}))
-        self.capacity[place] -= count
-        boot = next(t["boot_s"] for t in self.types if t["label"] == body["rig_kind"])
-        boot = boot if self.boot_s is None else self.boot_s
-        rigs = [self.add(*place, boot) for _ in range(count)]
-        self.instances_by_request[body["hire"]] = rigs
-        return HttpResponse(200, pack({"rigs": rigs}))
+        self.capacity[pool] -= count
+        boot_time_s = next(t["boot_s"] for t in self.types if t["label"] == body["rig_kind"])
+        boot_time_s = boot_time_s if self.boot_s is None else self.boot_s
+        names = [self.add(*pool, boot_time_s) for _ in range(count)]
+        self.instances_by_request[body["hire"]] = names
+        return HttpResponse(200, pack({"rigs": names}))
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -124,8 +124,8 @@
             self.boot(name)
         self.network.on_commands = self._check_commands
         self.checker.on_finished = self._on_job_finished
-        # Users repeat queries, or cancel jobs as these finish: the time at which that ends, and
-        # the share of jobs affected.
+        # Users repeat queries, or cancel jobs when their last task completes: the time at which
+        # that ends, and the share of jobs affected.
         self.repeating_queries: tuple[float, float] = (-1.0, 0.0)
         self.cancelling_at_end: tuple[float, float] = (-1.0, 0.0)
         # Duplicated heartbeats: the time at which that ends, the share duplicated, and whether the
@@ -273,7 +273,7 @@
         self.clock.callLater(delay_s, self.call, node, "POST", "/v1/report", body)
 
     def block_heartbeats(self, machine: str) -> None:
-        """Block the machine's connections to all controllers; commands and their replies pass."""
+        """Block the machine's connections to all controllers; commands and their responses pass."""
         self.network.blocked_pairs.update((machine, node) for node in self.names)
 
     def cancel_now(self, jobs: list[str], hang_s: float = 0.0) -> None:
@@ -353,7 +353,7 @@
         """Kill a controller process; it restarts after `back_s`, or never if that is None."""
         self.network.generation[name] = self.network.generation.get(name, 0) + 1
         self.network.alive.discard(name)
-        self.network.calls_under_way[name] = 0
+        self.network.calls_in_flight[name] = 0
         for address in (self.addresses[name], self.settings[name].peer_bind):
             self.network.connections[address] = {}
         self.network.busy_until.pop(name, None)
@@ -430,7 +430,7 @@
         self.call(node, "GET", f"/submissions/{job}").addCallback(answered)
 
     def cancel(self, job: str, node: str | None = None) -> None:
-        """Cancel a job as a user, retrying until the reply has status 200 or 404."""
+        """Cancel a job as a user, retrying until the response has status 200 or 404."""
         target = node or self.rng.choice(self.names)
         sent_at = self.clock.seconds()
 
@@ -465,5 +465,5 @@
         }
 
     def status(self, job: str) -> str:
-        """Return the final state that users were sent, or `live`."""
+        """Return the final state in responses to users, or `live` if there is none."""
         return self.checker.final_answers.get(job, ("live", 0.0))[0]
