--- a/tests/call_traces.py
+++ b/tests/call_traces.py
@@ -4,7 +4,7 @@
     PYTHONHASHSEED=0 python -m tests.call_traces compare FILE [SCENARIO ...]
 
 A digest covers each call on the simulated network in order: its time, caller, method, address,
-path and body, and the answer. `write` stores the digests of the named scenarios, or of all, as
+path and body, and the response. `write` stores the digests of the named scenarios, or of all, as
 JSON; `compare` plays the scenarios that FILE lists, or the named ones, and exits with status 1 if
 a digest differs. A change that alters the behaviour on purpose has to rewrite the file.
 """
@@ -48,14 +48,14 @@
         body: bytes | None,
         limit_s: float,
     ) -> Any:
-        """Make the call; add it and its reply to the digest."""
+        """Make the call; add it and its response to the digest."""
         self.add("call", source, method, address, path, body, limit_s)
 
-        def answered(answer: HttpResponse) -> HttpResponse:
-            self.add("answer", source, address, path, answer.status, answer.body)
-            return answer
+        def on_response(response: HttpResponse) -> HttpResponse:
+            self.add("answer", source, address, path, response.status, response.body)
+            return response
 
-        return self.request(source, method, address, path, body, limit_s).addCallback(answered)
+        return self.request(source, method, address, path, body, limit_s).addCallback(on_response)
 
     def add(self, *parts: object) -> None:
         """Add one event at the current simulated time."""
@@ -92,9 +92,9 @@
         file.write_text(json.dumps(digests, indent=0, sort_keys=True) + "\n")
         return 0
     stored = json.loads(file.read_text())
-    found = digests_of(names or stored)
-    changed = sorted(name for name, digest in found.items() if stored[name] != digest)
-    print(f"{len(found) - len(changed)} of {len(found)} scenarios make the same calls")
+    current = digests_of(names or stored)
+    changed = sorted(name for name, digest in current.items() if stored[name] != digest)
+    print(f"{len(current) - len(changed)} of {len(current)} scenarios make the same calls")
     for name in changed:
         print(f"{name}: calls differ")
     return 1 if changed else 0
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 import pytest
 
 # These start real processes, build into `target/app` and listen on loopback. They run one after
-# the other in one test process: of two at a time, one would rebuild what the other runs.
+# the other in one test process: if two ran in parallel, one would rebuild what the other runs.
 REAL_PROCESS_FILES = ("test_program.py", "test_loopback.py", "test_reshuffle.py")
 GROUP = "real-processes"
 
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker reports a history that breaks a rule, and no other.
+"""The checker reports each history that violates a rule, and no other.
 
 A checker that missed violations would let every scenario pass.
 """
--- a/tests/test_conftest.py
+++ b/tests/test_conftest.py
@@ -1,6 +1,6 @@
-"""Tests with real processes run in one test process; all others in any.
+"""Tests with real processes run in a single test process; all others run in any.
 
-In parallel they would rebuild files that another one runs.
+If two of them ran in parallel, one would rebuild files that the other one runs.
 """
 
 from __future__ import annotations
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -18,13 +18,13 @@
 
 def modules() -> dict[str, str]:
     """Return the first paragraph of the docstring of each module in a package."""
-    found = {}
+    docstrings = {}
     for path in sorted(SOURCES.glob("*/*.py")):
         if path.name != "__init__.py":
             doc = ast.get_docstring(ast.parse(path.read_text())) or ""
             name = f"{path.parent.name}.{path.stem}"
-            found[name] = doc.split("\n\n")[0].replace("\n", " ")
-    return found
+            docstrings[name] = doc.split("\n\n")[0].replace("\n", " ")
+    return docstrings
 
 
 def test_every_package_is_on_the_architecture_page() -> None:
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -152,8 +152,8 @@
     ]
 
 
-def entries(made: list[Any]) -> list[Any]:
-    return [log_messages.LogEntry(8 + n, 0.5 + n, decision) for n, decision in enumerate(made)]
+def entries(logged: list[Any]) -> list[Any]:
+    return [log_messages.LogEntry(8 + n, 0.5 + n, decision) for n, decision in enumerate(logged)]
 
 
 def machine_state() -> Any:
@@ -239,7 +239,7 @@
 
 
 # Messages between controllers, encoded as JSON. In those named "-least", all optional fields are
-# left out.
+# omitted.
 PEER: dict[str, Callable[[], Any]] = {
     "wants": lambda: [
         messages.DesiredStateUpdate("rig-1", "rig-1.3", 412, 3, 9, [desired_attempt()], ["host-7"])
@@ -396,16 +396,16 @@
 class Recorder:
     """A network that records each call and returns the given responses in order."""
 
-    def __init__(self, *answers: Any) -> None:
-        self.answers = list(answers)
+    def __init__(self, *responses: Any) -> None:
+        self.responses = list(responses)
         self.calls: list[list[str]] = []
 
     def request(
         self, method: str, address: str, path: str, body: bytes | None, limit_s: float
     ) -> Deferred[http.HttpResponse]:
         self.calls.append([method, address, path, "no body" if body is None else body.hex()])
-        answer = self.answers.pop(0)
-        raw = answer if isinstance(answer, bytes) else codec.pack(msgspec.to_builtins(answer))
+        response = self.responses.pop(0)
+        raw = response if isinstance(response, bytes) else codec.pack(msgspec.to_builtins(response))
         return succeed(http.HttpResponse(200, raw))
 
 
@@ -438,8 +438,8 @@
 
 
 async def scan_keys(net: Recorder) -> None:
-    found, revision = await state_client(net).scan("c/x y")
-    assert found == [state_messages.KeyValue("c/x z", 1, 5), state_messages.KeyValue("c/x&", 2, 6)]
+    rows, revision = await state_client(net).scan("c/x y")
+    assert rows == [state_messages.KeyValue("c/x z", 1, 5), state_messages.KeyValue("c/x&", 2, 6)]
     assert revision == 431
 
 
@@ -497,9 +497,9 @@
 async def forward_request(net: Recorder) -> None:
     tuning, rng = settings.OperatorSettings(), random.Random(1)
     sender = node.Node(SimClock(), net, deployment(), tuning, rng)  # type: ignore[arg-type]
-    call = http.HttpRequest("POST", "/submissions", {}, codec.pack(JOB))
-    answer = http.HttpResponse(503, codec.pack({"error": "busy"}), (("Retry-After", "2"),))
-    assert await sender.forwarder.forward("rig-2", call) == answer
+    request = http.HttpRequest("POST", "/submissions", {}, codec.pack(JOB))
+    response = http.HttpResponse(503, codec.pack({"error": "busy"}), (("Retry-After", "2"),))
+    assert await sender.forwarder.forward("rig-2", request) == response
 
 
 def stored_row(key: str, data: Any, version: int) -> dict[str, Any]:
@@ -549,24 +549,24 @@
 
 def calls_of(name: str) -> list[list[str]]:
     """Return the calls that an example makes: method, address, path, body in hex."""
-    work, answers = CALLS[name]
-    net = Recorder(*answers)
+    make_calls, responses = CALLS[name]
+    net = Recorder(*responses)
     done: list[Any] = []
-    ensureDeferred(work(net)).addBoth(done.append)  # type: ignore[arg-type]
+    ensureDeferred(make_calls(net)).addBoth(done.append)  # type: ignore[arg-type]
     assert done == [None], done
-    assert not net.answers, "some responses were not requested"
+    assert not net.responses, "some responses were not requested"
     return net.calls
 
 
 def deployment_with_failures() -> tuple[SharingWorld, set[str]]:
     """Run a simulated deployment; return it and the paths of messages between its controllers.
 
-    One job is cancelled, the lead is handed over and one controller leaves.
+    One job is cancelled, leadership is handed over and one controller leaves.
     """
     world = SharingWorld(11, tuning={"standby": True})
     paths: set[str] = set()
     cancellation_records: set[str] = set()
-    carry = world.network.request
+    send_request = world.network.request
 
     def request(source: str, method: str, address: str, path: str, *rest: Any) -> Any:
         if path.startswith("/peer/") and source in world.names:
@@ -576,7 +576,7 @@
             cancellation_records.update(
                 str(c["data"]) for c in changes if c.get("put") == "c/w/j-long"
             )
-        return carry(source, method, address, path, *rest)
+        return send_request(source, method, address, path, *rest)
 
     world.network.request = request  # type: ignore[method-assign]
     world.submit("j-long", shape="standing")
@@ -597,10 +597,10 @@
 def deployment_forms() -> dict[str, Any]:
     """Return the paths and stored records of a deployment whose leader also fails.
 
-    The controllers' names are replaced by a single one, because different ones may lead.
+    The names of the controllers are replaced by a single name, as any controller may lead.
     """
     world, paths = deployment_with_failures()
-    found: dict[str, str] = {}
+    forms_by_kind: dict[str, str] = {}
 
     def record_forms() -> None:
         for key, (value, *_) in sorted(world.state.items.items()):
@@ -610,13 +610,13 @@
                 form = json.dumps(value, separators=(",", ":"))
                 for name in world.names:
                     form = form.replace(name, "rig-n")
-                found.setdefault(kind + dead, form)
+                forms_by_kind.setdefault(kind + dead, form)
 
     record_forms()
     world.crash(world.leader(), None)
     world.run(75)
     record_forms()
-    return {"paths": sorted(paths), "records": found}
+    return {"paths": sorted(paths), "records": forms_by_kind}
 
 
 def outer_form(value: Any) -> str:
@@ -636,8 +636,8 @@
 
 def recorded_forms() -> dict[str, Any]:
     """Return all encodings from the fixture."""
-    found: dict[str, Any] = json.loads(FIXTURE.read_text())
-    return found
+    forms: dict[str, Any] = json.loads(FIXTURE.read_text())
+    return forms
 
 
 def type_of(value: Any) -> Any:
@@ -655,9 +655,9 @@
         for name in value.__struct_fields__:
             yield from structs_in(getattr(value, name))
     elif isinstance(value, dict):
-        yield from (found for part in value.values() for found in structs_in(part))
+        yield from (struct for part in value.values() for struct in structs_in(part))
     elif isinstance(value, list | tuple):
-        yield from (found for part in value for found in structs_in(part))
+        yield from (struct for part in value for struct in structs_in(part))
 
 
 def test_examples_here_and_in_the_fixture_are_the_same() -> None:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -24,11 +24,11 @@
     """Send a request; return the connection, and whether the server closed it after responding."""
     sock = reused or socket.create_connection(("127.0.0.1", port), 30)
     sock.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-    answer = b""
-    while not answer.endswith(BODY):
-        answer += sock.recv(4096)
-    assert answer.startswith(b"HTTP/1.1 200")
-    is_closed = b"connection: close" in answer.lower()
+    response = b""
+    while not response.endswith(BODY):
+        response += sock.recv(4096)
+    assert response.startswith(b"HTTP/1.1 200")
+    is_closed = b"connection: close" in response.lower()
     if is_closed:
         assert sock.recv(1) == b""
     return sock, is_closed
@@ -55,10 +55,10 @@
 
 def test_connections_beyond_the_keep_alive_share_are_closed_after_their_response() -> None:
     loop: Any = installed
-    found: list[tuple[list[bool], bool]] = []
-    failed: list[object] = []
+    results: list[tuple[list[bool], bool]] = []
+    failures: list[object] = []
 
-    async def handler(call: HttpRequest) -> HttpResponse:
+    async def handler(request: HttpRequest) -> HttpResponse:
         return HttpResponse(200, BODY)
 
     def start() -> None:
@@ -67,14 +67,14 @@
             port = probe.getsockname()[1]
         net = TcpNet(loop, 5.0, 60.0, Sockets.of(100, 3))
         spawn(net.listen(f"127.0.0.1:{port}", handler, MAX_CONNECTIONS, 1024), "listening")
-        work = deferToThread(fill_up, port)
-        work.addCallbacks(found.append, lambda f: failed.append(f.getTraceback()))
-        work.addBoth(lambda _: loop.stop())
+        clients = deferToThread(fill_up, port)
+        clients.addCallbacks(results.append, lambda f: failures.append(f.getTraceback()))
+        clients.addBoth(lambda _: loop.stop())
 
     loop.callWhenRunning(start)
     loop.run(installSignalHandlers=False)
-    assert not failed, failed
-    closed, is_rejected = found[0]
-    last = int(MAX_CONNECTIONS * KEEP_ALIVE_SHARE)
-    assert closed == [False] * last + [True] * (MAX_CONNECTIONS + 4 - last)
+    assert not failures, failures
+    closed, is_rejected = results[0]
+    kept_alive = int(MAX_CONNECTIONS * KEEP_ALIVE_SHARE)
+    assert closed == [False] * kept_alive + [True] * (MAX_CONNECTIONS + 4 - kept_alive)
     assert is_rejected
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failing tests excuses just the tests that it names, while they fail."""
+"""The list of known failing tests excuses only the tests that it names, while they fail."""
 
 from __future__ import annotations
 
--- a/tests/test_log_lines.py
+++ b/tests/test_log_lines.py
@@ -1,4 +1,4 @@
-"""Each placeholder of a log line has a value; else the logged line would contain `{machine}`."""
+"""Each placeholder of a log line gets a value; otherwise the line would contain `{machine}`."""
 
 from __future__ import annotations
 
@@ -30,6 +30,6 @@
     for where, call in calls:
         line = call.args[0]
         assert isinstance(line, ast.Constant) and isinstance(line.value, str), where
-        wanted = {name for _, name, _, _ in Formatter().parse(line.value) if name}
-        given = {keyword.arg for keyword in call.keywords}
-        assert wanted <= given, (where, line.value, wanted - given)
+        placeholders = {name for _, name, _, _ in Formatter().parse(line.value) if name}
+        passed = {keyword.arg for keyword in call.keywords}
+        assert placeholders <= passed, (where, line.value, placeholders - passed)
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -75,7 +75,7 @@
         world.state.refused_hosts.add(node)
         later(duration_s, world.state.refused_hosts.discard, node)
         if rng.random() < 0.5:
-            # Then an outage for all controllers, longer than the time limit of a cancellation.
+            # An outage for all controllers follows, longer than the time limit of a cancellation.
             later(1.0, world.state.outage, True)
             later(1.0 + 59.0, world.state.outage, False)
     elif kind == 15:
@@ -138,7 +138,7 @@
 
 def leaks(world: World) -> list[str]:
     """Return quota use that no task accounts for, which the team would lose for good."""
-    found = []
+    unaccounted = []
     for name, node in world.nodes.items():
         job_controller = node.job_controller
         if job_controller is None:
@@ -153,8 +153,8 @@
             accounted[key] = accounted.get(key, 0.0) + job.bound_count * job.spec.cpus
         for key, (cpus, _) in job_controller.quota_manager.usage.items():
             if abs(cpus - accounted.get(key, 0.0)) > 1e-6:
-                found.append(f"{name} {key}: {cpus}, known {accounted.get(key, 0.0)}")
-    return found
+                unaccounted.append(f"{name} {key}: {cpus}, accounted for {accounted.get(key, 0.0)}")
+    return unaccounted
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -186,7 +186,7 @@
 
 
 def slow_down(world: World, rng: random.Random) -> None:
-    """Let each message and timer of a controller use no, some or much processor time."""
+    """Set the processor time per message and timer of each controller: none, some or much."""
     for name in world.names:
         world.network.cost_s[name] = rng.choice([0.0, 0.01, 0.04])
 
@@ -270,7 +270,7 @@
         if not_upgraded and number >= 2 and rng.random() < 0.5:
             world.upgrade(not_upgraded.pop(), rng.choice([0.1, 1.0, 6.0, 25.0]))
         elif upgrade and number >= ROUNDS - 4 and is_upgraded(world):
-            # At any time after the upgrade and without notice.
+            # The announced limits take effect at any time after the upgrade and without notice.
             world.state.lower(ANNOUNCED_LIMITS)
         for _ in range(2 * size):
             jobs += 1
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -32,11 +32,11 @@
 def target_machines(world: World, step: dict[str, Any]) -> list[str]:
     """Return the machines that a step names, that its job is on, or that it counts."""
     if "on" in step:
-        found = sorted(world.machines_of(step["on"]))
-        assert found, f"{step['on']} is on no machine"
-        return found
+        machines = sorted(world.machines_of(step["on"]))
+        assert machines, f"{step['on']} is on no machine"
+        return machines
     if "count" in step:
-        # So many machines, evenly chosen from one zone or from all.
+        # This number of machines, evenly chosen from one zone or from all.
         names = [n for n, w in world.cloud.workers.items() if step.get("zone") in (None, w.zone)]
         assert len(names) >= step["count"], (step, len(names))
         return names[:: len(names) // step["count"]][: step["count"]]
@@ -47,7 +47,7 @@
     do = step["do"]
     fields = {k: v for k, v in step.items() if k not in ("at", "do", "job", "node")}
     if do == "submit" and "count" in step:
-        # Many equal jobs, one after the other, submitted to the controllers in turn.
+        # Submit this number of identical jobs, one after the other, to the controllers in turn.
         del fields["count"], fields["every"]
         cancel, after = fields.pop("cancel", 0.0), fields.pop("cancel_after", 2.0)
         for n in range(step["count"]):
@@ -68,14 +68,14 @@
         for name in select_controllers(world, step["nodes"]):
             world.upgrade(name, step.get("back_s", 6.0))
     elif do == "limits":
-        # The limits that the settings announce take effect at the state service.
+        # The announced limits in the settings take effect at the state service.
         world.state.lower(world.raw_settings[world.names[0]]["facts"]["state"]["next"])
         world.state.largest = 0
     elif do == "freeze":
         for name in select_controllers(world, step["nodes"]):
             world.network.frozen[name] = world.clock.seconds() + step["for_s"]
     elif do == "slow":
-        # Each message and timer uses this much processor time; 0 ends that.
+        # Each message and timer uses this processor time; 0 ends the slowdown.
         for name in select_controllers(world, step["nodes"]):
             world.network.cost_s[name] = step["cost_ms"] / 1000
     elif do == "state" and "down" not in step:
@@ -146,7 +146,7 @@
     elif do == "quiet":
         world.faults_over_at = world.clock.seconds()
     elif do == "blind":
-        # Heartbeats arrive at the controllers; replies and commands don't reach the machine.
+        # Heartbeats arrive at the controllers; responses and commands don't reach the machine.
         for name in target_machines(world, step):
             for node in world.names:
                 world.network.cut(node, name, "drop", both=False)
@@ -162,14 +162,14 @@
     body = step.get("body")
     if "hex" in step:
         body = bytes.fromhex(step["hex"])
-    replies: list[Any] = []
+    responses: list[Any] = []
     node = step.get("node", world.names[0])
-    world.call(node, step["method"], step["path"], body).addCallback(replies.append)
+    world.call(node, step["method"], step["path"], body).addCallback(responses.append)
     world.run(world.clock.seconds() + step.get("within", 1.0))
-    assert replies, f"no answer to {step}"
-    assert replies[0][0] == step["status"], (step, replies)
+    assert responses, f"no response to {step}"
+    assert responses[0][0] == step["status"], (step, responses)
     if "says" in step:
-        assert step["says"] in str(replies[0][1]), (step, replies)
+        assert step["says"] in str(responses[0][1]), (step, responses)
 
 
 def check_expectations(world: World, step: dict[str, Any]) -> None:
@@ -191,11 +191,11 @@
     if "largest_kb" in step:
         assert world.state.largest <= step["largest_kb"] * 1024, (where, world.state.largest)
     if "keys_like" in step:
-        # At least so many records are stored under keys that match.
-        found = [k for k in world.state.items if re.match(step["keys_like"], k)]
-        assert len(found) >= step["keys"], (where, step, found)
+        # At least `keys` records are stored under keys that match.
+        matching_keys = [k for k in world.state.items if re.match(step["keys_like"], k)]
+        assert len(matching_keys) >= step["keys"], (where, step, matching_keys)
     if "gang_saved" in step:
-        # At least so many stops of the whole gang saved a checkpoint, and none failed to.
+        # At least `gang_saved` stops of the whole gang saved a checkpoint, and none failed to.
         assert world.gangs.saved_stops.get(step["job"], 0) >= step["gang_saved"], (where, step)
         assert world.gangs.failed_saves.get(step["job"], 0) == 0, (where, step)
     if "kept_s" in step:
@@ -224,7 +224,7 @@
         events = [e for _, e in world.state.history if "put" in e]
         writes = sum(1 for e in events if e["put"].startswith("c/budget/"))
         assert writes <= step["budget_writes"], (where, step, writes)
-    # Counts of work done, which don't depend on the speed of the machine that runs the test.
+    # Counts of executed work, which don't depend on the speed of the machine that runs the test.
     if "writes" in step:
         assert len(world.state.history) <= step["writes"], (where, len(world.state.history))
     if "cloud_refusals" in step:
@@ -256,9 +256,11 @@
         )
     if step.get("started_once"):
         jobs = [j for j in world.checker.accepted if j.startswith(step["job"])]
-        again = {j: world.checker.start_counts.get(j) for j in jobs}
-        wrong = {j: n for j, n in again.items() if n != world.checker.jobs[j]["parcels"]}
-        assert not wrong, (where, wrong)
+        start_counts = {j: world.checker.start_counts.get(j) for j in jobs}
+        unexpected = {
+            j: n for j, n in start_counts.items() if n != world.checker.jobs[j]["parcels"]
+        }
+        assert not unexpected, (where, unexpected)
     if "sockets" in step:
         assert max(world.network.peak_sockets[n] for n in world.names) <= step["sockets"], (
             where,
@@ -270,7 +272,7 @@
             world.network.rejected_connections,
         )
     if "sessions" in step:
-        # Machines whose lease expired because no heartbeat was answered in time.
+        # Machines whose lease expired because none of their heartbeats was answered in time.
         expired = sorted(
             w.name for w in world.cloud.workers.values() if w.agent_epoch > 1 and not w.dead
         )
@@ -279,20 +281,25 @@
         holder = world.nodes[step["node"]].machine_controller
         assert holder is not None and len(holder.machines) >= step["holds"], (where, step)
     if "withdrawn" in step:
-        # At least so many jobs with this prefix were confirmed as cancelled, and none of these is
-        # on a machine.
+        # At least `withdrawn` jobs with this prefix were confirmed as cancelled, and none of these
+        # is on a machine.
         jobs = [j for j, t in world.checker.final_answers.items() if t[0] == "withdrawn"]
         jobs = [j for j in jobs if j.startswith(step["job"])]
-        left = {j: sorted(m) for j in jobs if (m := world.machines_of(j))}
+        remaining = {j: sorted(m) for j in jobs if (m := world.machines_of(j))}
         assert len(jobs) >= step["withdrawn"], (where, len(jobs))
-        assert not left, (where, left)
+        assert not remaining, (where, remaining)
     if "live_tasks" in step:
         jobs = [j for j in world.checker.accepted if j.startswith(step["job"])]
         assert sum(map(world.running, jobs)) >= step["live_tasks"], (where, step)
     if "ended" in step:
         jobs = [j for j in world.checker.accepted if j.startswith(step["job"])]
-        open_ = [j for j in jobs if j not in world.checker.final_answers]
-        assert len(jobs) - len(open_) >= step["ended"], (where, len(jobs), len(open_), open_[:5])
+        unfinished = [j for j in jobs if j not in world.checker.final_answers]
+        assert len(jobs) - len(unfinished) >= step["ended"], (
+            where,
+            len(jobs),
+            len(unfinished),
+            unfinished[:5],
+        )
     if "in_two_blocks" in step:
         names = [m["name"] for k, item in world.state.items.items() if k.startswith("c/block/")
                  for m in item[0]["machines"]]  # fmt: skip
@@ -321,9 +328,9 @@
     if "most_in_zone" in step:
         places = [
             world.checker.machines[machine][1]
-            for task, there in world.checker.placements.items()
+            for task, attempts_on_machines in world.checker.placements.items()
             if task.startswith(step["job"])
-            for machine, _ in there
+            for machine, _ in attempts_on_machines
         ]
         assert places, (where, step)
         assert max(places.count(z) for z in places) <= step["most_in_zone"], (where, places)
