--- a/src/beamspar/protocol/peer_messages.py
+++ b/src/beamspar/protocol/peer_messages.py
@@ -214,8 +214,8 @@
 class MemberHeartbeat(msgspec.Struct):
     """A member's heartbeat to the leader: the changes since one that the leader accepted.
 
-    `since` is the `count` of that heartbeat, or 0 for a full snapshot. The next heartbeat's
-    changes are relative to this one's `count`.
+    `since` is the `count` of that heartbeat, or 0 for a full snapshot. If the leader accepts this
+    heartbeat, the next one contains the changes since its `count`; otherwise a full snapshot.
     """
 
     member: str
--- a/src/beamspar/settings.py
+++ b/src/beamspar/settings.py
@@ -65,8 +65,9 @@
     lease_s: float
     # The time within which a cancellation must have stopped a job's tasks, even during a failure.
     cancel_s: float
-    # How long a gang's task waits for the others, and the time within which a stop must be sent to
-    # them. 0 if the platform doesn't set it; `Timeouts` then supplies a default.
+    # How long a gang's task waits for the gang's other tasks to be ready, and the time within which
+    # the other tasks must receive the stop command that one of them has received. 0 if the platform
+    # doesn't set it; `Timeouts` then supplies a default.
     gang_wait_s: float = 0.0
     gang_peer_s: float = 0.0
 
--- a/tests/standins/checker.py
+++ b/tests/standins/checker.py
@@ -198,7 +198,7 @@
                 self.last_answered[job] = now
 
     def check_waiting(self, job: str, fits: bool, limit_s: float = 90.0) -> None:
-        """Check that the job has no pending tasks for long while `fits`: one of them could run."""
+        """Check that the job has no pending tasks for long while `fits` (one of them could run)."""
         now = self.clock.seconds()
         if not fits:
             self.waiting_since.pop(job, None)
