--- a/tests/standins/gangs.py
+++ b/tests/standins/gangs.py
@@ -118,7 +118,7 @@
             if task["status"] in ("running", "saving"):
                 self.lose_task(key)
 
-    def kill(self, worker: Worker, key: Key, task: dict[str, Any], grace_s: float) -> None:
+    def handle_stop(self, worker: Worker, key: Key, task: dict[str, Any], grace_s: float) -> None:
         """Handle a stop command for a task of a gang."""
         job = key[0].partition("/")[0]
         spec, attempt = self.checker.jobs[job], self.attempts.get((job, key[1]))
--- a/tests/standins/net.py
+++ b/tests/standins/net.py
@@ -203,12 +203,16 @@
             name, _, query_text = path.partition("?")
             query = dict(p.partition("=")[::2] for p in query_text.split("&") if p)
             self.caller, self.caller_generation = source, generation
-            reply = ensureDeferred(
+            handling = ensureDeferred(
                 _call_handler(entry[1], HttpRequest(method, name, query, body or b""))
             )
-            reply.addBoth(lambda result: (self._close_connection(connection, address), result)[1])
-            reply.addCallback(lambda response: self.carry(target, source, lambda: settle(response)))
-            reply.addErrback(lambda _: self.carry(target, source, lambda: settle(None)))
+            handling.addBoth(
+                lambda result: (self._close_connection(connection, address), result)[1]
+            )
+            handling.addCallback(
+                lambda response: self.carry(target, source, lambda: settle(response))
+            )
+            handling.addErrback(lambda _: self.carry(target, source, lambda: settle(None)))
 
         self.carry(source, target, arrive)
         return result
--- a/tests/standins/state.py
+++ b/tests/standins/state.py
@@ -133,12 +133,12 @@
             del self.history[: len(self.history) - KEPT_CHANGES]
         self.on_commit([change.get("put") or change["drop"] for change in changes], writer)
         pending, self.watches = self.watches, []
-        for prefix, since, reply, host in pending:
+        for prefix, since, result, host in pending:
             events = self._events(prefix, since)
             if events and not self.down and host not in self.refused_hosts:
-                reply.callback(self._watch_answer(events))
+                result.callback(self._watch_answer(events))
             else:
-                self.watches.append((prefix, since, reply, host))
+                self.watches.append((prefix, since, result, host))
 
     def _events(self, prefix: str, since: int) -> list[dict[str, Any]]:
         return [
@@ -250,8 +250,8 @@
         events = self._events(prefix, since)
         if events and not self.down:
             return self._watch_answer(events)
-        reply: Deferred[HttpResponse] = Deferred()
-        entry = (prefix, since, reply, host)
+        result: Deferred[HttpResponse] = Deferred()
+        entry = (prefix, since, result, host)
         self.watches.append(entry)
 
         def end_hold() -> None:
@@ -260,10 +260,10 @@
                     self.clock.callLater(0.5, end_hold)
                     return
                 self.watches.remove(entry)
-                reply.callback(self._watch_answer(self._events(prefix, since)))
+                result.callback(self._watch_answer(self._events(prefix, since)))
 
         self.clock.callLater(int(query.get("hold_ms", "0")) / 1000, end_hold)
-        return await reply
+        return await result
 
     def _transact(self, body: Any, writer: Writer) -> HttpResponse:
         changes = body.get("apply", [])
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -194,7 +194,7 @@
                 spec = self.checker.jobs[key[0].partition("/")[0]]
                 saves = spec["stamp_every_s"] > 0 and order["wind_down_s"] >= spec["stamp_s"]
                 if spec["shape"] == "ensemble":
-                    self.gangs.kill(self, key, task, order["wind_down_s"])
+                    self.gangs.handle_stop(self, key, task, order["wind_down_s"])
                 elif task["status"] == "running" and saves:
                     task["status"] = "saving"
                     self.clock.callLater(spec["stamp_s"], self._end, key, task, "stopped")
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -399,7 +399,7 @@
         target = node or self.rng.choice(self.names)
         sent_at = self.clock.seconds()
 
-        def answered(result: tuple[int, Any]) -> None:
+        def on_response(result: tuple[int, Any]) -> None:
             status, data = result
             is_new = job not in self.checker.accepted
             self.checker.submitted(job, status)
@@ -412,13 +412,13 @@
                 self.clock.callLater(1.0, self._submit, job, None, retries - 1)
 
         body = {k: v for k, v in self.checker.jobs[job].items() if k not in ("run_s", "faulty")}
-        self.call(target, "POST", "/submissions", body).addCallback(answered)
+        self.call(target, "POST", "/submissions", body).addCallback(on_response)
 
     def _query(self, job: str, once: bool = False, node: str | None = None) -> None:
         node = node or self.rng.choice(self.names)
         sent_at = self.clock.seconds()
 
-        def answered(result: tuple[int, Any]) -> None:
+        def on_response(result: tuple[int, Any]) -> None:
             was_final = job in self.checker.final_answers
             self.checker.answered(job, *result, sent_at)
             final = self.checker.final_answers.get(job, ("", 0))[0]
@@ -427,14 +427,14 @@
             if not once and final not in FINAL:
                 self.clock.callLater(5.0, self._query, job)
 
-        self.call(node, "GET", f"/submissions/{job}").addCallback(answered)
+        self.call(node, "GET", f"/submissions/{job}").addCallback(on_response)
 
     def cancel(self, job: str, node: str | None = None) -> None:
         """Cancel a job as a user, retrying until the response has status 200 or 404."""
         target = node or self.rng.choice(self.names)
         sent_at = self.clock.seconds()
 
-        def answered(result: tuple[int, Any]) -> None:
+        def on_response(result: tuple[int, Any]) -> None:
             was_final = job in self.checker.final_answers
             self.checker.answered(job, *result, sent_at)
             if job in self.checker.final_answers and not was_final:
@@ -442,7 +442,7 @@
             if result[0] not in (200, 404):
                 self.clock.callLater(1.0, self.cancel, job)
 
-        self.call(target, "POST", f"/submissions/{job}/withdraw").addCallback(answered)
+        self.call(target, "POST", f"/submissions/{job}/withdraw").addCallback(on_response)
 
     # -- state of the deployment
 
--- a/tests/test_request_queue.py
+++ b/tests/test_request_queue.py
@@ -29,10 +29,10 @@
 def test_requests_are_admitted_by_priority_then_weight_then_age() -> None:
     harness = QueueHarness()
     harness.admit("background", RequestPriority.BACKGROUND, 0)
-    harness.admit("question", RequestPriority.ACCEPT, 0, 1.0)
+    harness.admit("poll", RequestPriority.ACCEPT, 0, 1.0)
     harness.admit("second accept", RequestPriority.ACCEPT, 1, 0.5)
     harness.admit("first accept", RequestPriority.ACCEPT, 1)
-    harness.admit("question asked later", RequestPriority.ACCEPT, 0, 1.0)
+    harness.admit("later poll", RequestPriority.ACCEPT, 0, 1.0)
     assert harness.admitted == []
     assert harness.queue.queued_requests(RequestPriority.ACCEPT) == 4
     assert harness.queue.queued_changes() == 2
@@ -40,8 +40,8 @@
     assert harness.admitted == [
         "first accept",
         "second accept",
-        "question",
-        "question asked later",
+        "poll",
+        "later poll",
         "background",
     ]
 
