--- a/src/beamspar/state/client.py
+++ b/src/beamspar/state/client.py
@@ -126,12 +126,12 @@
         self._raise_if_not_executed(method, path, response, is_change)
         if response.status >= 500:
             self._record_outcome(served=False)
-            raise no_response_error(f"{method} {path}: response with status {response.status}")
+            raise no_response_error(f"{method} {path}: reply with status {response.status}")
         try:
             data = unpack(response.body) if response.body else {}
         except msgspec.DecodeError as error:
             raise no_response_error(
-                f"{method} {path}: response is not valid MessagePack: {error}"
+                f"{method} {path}: reply is not valid MessagePack: {error}"
             ) from error
         self._record_outcome(served=True)
         return response.status, data if isinstance(data, dict) else {}
@@ -153,18 +153,16 @@
 
     def _convert(self, data: Any, target_type: Any, status: int) -> Any:
         if status != 200:
-            raise StateUnavailableError(f"response to a read has unexpected status {status}")
+            raise StateUnavailableError(f"reply to a read has unexpected status {status}")
         try:
             return msgspec.convert(data, target_type)
         except msgspec.ValidationError as error:
-            raise StateUnavailableError(f"malformed response to a read: {error}") from error
+            raise StateUnavailableError(f"malformed reply to a read: {error}") from error
 
     def _revision(self, data: dict[str, Any]) -> int:
         revision = data.get("ledger_rev")
         if not isinstance(revision, int):
-            raise StateUnavailableError(
-                "malformed response to a read: ledger_rev is not an integer"
-            )
+            raise StateUnavailableError("malformed reply to a read: ledger_rev is not an integer")
         return revision
 
     # -- reads
@@ -259,7 +257,7 @@
         revision = data.get("ledger_rev")
         if status != 200 or not isinstance(revision, int):
             raise OutcomeUnknownError(
-                f"malformed response to a transaction: status {status}, ledger_rev {revision!r}"
+                f"malformed reply to a transaction: status {status}, ledger_rev {revision!r}"
             )
         return revision
 
@@ -292,7 +290,7 @@
         lease_id = data.get("permit")
         if status != 200 or not isinstance(lease_id, int):
             raise StateUnavailableError(
-                f"malformed response to a lease grant: status {status}, permit {lease_id!r}"
+                f"malformed reply to a lease grant: status {status}, permit {lease_id!r}"
             )
         return lease_id
 
@@ -304,9 +302,7 @@
         if status == 404:
             raise LeaseExpiredError(f"lease {lease_id} has expired")
         if status != 200:
-            raise StateUnavailableError(
-                f"response to a lease renewal has unexpected status {status}"
-            )
+            raise StateUnavailableError(f"reply to a lease renewal has unexpected status {status}")
 
     async def revoke_lease(self, lease_id: int) -> None:
         """Revoke a lease, which removes the keys that are stored under it."""
@@ -315,5 +311,5 @@
         status, _ = await self._call("DELETE", path, None, self._timeout_s, True)
         if status not in (200, 204, 404):
             raise StateUnavailableError(
-                f"response to a lease revocation has unexpected status {status}"
+                f"reply to a lease revocation has unexpected status {status}"
             )
