--- a/src/beamspar/cli.py
+++ b/src/beamspar/cli.py
@@ -13,7 +13,7 @@
 import click
 
 from beamspar import __version__
-from beamspar.settings import OperatorSettings, Settings, SettingsError, load
+from beamspar.settings import OperatorSettings, Settings, SettingsError, load_settings
 
 # Exit status if the settings are invalid.
 EXIT_BAD_SETTINGS = 2
@@ -56,21 +56,21 @@
     import gc
     import random
 
-    from beamspar.transport.tcp import TcpNet, steady_reactor
+    from beamspar.transport.tcp import TcpNet, install_monotonic_reactor
 
-    reactor: Any = steady_reactor()
+    reactor: Any = install_monotonic_reactor()
 
     from beamspar.node.node import Node
     from beamspar.timeouts import Timeouts
-    from beamspar.transport.clock import spawn
-    from beamspar.transport.connection_limits import Sockets
+    from beamspar.transport.clock import run_in_background
+    from beamspar.transport.connection_limits import SocketLimits
 
     start_logging(os.environ.get("LOG_LEVEL", "info"))
     timeouts = Timeouts(settings, operator_settings)
-    sockets = Sockets.of(settings.platform.limits.sockets, settings.platform.nodes)
+    sockets = SocketLimits.of(settings.platform.limits.sockets, settings.platform.nodes)
     net = TcpNet(reactor, timeouts.request_timeout_s, timeouts.keep_alive_s, sockets)
     node = Node(reactor, net, settings, operator_settings, random.Random())
-    reactor.callWhenRunning(spawn, node.start(), "start")
+    reactor.callWhenRunning(run_in_background, node.start(), "start")
     # Everything loaded by now stays in use, so exempt it from garbage collection.
     gc.freeze()
     gc.enable()
@@ -130,7 +130,7 @@
 ) -> None:
     """Run one beamspar controller."""
     try:
-        settings = load(config)
+        settings = load_settings(config)
     except SettingsError as error:
         click.echo(str(error), err=True)
         sys.exit(EXIT_BAD_SETTINGS)
--- a/src/beamspar/cluster/registration.py
+++ b/src/beamspar/cluster/registration.py
@@ -1,6 +1,6 @@
 """This process's registration: its lease and the fence of its incarnation.
 
-A controller may act only while `lease_is_valid()`: both the last renewal of its lease and its
+A controller may act only while `is_lease_valid()`: both the last renewal of its lease and its
 mirror, which contains the cancellations, must be recent, measured from when the requests were
 *sent*. A controller that is partitioned from the state service therefore stops in time by its own
 clock.
@@ -26,7 +26,7 @@
 from beamspar.state.messages import Change, drop, put
 from beamspar.state.request_queue import RequestPriority
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, sleep, spawn
+from beamspar.transport.clock import Clock, run_in_background, sleep
 
 log = Logger(namespace="registration")
 
@@ -70,14 +70,14 @@
     @property
     def fence_key(self) -> str:
         """The key of this controller's fence."""
-        return keys.fence(self.own_name)
+        return keys.fence_key(self.own_name)
 
     @property
     def is_registered(self) -> bool:
         """Whether the stored fence is that of this incarnation, according to the mirror."""
         return self.incarnation > 0 and self.mirror.version(self.fence_key) == self.fence_version
 
-    def lease_is_valid(self) -> bool:
+    def is_lease_valid(self) -> bool:
         """Return whether this process may act on machines and jobs right now."""
         if not self.is_started or self.is_ended:
             return False
@@ -112,8 +112,8 @@
             await sleep(self.clock, self.timeouts.retry_delay_s)
         self.is_started = True
         log.info("registered as {me}.{incarnation}", me=self.own_name, incarnation=self.incarnation)
-        spawn(self._renew_until_ended(), "lease renewal")
-        spawn(self.mirror.watch_until(lambda: self.is_ended), "watch")
+        run_in_background(self._renew_until_ended(), "lease renewal")
+        run_in_background(self.mirror.watch_until(lambda: self.is_ended), "watch")
 
     async def _register(self) -> bool:
         """Attempt to register once; return True if the stored fence is that of this incarnation."""
@@ -143,15 +143,15 @@
         conditions = {self.fence_key: self.mirror.version(self.fence_key)}
         changes = [
             put(self.fence_key, record),
-            put(keys.member(self.own_name), record, lease_id),
-            put(keys.partition(partition), partition_record(self.own_name)),
+            put(keys.member_key(self.own_name), record, lease_id),
+            put(keys.partition_key(partition), partition_record(self.own_name)),
         ]
         if self.mirror.leader == self.own_name:
             # An earlier incarnation of this controller was the leader. It is dead, so there is no
             # need to wait until its lease expires, during which no leader would offer capacity,
             # scale out or replace dead controllers.
-            conditions[keys.LEADER] = self.mirror.version(keys.LEADER)
-            changes.append(drop(keys.LEADER))
+            conditions[keys.LEADER_KEY] = self.mirror.version(keys.LEADER_KEY)
+            changes.append(drop(keys.LEADER_KEY))
         return conditions, changes
 
     async def _renew_until_ended(self) -> None:
--- a/src/beamspar/cluster/state_mirror.py
+++ b/src/beamspar/cluster/state_mirror.py
@@ -107,7 +107,7 @@
     @property
     def leader(self) -> str | None:
         """The current leader; None while there is none."""
-        record = self.value(keys.LEADER)
+        record = self.value(keys.LEADER_KEY)
         return str(record.get("name")) if isinstance(record, dict) else None
 
     def holder_of(self, machine: str) -> tuple[str, int] | None:
@@ -118,7 +118,7 @@
     def partition_condition(self, partition: str) -> dict[str, int]:
         """Return the transaction condition that the partition's record is as in the mirror."""
         record = self.partitions.get(partition)
-        return {keys.partition(partition): record.version if record else 0}
+        return {keys.partition_key(partition): record.version if record else 0}
 
     def is_cancelled(self, job: str) -> bool:
         """Return whether the job's user has cancelled it."""
@@ -131,7 +131,7 @@
         with the release with which it last registered.
         """
         return all(
-            stored_release(self.value(keys.fence(member))) >= release
+            stored_release(self.value(keys.fence_key(member))) >= release
             for member in self.known_members
         )
 
@@ -233,7 +233,7 @@
         for job, revision in jobs.items():
             if revision > self.revision and not self.is_cancelled(job):
                 self.announced_cancellations[job] = revision
-                self._notify(keys.cancellation(job))
+                self._notify(keys.cancellation_key(job))
 
     def _notify(self, key: str) -> None:
         for listener in self.listeners:
@@ -320,7 +320,7 @@
     def _add_shard(self, name: str, value: Any, version: int, old_holders: dict[str, str]) -> None:
         shard = msgspec.convert(value, MachineShard)
         shard.record_fencing_token = shard.kept_fencing_token or version
-        fence = self.version(keys.fence(shard.holder))
+        fence = self.version(keys.fence_key(shard.holder))
         shard.fencing_token = max(shard.record_fencing_token, fence)
         self.shards[name] = shard
         for machine in shard.machines:
@@ -337,11 +337,11 @@
         that was leased between this controller's registration and the read that follows it is
         applied before the controller's fence, and could not be held at that time.
         """
-        fence = self.version(keys.fence(member))
+        fence = self.version(keys.fence_key(member))
         for name, shard in self.shards.items():
             if shard.holder != member:
                 continue
             token = max(shard.record_fencing_token, fence)
             if token != shard.fencing_token or member == self.own_name:
                 shard.fencing_token = token
-                self._notify(keys.shard(name))
+                self._notify(keys.shard_key(name))
--- a/src/beamspar/decision_log/decision_log.py
+++ b/src/beamspar/decision_log/decision_log.py
@@ -50,18 +50,18 @@
         self.snapshot_transfers: dict[str, SnapshotTransfer] = {}
         self.followers: dict[str, FollowerProgress] = {}
 
-    def begin(self, term: int) -> None:
+    def start_term(self, term: int) -> None:
         """Start the log of a new term, which begins with the current state."""
         self.term, self.index = term, 0
         self.recent_entries.clear()
         self.snapshot_transfers.clear()
         self.followers.clear()
 
-    def end(self) -> None:
+    def end_term(self) -> None:
         """End the log: followers receive replies with term 0 from now on."""
-        self.begin(0)
+        self.start_term(0)
 
-    def decide(self, decision: Decision) -> None:
+    def record(self, decision: Decision) -> None:
         """Apply a decision and, while leading, append it to the log for the followers."""
         now = self.clock.seconds()
         self.state.apply(decision, now)
@@ -69,7 +69,7 @@
             self.index += 1
             self.recent_entries.append(TimedDecision(now, decision))
 
-    def answer(self, request: FollowRequest, succession: list[str]) -> FollowReply:
+    def reply_to_follower(self, request: FollowRequest, succession: list[str]) -> FollowReply:
         """Return the entries that the follower lacks, as many as fit into one message."""
         if not self.term:
             return FollowReply()
--- a/src/beamspar/decision_log/decisions.py
+++ b/src/beamspar/decision_log/decisions.py
@@ -82,7 +82,7 @@
 )
 
 
-class Booting(msgspec.Struct, frozen=True):
+class BootingMachine(msgspec.Struct, frozen=True):
     """A granted machine that has not sent a heartbeat yet."""
 
     kind: str
@@ -120,7 +120,7 @@
 
     def __init__(self) -> None:
         self.pending: dict[str, InstancesRequested] = {}
-        self.booting: dict[str, Booting] = {}
+        self.booting: dict[str, BootingMachine] = {}
         # Places at which nothing is requested for the duration of a pause.
         self.refusals: dict[Place, Refusal] = {}
         self.deleted_machines: set[str] = set()
@@ -159,7 +159,7 @@
         self.pending.pop(decision.name, None)
         self.refusals.pop(decision.place, None)
         for machine in decision.machines:
-            self.booting[machine] = Booting(*decision.place, since=made_at)
+            self.booting[machine] = BootingMachine(*decision.place, since=made_at)
         if decision.pause_s:
             self._pause_requests(decision.place, made_at, decision.pause_s)
 
--- a/src/beamspar/decision_log/replica.py
+++ b/src/beamspar/decision_log/replica.py
@@ -34,7 +34,7 @@
         """The number of entries of the leader's log that are known but not applied here."""
         return max(self.leader_index - self.index, 0)
 
-    def request(self, member: str) -> FollowRequest:
+    def next_request(self, member: str) -> FollowRequest:
         """Return the next request to the leader."""
         return FollowRequest(member, self.term, self.index, len(self.snapshot_parts))
 
--- a/src/beamspar/jobs/assignments.py
+++ b/src/beamspar/jobs/assignments.py
@@ -24,7 +24,7 @@
     DesiredStateUpdate,
 )
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, sleep, spawn
+from beamspar.transport.clock import Clock, run_in_background, sleep
 from beamspar.workload.job import Job
 from beamspar.workload.task import Task
 
@@ -51,7 +51,7 @@
         """Return whether its team's quota allows the job's bound tasks to be started."""
 
 
-class AttemptKey(msgspec.Struct, frozen=True):
+class PendingClearKey(msgspec.Struct, frozen=True):
     """Identifies one attempt of a task."""
 
     task_name: str
@@ -86,7 +86,7 @@
         self.job_store = job_store
         # By machine: the tasks bound to it, and the ended attempts still to be cleared on it.
         self.by_machine: dict[str, dict[TaskKey, AssignedTask]] = {}
-        self.pending_clears: dict[str, dict[AttemptKey, PendingClear]] = {}
+        self.pending_clears: dict[str, dict[PendingClearKey, PendingClear]] = {}
         # Bound tasks that are not published yet: their machines still report the capacity as free.
         self.unpublished: dict[TaskKey, AssignedTask] = {}
         self.sequence = 0
@@ -141,13 +141,15 @@
     def request_clear(self, job: Job, machine: str, task_name: str, attempt: int) -> None:
         """Have an ended attempt cleared on its machine once the end is stored."""
         clears = self.pending_clears.setdefault(machine, {})
-        clears[AttemptKey(task_name, attempt)] = PendingClear(job.partition, self.clock.seconds())
+        clears[PendingClearKey(task_name, attempt)] = PendingClear(
+            job.partition, self.clock.seconds()
+        )
         job.machines_to_clear.add(machine)
 
     def confirm_clear(self, status: AttemptStatus) -> bool:
         """Remove the attempt from the pending clears; return whether it was one of them."""
         clears = self.pending_clears.get(status.machine)
-        if not clears or clears.pop(AttemptKey(status.task, status.attempt), None) is None:
+        if not clears or clears.pop(PendingClearKey(status.task, status.attempt), None) is None:
             return False
         if not clears:
             del self.pending_clears[status.machine]
@@ -179,7 +181,7 @@
         """Publish changes, and periodically the full state, which makes up for lost messages."""
         self.is_publish_scheduled = False
         if (
-            not self.registration.lease_is_valid()
+            not self.registration.is_lease_valid()
             or self.send is None
             or not self.job_store.loaded_partitions
         ):
@@ -191,7 +193,7 @@
             )
             if member not in self.publishing_to and (full or self.changed_machines.get(member)):
                 self.publishing_to.add(member)
-                spawn(self._publish_to(member, full), f"desired state for {member}")
+                run_in_background(self._publish_to(member, full), f"desired state for {member}")
 
     async def _publish_to(self, member: str, full: bool) -> None:
         machines = self.changed_machines.pop(member, set())
--- a/src/beamspar/jobs/chunk_removal.py
+++ b/src/beamspar/jobs/chunk_removal.py
@@ -28,9 +28,9 @@
     async def remove(self, job_id: str, layout: ChunkLayout, chunks: Iterable[int]) -> None:
         """Remove these chunks; retry for as long as the state service is unavailable."""
         remaining = sorted(chunks)
-        batch_size = self._limits.smallest.txn_ops
+        batch_size = self._limits.strictest.txn_ops
         while remaining:
-            changes = [drop(layout.key(job_id, chunk)) for chunk in remaining[:batch_size]]
+            changes = [drop(layout.chunk_key(job_id, chunk)) for chunk in remaining[:batch_size]]
             try:
                 await self._state.transact({}, changes, RequestPriority.BACKGROUND)
             except StateUnavailableError:
--- a/src/beamspar/jobs/empty_partitions.py
+++ b/src/beamspar/jobs/empty_partitions.py
@@ -18,7 +18,7 @@
 from beamspar.state.messages import drop
 from beamspar.state.request_queue import RequestPriority
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, sleep, spawn
+from beamspar.transport.clock import Clock, run_in_background, sleep
 from beamspar.workload.job import Job
 
 log = Logger(namespace="jobs")
@@ -66,7 +66,7 @@
         ):
             if partition in self.mirror.partitions and quota_manager.has_no_allocations(partition):
                 self.is_deleting = True
-                spawn(self._delete(partition), "deleting a partition")
+                run_in_background(self._delete(partition), "deleting a partition")
                 return
 
     async def _delete(self, partition: str) -> None:
@@ -76,7 +76,7 @@
                 **self.mirror.partition_condition(partition),
             }
             await self.state.transact(
-                conditions, [drop(keys.partition(partition))], RequestPriority.BACKGROUND
+                conditions, [drop(keys.partition_key(partition))], RequestPriority.BACKGROUND
             )
             log.info("deleted empty partition {partition}", partition=partition)
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
--- a/src/beamspar/jobs/indeterminate_accepts.py
+++ b/src/beamspar/jobs/indeterminate_accepts.py
@@ -19,7 +19,7 @@
 from beamspar.state.messages import put
 from beamspar.state.request_queue import RequestPriority
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, sleep, spawn
+from beamspar.transport.clock import Clock, run_in_background, sleep
 from beamspar.workload.job import Job
 
 log = Logger(namespace="jobs")
@@ -66,7 +66,7 @@
         accepts = self.jobs.setdefault(job.id, [])
         accepts.append(job)
         if len(accepts) == 1:
-            spawn(self._resolve(job.id), "indeterminate accept")
+            run_in_background(self._resolve(job.id), "indeterminate accept")
 
     def mark_resolved(self, job_id: str) -> None:
         """Stop counting the job's indeterminate accepts, as its outcome is now known."""
@@ -106,10 +106,10 @@
                 self.mark_resolved(job_id)
 
     async def _read_outcome(self, job_id: str) -> AcceptOutcome:
-        item = await self._state.get(keys.job(job_id), RequestPriority.PLACEMENT)
+        item = await self._state.get(keys.job_key(job_id), RequestPriority.PLACEMENT)
         if item is None:
             finished_item = await self._state.get(
-                keys.finished_job(job_id), RequestPriority.PLACEMENT
+                keys.finished_job_key(job_id), RequestPriority.PLACEMENT
             )
             return AcceptOutcome.NOT_STORED if finished_item is None else AcceptOutcome.RESOLVED
         if records.read_job(item).partition not in self._job_store.partitions:
@@ -121,7 +121,7 @@
 
     async def _fence_out_late_accepts(self) -> None:
         """Rewrite this controller's partition record, so that accepts on its old version fail."""
-        key = keys.partition(self._registration.partition)
+        key = keys.partition_key(self._registration.partition)
         value = {"owner": self._registration.own_name}
         conditions = {
             **self._registration.fence_condition(),
--- a/src/beamspar/jobs/job_acceptor.py
+++ b/src/beamspar/jobs/job_acceptor.py
@@ -81,7 +81,7 @@
         await self._job_store.place([job])
         bound_count = job.quota_usage.begin_write(0)
         job.write_stamp = self._job_store.writer.next_write_stamp()
-        change = put(keys.job(job.id), msgspec.to_builtins(job.record()))
+        change = put(keys.job_key(job.id), msgspec.to_builtins(job.to_record()))
         try:
             version = await self._state.transact(
                 self._preconditions(job), [change], RequestPriority.ACCEPT
@@ -102,8 +102,8 @@
         return {
             **self._registration.fence_condition(),
             **self._mirror.partition_condition(job.partition),
-            keys.job(job.id): 0,
-            keys.finished_job(job.id): 0,
+            keys.job_key(job.id): 0,
+            keys.finished_job_key(job.id): 0,
         }
 
     def _discard(self, job: Job, error: Exception) -> None:
--- a/src/beamspar/jobs/job_controller.py
+++ b/src/beamspar/jobs/job_controller.py
@@ -26,7 +26,7 @@
 from beamspar.state.client import StateClient
 from beamspar.state.job_records import JobStatus
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, spawn
+from beamspar.transport.clock import Clock, run_in_background
 from beamspar.workload.job import Job
 
 log = Logger(namespace="jobs")
@@ -94,7 +94,7 @@
                 self.partitions.add(name)
                 if name != self.registration.partition and self.registration.is_started:
                     log.info("taking over partition {partition}, loading its jobs", partition=name)
-                    spawn(self.load(), "taking over")
+                    run_in_background(self.load(), "taking over")
         elif name in self.partitions:
             self._remove_partition(name)
 
@@ -189,7 +189,7 @@
             self.cancel(job)
             # The cancellation changed the version of the job's record. The record is re-read, as
             # the end of the job is written on top of its current version.
-            spawn(self._refresh_and_flush(job), "cancellation")
+            run_in_background(self._refresh_and_flush(job), "cancellation")
 
     async def _refresh_and_flush(self, job: Job) -> None:
         await self.writer.refresh(job)
--- a/src/beamspar/jobs/job_loader.py
+++ b/src/beamspar/jobs/job_loader.py
@@ -146,7 +146,7 @@
 
     async def _adopt(self, job_id: str) -> Job | None:
         ownership = self._ownership_revisions()
-        item = await self._state.get(keys.job(job_id), RequestPriority.PLACEMENT)
+        item = await self._state.get(keys.job_key(job_id), RequestPriority.PLACEMENT)
         if (
             item is None
             or job_id in self._job_store.jobs
@@ -172,9 +172,9 @@
         job.gang_wait_s = self._timeouts.gang_wait_s
         chunks = {0: record.chunk}
         if job.spec.tasks > layout.tasks_per_chunk:
-            items, _ = await self._state.scan(layout.prefix(job.id), RequestPriority.ACCEPT)
+            items, _ = await self._state.scan(layout.key_prefix(job.id), RequestPriority.ACCEPT)
             for item in items:
-                number = layout.number(job.id, item.key)
+                number = layout.chunk_number(job.id, item.key)
                 if number is not None:
                     chunks[number] = msgspec.convert(item.value, Chunk)
                     job.chunk_versions[number] = item.version
--- a/src/beamspar/jobs/job_writer.py
+++ b/src/beamspar/jobs/job_writer.py
@@ -27,7 +27,7 @@
 from beamspar.state.messages import drop, put
 from beamspar.state.request_queue import RequestPriority
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, sleep, spawn
+from beamspar.transport.clock import Clock, run_in_background, sleep
 from beamspar.workload.job import Job
 
 log = Logger(namespace="jobs")
@@ -83,7 +83,7 @@
         """
         if not job.is_writing and job.id in self._job_store.jobs and self._is_write_due(job):
             job.is_writing = True
-            spawn(self._write(job), f"writing {job.id}")
+            run_in_background(self._write(job), f"writing {job.id}")
 
     async def refresh(self, job: Job) -> None:
         """Re-read the stored record.
@@ -126,7 +126,7 @@
         controller.
         """
         status = JobStatus.CANCELLED if job.status == JobStatus.CANCELLED else JobStatus.DONE
-        conditions = {**self._transactions.conditions(job), keys.finished_job(job.id): 0}
+        conditions = {**self._transactions.conditions(job), keys.finished_job_key(job.id): 0}
         changes = _final_changes(job, status)
         try:
             await self._state.transact(conditions, changes, RequestPriority.COMPLETION)
@@ -147,7 +147,7 @@
         self._job_store.remove_job(job, ended=True)
         if job.chunk_versions:
             removal = self._chunk_remover.remove(job.id, job.layout, job.chunk_versions)
-            spawn(removal, "dropping chunks")
+            run_in_background(removal, "dropping chunks")
         return True
 
 
@@ -158,9 +158,9 @@
     """
     end_record = EndRecord(status, job.done_count)
     changes = [
-        drop(keys.job(job.id)),
-        put(keys.finished_job(job.id), msgspec.to_builtins(end_record)),
+        drop(keys.job_key(job.id)),
+        put(keys.finished_job_key(job.id), msgspec.to_builtins(end_record)),
     ]
     if status == JobStatus.CANCELLED:
-        changes.append(drop(keys.cancellation(job.id)))
+        changes.append(drop(keys.cancellation_key(job.id)))
     return changes
--- a/src/beamspar/jobs/layout_migration.py
+++ b/src/beamspar/jobs/layout_migration.py
@@ -13,7 +13,7 @@
 from beamspar.jobs.record_transactions import RecordTransactions
 from beamspar.settings import StateServiceLimits
 from beamspar.state import job_records as records
-from beamspar.transport.clock import spawn
+from beamspar.transport.clock import run_in_background
 from beamspar.workload.job import Job
 
 log = Logger(namespace="jobs")
@@ -56,7 +56,7 @@
                 job.chunk_versions = old_versions
         if is_stored and old_versions:
             removal = self._chunk_remover.remove(job.id, old_layout, old_versions)
-            spawn(removal, "dropping chunks")
+            run_in_background(removal, "dropping chunks")
 
     async def _write_all(self, job: Job) -> bool:
         """Write the chunks, the last of them together with the record that names their layout.
--- a/src/beamspar/jobs/placement_round.py
+++ b/src/beamspar/jobs/placement_round.py
@@ -23,7 +23,7 @@
 JOBS_PER_SHAPE = JOBS_PER_ROUND // 4
 
 
-class JobShape(msgspec.Struct, frozen=True):
+class PlacementShape(msgspec.Struct, frozen=True):
     """Properties that decide whether a job can be placed: equal shapes succeed or fail alike."""
 
     cpus: float
@@ -36,15 +36,15 @@
 
 
 class OfferedPlace(msgspec.Struct, frozen=True):
-    """A machine for one task; with `preempt`, lower-priority work must be stopped there first."""
+    """A machine for one task; lower-priority work must stop there first if `may_preempt`."""
 
     machine: str
-    preempt: bool = False
+    may_preempt: bool = False
 
 
 def tasks_per_round(job: Job) -> int:
     """Return how many tasks of the job one round may place: all if they are placed together."""
-    if job.spec.grouped:
+    if job.spec.is_placed_as_group:
         return job.spec.tasks
     return LOWEST_PRIORITY_TASKS_PER_JOB if job.spec.rank == LOWEST_RANK else TASKS_PER_JOB
 
@@ -54,13 +54,13 @@
 
     A service that must run in one zone and has lost some of its tasks gets only these replaced.
     """
-    return job.spec.grouped and not job.bound_count
+    return job.spec.is_placed_as_group and not job.bound_count
 
 
 def select_jobs(jobs: list[Job]) -> list[Job]:
     """Select some jobs of each shape, in order: many without capacity must not block the others."""
     selected: list[Job] = []
-    jobs_of_shape: dict[JobShape, int] = {}
+    jobs_of_shape: dict[PlacementShape, int] = {}
     for job in jobs:
         shape = _shape_of(job)
         jobs_of_shape[shape] = jobs_of_shape.get(shape, 0) + 1
@@ -71,9 +71,9 @@
     return selected
 
 
-def _shape_of(job: Job) -> JobShape:
+def _shape_of(job: Job) -> PlacementShape:
     spec = job.spec
-    return JobShape(
+    return PlacementShape(
         spec.cpus,
         spec.gpus,
         spec.memory_gb,
@@ -123,5 +123,5 @@
     places: dict[str, list[OfferedPlace]] = {}
     for offer in offers:
         if offer.job in grouped:
-            places.setdefault(offer.job, []).append(OfferedPlace(offer.machine, offer.preempt))
+            places.setdefault(offer.job, []).append(OfferedPlace(offer.machine, offer.may_preempt))
     return places
--- a/src/beamspar/jobs/placer.py
+++ b/src/beamspar/jobs/placer.py
@@ -31,7 +31,7 @@
 from beamspar.protocol.peer_messages import CapacityRequest, PlacementOffer
 from beamspar.quota.quota_manager import QuotaManager
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, spawn
+from beamspar.transport.clock import Clock, run_in_background
 from beamspar.workload.job import Job
 
 # Minimum interval between the starts of two placement rounds, as a share of a heartbeat.
@@ -128,7 +128,7 @@
             self.observe_timer(due)
         self.round_began_at = self.clock.seconds()
         self.is_round_wanted = False
-        spawn(self._run_round(), "placing")
+        run_in_background(self._run_round(), "placing")
 
     async def _run_round(self) -> None:
         try:
@@ -144,7 +144,7 @@
         pending = [job for job in self.job_store.jobs.values() if job.placeable_indexes(now, 1)]
         self._flush_deferred(pending)
         jobs = [job for job in pending if self._may_place(job)]
-        if not jobs or not self.registration.lease_is_valid():
+        if not jobs or not self.registration.is_lease_valid():
             return
         jobs.sort(key=lambda job: (job.spec.rank, job.waiting_since))
         selected = select_jobs(jobs)
@@ -180,7 +180,7 @@
         Jobs that must wait because the processor is busy are skipped.
         """
         jobs = [job for job in jobs if self._may_place(job)]
-        if not jobs or not self.registration.lease_is_valid():
+        if not jobs or not self.registration.is_lease_valid():
             return
         now = self.clock.seconds()
         capacities = self.local_capacities()
@@ -191,7 +191,7 @@
             return
         requests = [request for _, request in unplaced]
         offers = await self.request_capacity(requests) if self.request_capacity else None
-        if not self.registration.lease_is_valid():
+        if not self.registration.is_lease_valid():
             return
         self._bind_offers([job for job, _ in unplaced], offers or [], now)
         capacities = self.local_capacities()
@@ -245,7 +245,7 @@
             offered = by_id.get(offer.job)
             indexes = offered.placeable_indexes(now, 1) if offered else []
             if offered and indexes:
-                self.binder.bind_if_covered(offered, indexes[0], offer.machine, offer.preempt)
+                self.binder.bind_if_covered(offered, indexes[0], offer.machine, offer.may_preempt)
 
     # -- placement on local machines
 
--- a/src/beamspar/jobs/record_refresh.py
+++ b/src/beamspar/jobs/record_refresh.py
@@ -47,7 +47,7 @@
         Another controller, or a late write of this one, may have changed it.
         """
         try:
-            item = await self._state.get(keys.job(job.id), RequestPriority.PLACEMENT)
+            item = await self._state.get(keys.job_key(job.id), RequestPriority.PLACEMENT)
         except StateUnavailableError:
             return
         if self._job_store.jobs.get(job.id) is not job:
@@ -79,12 +79,12 @@
             return
         layout = job.layout
         try:
-            items, _ = await self._state.scan(layout.prefix(job.id), RequestPriority.PLACEMENT)
+            items, _ = await self._state.scan(layout.key_prefix(job.id), RequestPriority.PLACEMENT)
         except StateUnavailableError:
             return
         if job.layout != layout:
             return
         for item in items:
-            chunk = layout.number(job.id, item.key)
+            chunk = layout.chunk_number(job.id, item.key)
             if chunk is not None:
                 job.chunk_versions[chunk] = item.version
--- a/src/beamspar/jobs/record_transactions.py
+++ b/src/beamspar/jobs/record_transactions.py
@@ -97,7 +97,7 @@
         return {
             **self._registration.fence_condition(),
             **self._mirror.partition_condition(job.partition),
-            keys.job(job.id): job.version,
+            keys.job_key(job.id): job.version,
         }
 
     # -- writes
@@ -134,10 +134,10 @@
         chunks_and_first = {0, *chunks}
         bound_by_chunk = self._begin_write(job, chunks_and_first)
         conditions = self.conditions(job)
-        changes = [put(keys.job(job.id), msgspec.to_builtins(job.record()))]
+        changes = [put(keys.job_key(job.id), msgspec.to_builtins(job.to_record()))]
         for chunk in chunks:
             if chunk:
-                key = job.layout.key(job.id, chunk)
+                key = job.layout.chunk_key(job.id, chunk)
                 if not job.is_changing_layout:
                     # A migration sets no conditions on chunks: an earlier, failed migration may
                     # have left chunks of unknown versions under the same keys.
@@ -185,7 +185,7 @@
         job.dirty_chunks.difference_update(chunks)
         bound_by_chunk = self._begin_write(job, chunks)
         changes = [
-            put(job.layout.key(job.id, chunk), msgspec.to_builtins(job.chunk_record(chunk)))
+            put(job.layout.chunk_key(job.id, chunk), msgspec.to_builtins(job.chunk_record(chunk)))
             for chunk in chunks
         ]
         try:
@@ -238,7 +238,7 @@
             job=job.id,
             failed=error.failed,
         )
-        if keys.job(job.id) not in error.failed:
+        if keys.job_key(job.id) not in error.failed:
             # This controller's fence or partition has changed, or a late write changed a chunk. An
             # immediate retry would fail again: the mirror has yet to observe such a change.
             await sleep(self._clock, self._timeouts.retry_delay_s)
--- a/src/beamspar/jobs/task_binder.py
+++ b/src/beamspar/jobs/task_binder.py
@@ -40,13 +40,13 @@
         if len(places) < len(indexes) or not self._reserve_quota(job, indexes):
             return
         for index, place in zip(indexes, places, strict=False):
-            self._bind(job, index, place.machine, place.preempt)
+            self._bind(job, index, place.machine, place.may_preempt)
 
-    def bind_if_covered(self, job: Job, index: int, machine: str, preempt: bool) -> bool:
+    def bind_if_covered(self, job: Job, index: int, machine: str, may_preempt: bool) -> bool:
         """Bind a pending task if the team's quota covers it; return whether it is bound."""
         if not self._reserve_quota(job, [index]):
             return False
-        self._bind(job, index, machine, preempt)
+        self._bind(job, index, machine, may_preempt)
         return True
 
     def _reserve_quota(self, job: Job, indexes: list[int]) -> bool:
--- a/src/beamspar/leader/capacity_needs.py
+++ b/src/beamspar/leader/capacity_needs.py
@@ -100,7 +100,7 @@
             zones = total.tasks_by_zone
             for zone, tasks in job_class.zones.items():
                 zones[zone] = zones.get(zone, 0) + tasks
-            total.largest_job = max(total.largest_job, job_class.largest)
+            total.largest_job = max(total.largest_job, job_class.largest_job)
     return running
 
 
--- a/src/beamspar/leader/capacity_offers.py
+++ b/src/beamspar/leader/capacity_offers.py
@@ -33,7 +33,7 @@
 
     capacity: MachineCapacity
     # Whether tasks of lower priority must be stopped to free the capacity.
-    preempt: bool
+    may_preempt: bool
 
 
 class CapacityAllocator:
@@ -80,7 +80,7 @@
         offers: list[PlacementOffer] = []
         for demand in demands:
             open_capacities = self.gang_reservations.capacities_open_to(demand.spec, capacities)
-            if demand.spec.grouped and not demand.request.zones:
+            if demand.spec.is_placed_as_group and not demand.request.zones:
                 offers += self._offer_group(demand, open_capacities, own_machines, now)
             else:
                 offers += self._offer_individually(demand, open_capacities, own_machines, now)
@@ -108,7 +108,7 @@
         for capacity in group:
             # A machine may be in the group several times: each reservation reduces the capacity
             # that the next one sees.
-            placement = Placement(capacity, preempt=not has_capacity(spec, capacity))
+            placement = Placement(capacity, may_preempt=not has_capacity(spec, capacity))
             offers.append(self._reserve(spec, placement, now))
         self.unmet_demand.record(spec, 0 if group else request.count, now)
         return offers
@@ -167,7 +167,7 @@
     capacity = choose_machine(
         spec, capacities, zones, machines, request.avoid, own_machines, preference=preference
     )
-    return None if capacity is None else Placement(capacity, preempt=False)
+    return None if capacity is None else Placement(capacity, may_preempt=False)
 
 
 def choose_by_preemption(
@@ -181,7 +181,7 @@
     if spec.rank >= LOWEST_RANK:
         return None
     capacity = choose_preemption(spec, capacities, zones, request.avoid)
-    return None if capacity is None else Placement(capacity, preempt=True)
+    return None if capacity is None else Placement(capacity, may_preempt=True)
 
 
 def choose_capacities_for_group(
--- a/src/beamspar/leader/draining.py
+++ b/src/beamspar/leader/draining.py
@@ -153,7 +153,7 @@
         """
         idle_capacities = [copy_capacity(machine.status.capacity) for machine in occupancy.idle]
         for capacity in idle_capacities:
-            capacity.usable = True
+            capacity.is_usable = True
         free_cpus = {capacity.name: capacity.cpus for capacity in idle_capacities}
         capacities = occupancy.kept_capacities + idle_capacities
         for spec, tasks in self.capacity_needs.current():
--- a/src/beamspar/leader/fleet_view.py
+++ b/src/beamspar/leader/fleet_view.py
@@ -34,13 +34,13 @@
         self,
         clock: Clock,
         mirror: StateMirror,
-        decisions: DecisionLog,
+        decision_log: DecisionLog,
         machine_types: Mapping[str, MachineType],
         timeouts: Timeouts,
     ) -> None:
         self.clock = clock
         self.mirror = mirror
-        self.decisions = decisions
+        self.decision_log = decision_log
         self.machine_types = machine_types
         self.timeouts = timeouts
         self.members: dict[str, MemberView] = {}
@@ -82,18 +82,18 @@
         The entry survives a move of the shard, after which the heartbeats of the new holder list
         fewer images.
         """
-        cached = self.decisions.state.caches.get(name, ({}, 0))[0]
+        cached = self.decision_log.state.caches.get(name, ({}, 0))[0]
         if images.keys() - cached.keys():
             merged = {**{k: v for k, v in cached.items() if k not in images}, **images}
             if kind in self.machine_types:
                 evict_least_recently_used(merged, self.machine_types[kind])
-            self.decisions.decide(CacheChanged(name, merged))
+            self.decision_log.record(CacheChanged(name, merged))
 
     def caches_changed_since(self, change_count: int) -> dict[str, dict[str, float]]:
         """Return the images of each machine whose cache changed after this change count."""
         return {
             name: images
-            for name, (images, count) in self.decisions.state.caches.items()
+            for name, (images, count) in self.decision_log.state.caches.items()
             if count > change_count
         }
 
@@ -124,8 +124,8 @@
             unassigned = self._collect_statuses(name, member, statuses)
             for machine in unassigned:
                 del member.machines[machine]
-                if machine in self.decisions.state.caches:
-                    self.decisions.decide(CacheChanged(machine, {}))
+                if machine in self.decision_log.state.caches:
+                    self.decision_log.record(CacheChanged(machine, {}))
         return statuses
 
     def _collect_statuses(
--- a/src/beamspar/leader/instance_manager.py
+++ b/src/beamspar/leader/instance_manager.py
@@ -11,7 +11,7 @@
 from beamspar.cluster.registration import Registration
 from beamspar.decision_log.decision_log import DecisionLog
 from beamspar.decision_log.decisions import (
-    Booting,
+    BootingMachine,
     InstanceRequestAbandoned,
     InstancesGranted,
     InstancesRefused,
@@ -38,7 +38,7 @@
 from beamspar.protocol.machine_capacity import MachineCapacity
 from beamspar.settings import Settings
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, sleep, spawn
+from beamspar.transport.clock import Clock, run_in_background, sleep
 
 log = Logger(namespace="instances")
 
@@ -73,7 +73,7 @@
         settings: Settings,
         timeouts: Timeouts,
         types: dict[str, MachineType],
-        decisions: DecisionLog | None = None,
+        decision_log: DecisionLog | None = None,
     ) -> None:
         self.clock = clock
         self.cloud = cloud
@@ -88,8 +88,8 @@
         self.listed_instances: dict[str, Instance] = {}
         # Number of listed instances; while pages are being read, at least those read so far.
         self.listed_count = 0
-        self.decisions = decisions or DecisionLog(clock, LeaderState())
-        self.leader_state = self.decisions.state
+        self.decision_log = decision_log or DecisionLog(clock, LeaderState())
+        self.leader_state = self.decision_log.state
         # Parts of the replicated state, which decisions modify. Only entries of `booting` are also
         # added and removed here without a decision: added if the cloud lists a starting instance,
         # removed if its boot has taken too long.
@@ -127,7 +127,7 @@
         since = now - instance.age_s
         self.booting.setdefault(
             instance.machine,
-            Booting(instance.kind, instance.zone, bool(instance.spot), since),
+            BootingMachine(instance.kind, instance.zone, bool(instance.spot), since),
         )
         kind = self.types.get(instance.kind)
         boot_s = kind.boot_s if kind else self.list_lag_s
@@ -172,7 +172,7 @@
     def observe_running(self, name: str) -> None:
         """Record that the machine is up, as its worker sends heartbeats."""
         if name in self.booting:
-            self.decisions.decide(MachinesStarted([name]))
+            self.decision_log.record(MachinesStarted([name]))
 
     def inherit_requests(self) -> None:
         """Take over the pending requests that the former leader is known to have decided."""
@@ -188,7 +188,7 @@
         self.to_delete.update(name for name in names if name not in self.deleted_machines)
         if self.to_delete and not self.is_scaling_in:
             self.is_scaling_in = True
-            spawn(self._scale_in(), "scaling in")
+            run_in_background(self._scale_in(), "scaling in")
 
     async def _scale_in(self) -> None:
         try:
@@ -219,7 +219,7 @@
         # Places that were refused for lack of capacity may have some now.
         deleted = [self.listed_instances.get(name) or self.booting.get(name) for name in names]
         places = {(i.kind, i.zone, bool(i.spot)) for i in deleted if i is not None}
-        self.decisions.decide(MachinesDeleted(names, sorted(places)))
+        self.decision_log.record(MachinesDeleted(names, sorted(places)))
 
     # -- scaling out
 
@@ -265,7 +265,7 @@
         self.requests_made += 1
         name = f"{self.registration.own_name}.{self.registration.incarnation}.{self.requests_made}"
         request = InstancesRequested(name, place, count)
-        self.decisions.decide(request)
+        self.decision_log.record(request)
         await self._carry_out(request)
 
     async def repeat_inherited_request(self) -> None:
@@ -280,7 +280,7 @@
             names = await self._create(request)
         except NoCapacityError:
             pause_s = self._refusal_backoff_s(place)
-            self.decisions.decide(InstancesRefused(request.name, place, pause_s))
+            self.decision_log.record(InstancesRefused(request.name, place, pause_s))
             log.info(
                 "the cloud has no capacity for {kind} in {zone} (spot: {spot})",
                 kind=kind,
@@ -289,10 +289,10 @@
             )
             return
         except CloudUnavailableError:
-            self.decisions.decide(InstanceRequestAbandoned(request.name))
+            self.decision_log.record(InstanceRequestAbandoned(request.name))
             raise
         pause_s = self.list_lag_s if len(names) < request.count else 0.0
-        self.decisions.decide(InstancesGranted(request.name, place, names, pause_s))
+        self.decision_log.record(InstancesGranted(request.name, place, names, pause_s))
         log.info("created {names} for {place}", names=names, place=place)
 
     def _refusal_backoff_s(self, place: Place) -> float:
--- a/src/beamspar/leader/leader.py
+++ b/src/beamspar/leader/leader.py
@@ -38,7 +38,7 @@
 from beamspar.state.client import StateClient
 from beamspar.state.control_records import Machine
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, spawn
+from beamspar.transport.clock import Clock, run_in_background
 
 log = Logger(namespace="leader")
 
@@ -48,7 +48,7 @@
 
     Owns no state of its own: `leadership` holds the election state, `fleet_view` the reported
     state of the machines, `gang_reservations`, `drainer`, `scaling` and `shard_leasing` the
-    decisions made here, and `decisions` the state that is replicated to the followers.
+    decisions made here, and `decision_log` the state that is replicated to the followers.
     """
 
     def __init__(
@@ -71,15 +71,15 @@
         self.rng = rng
         # Decisions that are not in the state service's records, such as the map of cached
         # images. They are replicated to the followers.
-        self.decisions = instance_manager.decisions
-        self.leader_state = self.decisions.state
+        self.decision_log = instance_manager.decision_log
+        self.leader_state = self.decision_log.state
         # Whether, after a failover, capacity is offered in zones that are already confirmed
         # while others are not.
         self._offers_by_zone = False
         machine_types = instance_manager.types
-        fleet_view = FleetView(clock, self.mirror, self.decisions, machine_types, timeouts)
+        fleet_view = FleetView(clock, self.mirror, self.decision_log, machine_types, timeouts)
         self.fleet_view = fleet_view
-        self.shard_writer = ShardWriter(registration, state, settings.platform.state.smallest)
+        self.shard_writer = ShardWriter(registration, state, settings.platform.state.strictest)
         self.shard_leasing = self._make_shard_leasing(settings, operator_settings)
         self.leadership = self._make_leadership(state, settings.platform.nodes)
         self.gang_reservations = GangReservations(timeouts)
@@ -141,7 +141,7 @@
         now = self.clock.seconds()
         if not self.shard_leasing.is_running:
             self.shard_leasing.is_running = True
-            spawn(self.shard_leasing.run(self.leadership.led_for_s()), "leasing shards")
+            run_in_background(self.shard_leasing.run(self.leadership.led_for_s()), "leasing shards")
         self.scaling.start_due_calls(now)
         self.drainer.delete_failed()
         self.drainer.drain_idle(now)
@@ -208,9 +208,9 @@
         """Return the zones in which the leader has confirmed every shard holder."""
         return self.leadership.confirmed_zones()
 
-    async def elect(self, replaces: str = "", failed: bool = True) -> None:
-        """Try to be elected; see `Leadership.elect`."""
-        await self.leadership.elect(replaces, failed)
+    async def attempt_election(self, replaced_leader: str = "", has_failed: bool = True) -> None:
+        """Try to be elected; see `Leadership.attempt_election`."""
+        await self.leadership.attempt_election(replaced_leader, has_failed)
 
     async def step_down(self) -> None:
         """Step down as the leader; raises the errors of `Leadership.step_down`."""
--- a/src/beamspar/leader/leadership.py
+++ b/src/beamspar/leader/leadership.py
@@ -23,7 +23,7 @@
 from beamspar.state.messages import drop, put
 from beamspar.state.request_queue import RequestPriority
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, sleep, spawn
+from beamspar.transport.clock import Clock, run_in_background, sleep
 
 log = Logger(namespace="leader")
 
@@ -87,7 +87,7 @@
         Its registration lease must be valid, its mirror must include its own election, and it must
         not be handing over leadership.
         """
-        if not self.is_leading or not self.registration.lease_is_valid():
+        if not self.is_leading or not self.registration.is_lease_valid():
             return False
         if self.clock.seconds() < self.decisions_paused_until:
             return False
@@ -144,9 +144,9 @@
 
     def tick(self) -> bool:
         """Stand for election if there is no leader; return whether decisions may be made here."""
-        if not self.registration.lease_is_valid():
+        if not self.registration.is_lease_valid():
             return False
-        record = self.mirror.value(keys.LEADER)
+        record = self.mirror.value(keys.LEADER_KEY)
         if record is None:
             self.leading_since = None
             self._stand_for_election()
@@ -155,7 +155,7 @@
             record.get("inc") != self.registration.incarnation
         ):
             self.leading_since = None
-            self.instance_manager.decisions.end()
+            self.instance_manager.decision_log.end_term()
             return False
         if self.leading_since is None:
             self._begin_leading()
@@ -169,43 +169,43 @@
     def _stand_for_election(self) -> None:
         if not self.is_electing and self.may_stand():
             self.is_electing = True
-            spawn(self.elect(), "election")
+            run_in_background(self.attempt_election(), "election")
 
     def _begin_leading(self) -> None:
         self.leading_since, self._has_announced_ready = self.clock.seconds(), False
 
-    async def elect(self, replaces: str = "", failed: bool = True) -> None:
-        """Try to be elected while there is no leader, or in place of the leader `replaces`.
+    async def attempt_election(self, replaced_leader: str = "", has_failed: bool = True) -> None:
+        """Try to be elected while there is no leader, or in place of the leader `replaced_leader`.
 
         That leader has either failed or is handing over. If it hands over, its heartbeat must
         arrive before the first decision; if it has failed, it is not waited for.
         """
-        expected_version = self.mirror.version(keys.LEADER) if replaces else 0
+        expected_version = self.mirror.version(keys.LEADER_KEY) if replaced_leader else 0
         self.is_electing = True
         try:
             record = LeaderRecord(self.registration.own_name, self.registration.incarnation)
             lease_id = await self.state.grant_lease(self.timeouts.leader_lease_s)
             revision = await self.state.transact(
-                {keys.LEADER: expected_version, **self.registration.fence_condition()},
-                [put(keys.LEADER, msgspec.to_builtins(record), lease_id)],
+                {keys.LEADER_KEY: expected_version, **self.registration.fence_condition()},
+                [put(keys.LEADER_KEY, msgspec.to_builtins(record), lease_id)],
                 RequestPriority.URGENT,
             )
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
             log.info("election attempt failed: {error}", error=error)
         else:
-            self.failed_leader = replaces if failed else ""
+            self.failed_leader = replaced_leader if has_failed else ""
             self._begin_term(record, lease_id, revision)
         finally:
             self.is_electing = False
 
     def _begin_term(self, record: LeaderRecord, lease_id: int, revision: int) -> None:
         self.shard_writer.lease_id, self._elected_at = lease_id, revision
-        self.instance_manager.decisions.begin(revision)
+        self.instance_manager.decision_log.start_term(revision)
         self.instance_manager.inherit_requests()
-        self.mirror.observe(keys.LEADER, msgspec.to_builtins(record), revision)
+        self.mirror.observe(keys.LEADER_KEY, msgspec.to_builtins(record), revision)
         self._begin_leading()
         log.info("{me} was elected leader", me=self.registration.own_name)
-        spawn(self._keep_renewing(lease_id), "leader lease renewal")
+        run_in_background(self._keep_renewing(lease_id), "leader lease renewal")
 
     async def _keep_renewing(self, lease_id: int) -> None:
         while not self.registration.is_ended and self.mirror.leader == self.registration.own_name:
@@ -232,10 +232,10 @@
         )
         await self.state.transact(
             {
-                keys.LEADER: self.mirror.version(keys.LEADER),
+                keys.LEADER_KEY: self.mirror.version(keys.LEADER_KEY),
                 **self.registration.fence_condition(),
             },
-            [drop(keys.LEADER)],
+            [drop(keys.LEADER_KEY)],
             RequestPriority.URGENT,
         )
         log.info("{me} has stepped down as leader", me=self.registration.own_name)
--- a/src/beamspar/leader/member_view.py
+++ b/src/beamspar/leader/member_view.py
@@ -29,7 +29,7 @@
         self.machines: dict[str, ReceivedStatus] = {}
         self.classes: dict[str, JobClass] = {}
         # Machines whose workers turned to this member because their holder does not answer them.
-        self.unserved: list[str] = []
+        self.unserved_machines: list[str] = []
         # Number of bound or pending tasks of its jobs, and how late its timers fire, in seconds.
         self.demand = 0
         self.late_s = 0.0
@@ -44,7 +44,7 @@
             # A member with incomplete state counts as not reporting. Otherwise instances would be
             # created to replace capacity that it has not reported yet.
             self.reported_at = now
-        self.unserved = heartbeat.unserved_machines
+        self.unserved_machines = heartbeat.unserved_machines
         self.demand, self.late_s = heartbeat.demand, heartbeat.late_s
         self.machines.update(
             {status.capacity.name: ReceivedStatus(status, now) for status in heartbeat.machines}
--- a/src/beamspar/leader/scale_out_planning.py
+++ b/src/beamspar/leader/scale_out_planning.py
@@ -116,7 +116,7 @@
         That is the zone with the most free capacity if all tasks fit there, else the zone with the
         most free capacity among those where machines may be created.
         """
-        if not spec.grouped or not spec.one_zone or spec.zone is not None:
+        if not spec.is_placed_as_group or not spec.one_zone or spec.zone is not None:
             return spec
         zones = sorted({zone for kind in self.types.values() for zone in kind.zones})
         choices = [msgspec.structs.replace(spec, zone=zone) for zone in zones]
--- a/src/beamspar/leader/scaling.py
+++ b/src/beamspar/leader/scaling.py
@@ -9,7 +9,7 @@
 from beamspar.leader.fleet_view import FleetView
 from beamspar.leader.instance_manager import InstanceManager
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, spawn
+from beamspar.transport.clock import Clock, run_in_background
 
 log = Logger(namespace="leader")
 
@@ -40,11 +40,11 @@
         """Start to read the cloud's list and to scale out, if either is due."""
         if not self._is_listing and self._list_is_due(now):
             self._is_listing = True
-            spawn(self._refresh_list(), "listing instances")
+            run_in_background(self._refresh_list(), "listing instances")
         # Without machine types there is nothing to choose from.
         if not self._is_scaling_out and self.instance_manager.types:
             self._is_scaling_out = True
-            spawn(self._scale_out(), "scaling out")
+            run_in_background(self._scale_out(), "scaling out")
 
     def _list_is_due(self, now: float) -> bool:
         interval_s = max(
@@ -70,7 +70,7 @@
                 return
             needs = self.capacity_needs.current()
             usable_capacities = [
-                capacity for capacity in self.fleet_view.capacities() if capacity.usable
+                capacity for capacity in self.fleet_view.capacities() if capacity.is_usable
             ]
             plan = self.instance_manager.plan_scale_out(
                 [(need.spec, need.tasks) for need in needs], usable_capacities
--- a/src/beamspar/leader/shard_distribution.py
+++ b/src/beamspar/leader/shard_distribution.py
@@ -31,13 +31,15 @@
     target: str
 
 
-def pick_holder(zone: str, machine_counts: Mapping[str, int], sites: Mapping[str, str]) -> str:
+def pick_holder(
+    zone: str, machine_counts: Mapping[str, int], zone_by_member: Mapping[str, str]
+) -> str:
     """Return the member that should hold machines of the zone.
 
     Members in the same zone come first, as a network partition leaves them connected to the
     machines; among these, the member with the fewest machines is chosen.
     """
-    return min(machine_counts, key=lambda m: (sites.get(m) != zone, machine_counts[m], m))
+    return min(machine_counts, key=lambda m: (zone_by_member.get(m) != zone, machine_counts[m], m))
 
 
 def count_machines(shards: Iterable[MachineShard], members: Iterable[str]) -> dict[str, int]:
@@ -81,7 +83,7 @@
     machines: Iterable[Machine],
     size: int,
     machine_counts: dict[str, int],
-    sites: Mapping[str, str],
+    zone_by_member: Mapping[str, str],
 ) -> list[NewShard]:
     """Group new machines into shards and choose their holders.
 
@@ -89,7 +91,7 @@
     """
     shards = []
     for group in group_into_shards(machines, size):
-        holder = pick_holder(group[0].zone, machine_counts, sites)
+        holder = pick_holder(group[0].zone, machine_counts, zone_by_member)
         machine_counts[holder] += len(group)
         shards.append(NewShard(holder, group))
     return shards
@@ -98,7 +100,7 @@
 def choose_balancing_moves(
     shards: Mapping[str, MachineShard],
     machine_counts: dict[str, int],
-    sites: Mapping[str, str],
+    zone_by_member: Mapping[str, str],
     max_moves: int,
 ) -> list[ShardMove]:
     """Return moves of shards to members that hold too few machines, within the zone first.
@@ -110,7 +112,7 @@
     for name, shard in shards.items():
         if shard.holder not in machine_counts or not shard.machines:
             continue
-        target = _balancing_target(shard, machine_counts, sites, even_share)
+        target = _balancing_target(shard, machine_counts, zone_by_member, even_share)
         if target is None:
             continue
         machine_counts[shard.holder] -= len(shard.machines)
@@ -124,21 +126,21 @@
 def _balancing_target(
     shard: MachineShard,
     machine_counts: Mapping[str, int],
-    sites: Mapping[str, str],
+    zone_by_member: Mapping[str, str],
     even_share: float,
 ) -> str | None:
     """Return the member that should get the shard, None if it should stay."""
     zone, size = zone_of(shard), len(shard.machines)
-    target = pick_holder(zone, machine_counts, sites)
-    is_in_zone = sites.get(target) == zone
-    if target != shard.holder and is_in_zone and sites.get(shard.holder) != zone:
+    target = pick_holder(zone, machine_counts, zone_by_member)
+    is_in_zone = zone_by_member.get(target) == zone
+    if target != shard.holder and is_in_zone and zone_by_member.get(shard.holder) != zone:
         # A holder in the shard's own zone is preferred regardless of the counts.
         return target
     if target == shard.holder or is_in_zone:
         # The holder is in the shard's zone, or no member is: only a clear imbalance justifies a
         # move.
         target = min(machine_counts, key=lambda m: (machine_counts[m], m))
-        if is_in_zone and sites.get(target) != zone:
+        if is_in_zone and zone_by_member.get(target) != zone:
             return None
     imbalance = machine_counts[shard.holder] - machine_counts[target]
     if imbalance < max(even_share * MIN_IMBALANCE_SHARE, MIN_IMBALANCE_SHARDS * size):
--- a/src/beamspar/leader/shard_failover.py
+++ b/src/beamspar/leader/shard_failover.py
@@ -25,13 +25,13 @@
         mirror: StateMirror,
         shard_writer: ShardWriter,
         members: Mapping[str, MemberView],
-        sites: Mapping[str, str],
+        zone_by_member: Mapping[str, str],
         machine_counts: Callable[[], dict[str, int]],
     ) -> None:
         self.mirror = mirror
         self.shard_writer = shard_writer
         self.members = members
-        self.sites = sites
+        self.zone_by_member = zone_by_member
         # Returns the number of machines held by each member that may get more.
         self.machine_counts = machine_counts
 
@@ -44,7 +44,7 @@
         holders = {shard.holder for shard in self.mirror.shards.values()}
         for dead in sorted((owners | holders) - self.mirror.members):
             # The member counts as dead only while it has no registration record.
-            conditions = {keys.member(dead): 0}
+            conditions = {keys.member_key(dead): 0}
             await self._fence(dead, conditions)
             counts = self.machine_counts()
             if not counts:
@@ -54,7 +54,7 @@
             await self.shard_writer.write(changes, conditions)
 
     async def _fence(self, dead: str, conditions: dict[str, int]) -> None:
-        fence_key = keys.fence(dead)
+        fence_key = keys.fence_key(dead)
         fence, version = self.mirror.values.get(fence_key, ({}, 0))
         if fence.get("dead"):
             return
@@ -71,7 +71,7 @@
     def _partition_changes(self, dead: str, successors: list[str]) -> list[RecordChange]:
         return [
             RecordChange(
-                keys.partition(name), partition_record(successors[index % len(successors)])
+                keys.partition_key(name), partition_record(successors[index % len(successors)])
             )
             for index, (name, partition) in enumerate(sorted(self.mirror.partitions.items()))
             if partition.owner == dead
@@ -82,11 +82,11 @@
         for name, shard in self.mirror.shards.items():
             if shard.holder != dead:
                 continue
-            successor = pick_holder(zone_of(shard), counts, self.sites)
+            successor = pick_holder(zone_of(shard), counts, self.zone_by_member)
             counts[successor] += len(shard.machines)
             may_act = self._previous_holder_may_act(shard)
             record = shard_record(successor, shard.machines, may_act)
-            changes.append(RecordChange(keys.shard(name), record))
+            changes.append(RecordChange(keys.shard_key(name), record))
         return changes
 
     def _previous_holder_may_act(self, shard: MachineShard) -> bool:
--- a/src/beamspar/leader/shard_leasing.py
+++ b/src/beamspar/leader/shard_leasing.py
@@ -58,7 +58,10 @@
         self.operator_settings = operator_settings
         # The state reported by each member's heartbeats; owned by the leader's fleet view.
         self.members = members
-        self.sites = {**{p.member: p.site for p in settings.peers}, settings.member: settings.site}
+        self.zone_by_member = {
+            **{p.member: p.site for p in settings.peers},
+            settings.member: settings.site,
+        }
         self.is_running = False
         # Machines whose workers send heartbeats but that belong to no shard yet.
         self.unassigned_machines: dict[str, Machine] = {}
@@ -79,7 +82,7 @@
             lambda member: self.unreachable_since(member),
         )
         self._failover = ShardFailover(
-            self.mirror, shard_writer, members, self.sites, self._machine_counts
+            self.mirror, shard_writer, members, self.zone_by_member, self._machine_counts
         )
         self._unserved = UnservedMachines(
             self.mirror, timeouts, members, self.reachability, lambda: self.excluded_members()
@@ -165,10 +168,10 @@
         for machine in machines:
             self.instance_manager.observe_running(machine.name)
         changes = []
-        for shard in assign_new_machines(machines, size, counts, self.sites):
+        for shard in assign_new_machines(machines, size, counts, self.zone_by_member):
             first = shard.machines[0]
             record = shard_record(shard.holder, shard.machines)
-            key = keys.shard(self.shard_writer.free_name(first.name))
+            key = keys.shard_key(self.shard_writer.unused_shard_name(first.name))
             changes.append(RecordChange(key, record))
             log.info(
                 "leasing new shard of {names} ({kind}, {zone}) to {holder}",
@@ -209,7 +212,7 @@
             record = shard_record(
                 shard.holder, remaining, shard.previous_holder_may_act, shard.fencing_token
             )
-            changes.append(RecordChange(keys.shard(name), record if remaining else None))
+            changes.append(RecordChange(keys.shard_key(name), record if remaining else None))
         if changes:
             await self.shard_writer.write(changes)
 
@@ -228,7 +231,9 @@
         }
         if len(counts) < 2:
             return
-        moves = choose_balancing_moves(self.mirror.shards, counts, self.sites, self.max_moves)
+        moves = choose_balancing_moves(
+            self.mirror.shards, counts, self.zone_by_member, self.max_moves
+        )
         for move in moves:
             log.info(
                 "moving shard {name} from {source} to {target}",
@@ -256,7 +261,7 @@
     async def _move(self, moves: list[ShardMove]) -> None:
         changes = [
             RecordChange(
-                keys.shard(move.name),
+                keys.shard_key(move.name),
                 shard_record(
                     move.target,
                     self.mirror.shards[move.name].machines,
--- a/src/beamspar/leader/shard_writer.py
+++ b/src/beamspar/leader/shard_writer.py
@@ -47,15 +47,15 @@
         Otherwise two leases of the same new machine, grouped into different shards, could both
         succeed, as each would find its own key free.
         """
-        value, version = self.mirror.values.get(keys.LEADER, (None, 0))
+        value, version = self.mirror.values.get(keys.LEADER_KEY, (None, 0))
         if value is None or value.get("name") != self.registration.own_name:
             raise LeaseExpiredError("this controller is not the leader any more")
         revision = await self.state.transact(
-            {**self.registration.fence_condition(), **conditions, keys.LEADER: version},
-            [*changes, put(keys.LEADER, value, self.lease_id)],
+            {**self.registration.fence_condition(), **conditions, keys.LEADER_KEY: version},
+            [*changes, put(keys.LEADER_KEY, value, self.lease_id)],
             RequestPriority.URGENT,
         )
-        self.mirror.observe(keys.LEADER, value, revision)
+        self.mirror.observe(keys.LEADER_KEY, value, revision)
         return revision
 
     async def write(
@@ -112,12 +112,14 @@
         return [
             RecordChange(key, parts[0]),
             *(
-                RecordChange(keys.shard(self.free_name(part["machines"][0]["name"])), part)
+                RecordChange(
+                    keys.shard_key(self.unused_shard_name(part["machines"][0]["name"])), part
+                )
                 for part in parts[1:]
             ),
         ]
 
-    def free_name(self, machine: str) -> str:
+    def unused_shard_name(self, machine: str) -> str:
         """Return a shard name that is not in use: that of its first machine, if possible.
 
         A shard keeps its name after that machine was returned to the cloud. A late copy of the
--- a/src/beamspar/leader/unserved_machines.py
+++ b/src/beamspar/leader/unserved_machines.py
@@ -45,7 +45,7 @@
         targets: dict[str, str] = {}
         cut_off = self.reachability.cut_off_members()
         for member in sorted(self.reachability.reachable_members() - self.excluded_members()):
-            for machine in self.members[member].unserved:
+            for machine in self.members[member].unserved_machines:
                 shard_name = self.mirror.shard_of.get(machine, "")
                 shard = self.mirror.shards.get(shard_name)
                 if shard is None or shard.holder == member:
--- a/src/beamspar/machines/command_planning.py
+++ b/src/beamspar/machines/command_planning.py
@@ -145,7 +145,7 @@
     ) -> NextStep:
         if not self.summaries.is_usable(machine):
             return NextStep.REFUSE
-        if desired.preempt or self._fits(machine, key, desired):
+        if desired.may_preempt or self._fits(machine, key, desired):
             return NextStep.WAIT
         return NextStep.REFUSE
 
@@ -159,7 +159,7 @@
             return NextStep.REFUSE
         if self._fits(machine, key, desired):
             return NextStep.START
-        return NextStep.PREEMPT if desired.preempt else NextStep.REFUSE
+        return NextStep.PREEMPT if desired.may_preempt else NextStep.REFUSE
 
     def _apply_step(
         self, machine: ManagedMachine, key: AttemptKey, desired: DesiredAttempt, step: NextStep
--- a/src/beamspar/machines/command_sending.py
+++ b/src/beamspar/machines/command_sending.py
@@ -10,7 +10,7 @@
 from beamspar.machines.worker_observation import WorkerObserver
 from beamspar.protocol.workers import Command, StartCommand
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, spawn
+from beamspar.transport.clock import Clock, run_in_background
 from beamspar.transport.http import CallFailedError
 
 log = Logger(namespace="machines")
@@ -36,7 +36,7 @@
     def send_in_background(self, machine: ManagedMachine, commands: list[Command]) -> None:
         """Send the commands in the background; an empty list only requests a heartbeat."""
         machine.is_sending_commands = True
-        spawn(self._send(machine, commands), "commands")
+        run_in_background(self._send(machine, commands), "commands")
 
     async def _send(self, machine: ManagedMachine, commands: list[Command]) -> None:
         epoch, token = machine.agent_epoch, machine.command_token
--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -170,10 +170,10 @@
         if holder is not None and holder[0] != self.registration.own_name:
             self.on_released(machine, *holder)
 
-    def managed(self, name: str) -> ManagedMachine | None:
+    def managed_machine(self, name: str) -> ManagedMachine | None:
         """Return the machine if this controller may act for it right now, else None."""
         machine = self.machines.get(name)
-        if machine is None or not self.registration.lease_is_valid():
+        if machine is None or not self.registration.is_lease_valid():
             return None
         holder = self.mirror.holder_of(name)
         return machine if holder == (self.registration.own_name, machine.fencing_token) else None
@@ -185,7 +185,7 @@
 
         Return None if this controller must not reply.
         """
-        machine = self.managed(heartbeat.machine)
+        machine = self.managed_machine(heartbeat.machine)
         if machine is None or not self.observer.accept_heartbeat(machine, heartbeat):
             return None
         if machine.is_converged:
@@ -207,7 +207,7 @@
         if applied is None:
             return []
         for name in applied.changed_machines:
-            machine = self.managed(name)
+            machine = self.managed_machine(name)
             if machine:
                 self.reconcile(machine)
         return self.publisher.statuses_of(update.partition, applied.attempts, self.machines)
@@ -226,7 +226,7 @@
 
         Sends the commands that are due and publishes the statuses that have changed.
         """
-        if self.managed(machine.info.name) is not machine:
+        if self.managed_machine(machine.info.name) is not machine:
             return
         now = self.clock.seconds()
         starts = self.planner.plan_starts(machine)
@@ -262,7 +262,7 @@
     def tick(self) -> None:
         """Handle expired worker leases, check unknown tasks and retry what is due again."""
         now = self.clock.seconds()
-        if not self.registration.lease_is_valid():
+        if not self.registration.is_lease_valid():
             return
         # Since the mirror was last up to date, another controller may have become the holder of
         # a machine and answered its worker. Without this bound, a controller that resumed after
@@ -298,7 +298,7 @@
     @property
     def change_count(self) -> int:
         """The number of machine changes counted so far."""
-        return self.summaries.changes
+        return self.summaries.change_count
 
     def changed_statuses(
         self, since: int = 0, max_count: int = MAX_MACHINE_STATUSES
@@ -325,7 +325,7 @@
         The job controller in this process makes its reservations from them. Empty while this
         controller has no valid lease.
         """
-        if not self.registration.lease_is_valid():
+        if not self.registration.is_lease_valid():
             return []
         return [
             copy_capacity(self.summaries.capacity(machine)) for machine in self.machines.values()
--- a/src/beamspar/machines/machine_summaries.py
+++ b/src/beamspar/machines/machine_summaries.py
@@ -28,7 +28,7 @@
         self.clock = clock
         self.timeouts = timeouts
         self.types = types
-        self.changes = 0
+        self.change_count = 0
 
     def is_usable(self, machine: ManagedMachine) -> bool:
         """Return whether new work may be started on the machine now."""
@@ -64,14 +64,14 @@
             machine.capacity = _compute_capacity(machine, self.free_resources(machine))
             self._record_change(machine)
         is_usable = self.is_usable(machine)
-        if machine.capacity.usable != is_usable:
-            machine.capacity.usable = is_usable
+        if machine.capacity.is_usable != is_usable:
+            machine.capacity.is_usable = is_usable
             self._record_change(machine)
         return machine.capacity
 
     def _record_change(self, machine: ManagedMachine) -> None:
-        self.changes += 1
-        machine.last_change = self.changes
+        self.change_count += 1
+        machine.last_change = self.change_count
 
     def changed_statuses(
         self, machines: Iterable[ManagedMachine], since: int, max_count: int
@@ -92,7 +92,7 @@
                 changed.append(machine)
             elif self._is_silent(machine, now) or machine.was_reported_silent:
                 silent.append(machine)
-        count = self.changes
+        count = self.change_count
         if len(changed) > max_count:
             changed.sort(key=lambda machine: machine.last_change)
             del changed[max_count:]
--- a/src/beamspar/machines/orphan_detection.py
+++ b/src/beamspar/machines/orphan_detection.py
@@ -9,7 +9,7 @@
 from beamspar.machines.managed_machine import AttemptKey, ManagedMachine
 from beamspar.machines.reconciler import Reconciler
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, spawn
+from beamspar.transport.clock import Clock, run_in_background
 
 log = Logger(namespace="machines")
 
@@ -48,7 +48,7 @@
             is_due = now - since > self.timeouts.unknown_task_timeout_s
             if is_due and key not in machine.being_checked:
                 machine.unknown_since[key] = now
-                spawn(self._check_task(machine, key), "orphan check")
+                run_in_background(self._check_task(machine, key), "orphan check")
 
     async def _check_task(self, machine: ManagedMachine, key: AttemptKey) -> None:
         """Mark the task as orphaned if its stored record does not bind it to the machine."""
--- a/src/beamspar/machines/preemption.py
+++ b/src/beamspar/machines/preemption.py
@@ -27,7 +27,12 @@
             for victim, attempt in machine.desired_attempts.items()
             if attempt.rank > desired.rank and machine.is_live(victim) and victim != key
         ),
-        key=lambda item: (-item[1].rank, item[1].gang, not item[1].saves, item[1].gpus),
+        key=lambda item: (
+            -item[1].rank,
+            item[1].is_in_gang,
+            not item[1].saves_checkpoint,
+            item[1].gpus,
+        ),
     )
     victims: Victims = []
     for victim, attempt in candidates:
@@ -43,6 +48,6 @@
 
     For a gang's task this includes the wait for the others.
     """
-    if not desired.saves:
+    if not desired.saves_checkpoint:
         return 0.0
-    return desired.save_s * SAVE_MARGIN + (gang_peer_s if desired.gang else 0.0)
+    return desired.save_s * SAVE_MARGIN + (gang_peer_s if desired.is_in_gang else 0.0)
--- a/src/beamspar/node/cancellations.py
+++ b/src/beamspar/node/cancellations.py
@@ -8,7 +8,7 @@
 from beamspar.node.peer_client import PeerClient
 from beamspar.node.peer_paths import PeerPath
 from beamspar.protocol.peer_messages import CancellationNotice
-from beamspar.transport.clock import spawn
+from beamspar.transport.clock import run_in_background
 
 
 class CancellationNotices:
@@ -50,7 +50,7 @@
             self._drop_ended(pending)
             if pending and member not in self.notifying:
                 self.notifying.add(member)
-                spawn(self._notify(member), "cancellation notice")
+                run_in_background(self._notify(member), "cancellation notice")
 
     def _drop_ended(self, pending: dict[str, int]) -> None:
         registration = self.current.registration
--- a/src/beamspar/node/departure.py
+++ b/src/beamspar/node/departure.py
@@ -49,7 +49,7 @@
                 "could not revoke the registration lease, it will expire: {error}", error=error
             )
 
-    def answer(self, name: str, body: bytes) -> bytes | None:
+    def handle_message(self, name: str, body: bytes) -> bytes | None:
         """Answer an operator's request to this controller after it has left.
 
         Return None if this controller has not left, or for any other message. Raises
--- a/src/beamspar/node/health.py
+++ b/src/beamspar/node/health.py
@@ -11,7 +11,7 @@
 from beamspar.protocol.peer_messages import HealthProbeResponse, decode
 from beamspar.state.client import StateClient
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, sleep, spawn
+from beamspar.transport.clock import Clock, run_in_background, sleep
 from beamspar.transport.http import CallFailedError
 
 log = Logger(namespace="node")
@@ -77,7 +77,7 @@
         """Start a round of probes, unless one is running."""
         if not self.is_probing:
             self.is_probing = True
-            spawn(self._probe_peers(), "health probes")
+            run_in_background(self._probe_peers(), "health probes")
 
     async def _probe_peers(self) -> None:
         """Probe all peers in turn, then pause for a heartbeat interval.
--- a/src/beamspar/node/heartbeats.py
+++ b/src/beamspar/node/heartbeats.py
@@ -13,7 +13,7 @@
 from beamspar.protocol.peer_messages import HeartbeatResponse, MemberHeartbeat, decode
 from beamspar.state import keys
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, spawn
+from beamspar.transport.clock import Clock, run_in_background
 from beamspar.transport.http import CallFailedError
 
 log = Logger(namespace="node")
@@ -62,7 +62,7 @@
         """
         registration = self.current.registration
         if (
-            key == keys.LEADER
+            key == keys.LEADER_KEY
             and registration is not None
             and registration.mirror.leader != self.sent_to
         ):
@@ -79,7 +79,7 @@
             return
         registration = actors.registration
         leader = registration.mirror.leader
-        if leader is None or not registration.lease_is_valid() or self.is_sending:
+        if leader is None or not registration.is_lease_valid() or self.is_sending:
             return
         if leader != registration.own_name and not self.peers.is_reachable(leader):
             # Building the full state for each heartbeat to a leader that is down would be wasted.
@@ -96,7 +96,7 @@
                 self.acknowledged_count = heartbeat.count
         else:
             self.is_sending = True
-            spawn(self._send_to(leader, heartbeat), "heartbeat")
+            run_in_background(self._send_to(leader, heartbeat), "heartbeat")
 
     async def _send_to(self, leader: str, heartbeat: MemberHeartbeat) -> None:
         try:
--- a/src/beamspar/node/incarnation.py
+++ b/src/beamspar/node/incarnation.py
@@ -58,7 +58,7 @@
     def may_act(self) -> bool:
         """Whether this controller is registered, has loaded its jobs and holds a valid lease."""
         registration = self.registration
-        return self.is_loaded and registration is not None and registration.lease_is_valid()
+        return self.is_loaded and registration is not None and registration.is_lease_valid()
 
     @property
     def registration(self) -> Registration | None:
--- a/src/beamspar/node/job_lookup.py
+++ b/src/beamspar/node/job_lookup.py
@@ -19,7 +19,7 @@
 from beamspar.state.job_records import EndRecord, JobRecord, JobStatus
 from beamspar.state.request_queue import RequestPriority
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, spawn
+from beamspar.transport.clock import Clock, run_in_background
 
 # A record takes some 2 KB of memory, so both caches together stay below a tenth of the memory.
 CACHED_RECORDS_PER_MB = 25
@@ -108,7 +108,7 @@
         return await self.read(job)
 
     def _is_current(self, job: str, version: int) -> Deferred[bool]:
-        return self.version_checks.is_current(keys.job(job), version)
+        return self.version_checks.is_current(keys.job_key(job), version)
 
     def read(self, job: str) -> Deferred[JobState | None]:
         """Return the job's state as stored, sharing one read among all requests until it is sent.
@@ -119,7 +119,7 @@
         pending = self.pending_reads.get(job)
         if pending is None:
             pending = self.pending_reads[job] = []
-            spawn(self._read_and_resolve(job, pending), f"reading {job}")
+            run_in_background(self._read_and_resolve(job, pending), f"reading {job}")
         pending.append(result)
         return result
 
@@ -140,7 +140,7 @@
             result.callback(state)
 
     async def _read_record(self, job: str, on_sent: Callable[[], None]) -> JobState | None:
-        item = await self.state.get(keys.job(job), RequestPriority.ACCEPT, POLL_WEIGHT, on_sent)
+        item = await self.state.get(keys.job_key(job), RequestPriority.ACCEPT, POLL_WEIGHT, on_sent)
         if item is not None:
             record = decode_record(item.value, JobRecord)
             self.stored.put(job, StoredJob(item.version, record))
@@ -149,7 +149,7 @@
         self.stored.remove(job)
         # A job moves from `job/` to `end/` in one transaction, so reading `job/` first and then
         # `end/` can't miss it.
-        item = await self.state.get(keys.finished_job(job))
+        item = await self.state.get(keys.finished_job_key(job))
         if item is None:
             return None
         end = decode_record(item.value, EndRecord)
@@ -164,4 +164,4 @@
             and record.partition in job_controller.partitions
             and job not in job_controller.jobs
         ):
-            spawn(job_controller.load_stored_job(job), f"adopting {job}")
+            run_in_background(job_controller.load_stored_job(job), f"adopting {job}")
--- a/src/beamspar/node/machine_types.py
+++ b/src/beamspar/node/machine_types.py
@@ -56,11 +56,13 @@
     async def _store(self) -> None:
         while self.current.registration is None or not self.current.registration.is_started:
             await sleep(self.clock, self.timeouts.worker_heartbeat_interval_s)
-        if keys.MACHINE_TYPES in self.current.registration.mirror.values:
+        if keys.MACHINE_TYPES_KEY in self.current.registration.mirror.values:
             return
         value = [msgspec.to_builtins(kind) for kind in self.by_name.values()]
         try:
-            await self.state.transact({keys.MACHINE_TYPES: 0}, [put(keys.MACHINE_TYPES, value)])
+            await self.state.transact(
+                {keys.MACHINE_TYPES_KEY: 0}, [put(keys.MACHINE_TYPES_KEY, value)]
+            )
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
             log.info("the copy of the machine types was not stored: {error}", error=error)
 
@@ -70,7 +72,7 @@
         Once the cloud has responded, the stored copy is ignored.
         """
         registration = self.current.registration
-        if key == keys.MACHINE_TYPES and registration and not self.by_name:
-            value = registration.mirror.values.get(keys.MACHINE_TYPES, ([], 0))[0]
+        if key == keys.MACHINE_TYPES_KEY and registration and not self.by_name:
+            value = registration.mirror.values.get(keys.MACHINE_TYPES_KEY, ([], 0))[0]
             types: list[MachineType] = convert(value, list[MachineType])
             self.by_name.update({kind.name: kind for kind in types})
--- a/src/beamspar/node/member_summary.py
+++ b/src/beamspar/node/member_summary.py
@@ -47,7 +47,7 @@
         zones, _ = job.task_counts_by_location(job_controller.zone_of)
         for zone, count in zones.items():
             job_class.zones[zone] = job_class.zones.get(zone, 0) + count
-        job_class.largest = max(job_class.largest, job.spec.tasks)
+        job_class.largest_job = max(job_class.largest_job, job.spec.tasks)
     return classes
 
 
--- a/src/beamspar/node/node.py
+++ b/src/beamspar/node/node.py
@@ -42,8 +42,8 @@
 from beamspar.state.client import StateClient
 from beamspar.state.errors import StateUnavailableError
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, spawn
-from beamspar.transport.connection_limits import Sockets
+from beamspar.transport.clock import Clock, run_in_background
+from beamspar.transport.connection_limits import SocketLimits
 from beamspar.transport.http import Net
 
 if TYPE_CHECKING:
@@ -168,7 +168,9 @@
 
     async def start(self) -> None:
         """Start listening, so that workers and peers are served at once, and then register."""
-        sockets = Sockets.of(self.settings.platform.limits.sockets, self.settings.platform.nodes)
+        sockets = SocketLimits.of(
+            self.settings.platform.limits.sockets, self.settings.platform.nodes
+        )
         await self.net.listen(
             self.settings.public_addr, self.api.handle, sockets.public, BODY_LIMIT
         )
@@ -178,12 +180,12 @@
             self.settings.peer_bind, self.dispatch.handle, sockets.peers, MAX_PEER_MESSAGE_BYTES
         )
         log.info("{me} listens", me=self.settings.member)
-        spawn(self.machine_types.fetch(), "machine types")
+        run_in_background(self.machine_types.fetch(), "machine types")
         self._spawn_registration()
         self._tick()
 
     def _spawn_registration(self) -> None:
-        spawn(self._register_and_start(), "registration")
+        run_in_background(self._register_and_start(), "registration")
 
     async def _register_and_start(self) -> None:
         """Register a new incarnation, start its actors and load its jobs.
@@ -284,7 +286,7 @@
             actors.registration,
             actors.leader,
             self.timeouts,
-            actors.leader.shard_leasing.sites,
+            actors.leader.shard_leasing.zone_by_member,
             self.peers.call,
             lambda: summarize(actors, self.guidance, self.contacts),
         )
@@ -318,7 +320,7 @@
         The preference combines the CPUs and memory that accelerator jobs use per accelerator with
         the machine types that are too slow for the start objective of the job's class.
         """
-        within_s = self.settings.platform.start_within(spec.job_class)
+        within_s = self.settings.platform.start_time_limit_s(spec.job_class)
         slow = slow_kinds(spec, within_s, self.machine_types.by_name.values())
         return Preference(self.guidance.per_accelerator, slow)
 
--- a/src/beamspar/node/peer_client.py
+++ b/src/beamspar/node/peer_client.py
@@ -57,7 +57,7 @@
             )
         except CallFailedError as error:
             self.last_failed[member] = self.clock.seconds()
-            self.last_failure_refused[member] = error.refused
+            self.last_failure_refused[member] = error.is_refused
             self.failing_since.setdefault(member, sent_at)
             raise
         self.failing_since.pop(member, None)
--- a/src/beamspar/node/peer_dispatch.py
+++ b/src/beamspar/node/peer_dispatch.py
@@ -116,13 +116,13 @@
         actors = self.current.registered_actors()
         if actors is None or actors.standby is None:
             return None
-        return await actors.standby.answer(name, body)
+        return await actors.standby.handle_message(name, body)
 
     async def _dispatch_to_sharing(self, name: str, body: bytes) -> bytes | None:
         actors = self.current.registered_actors()
         if actors is None or actors.sharing is None:
-            return self.departure.answer(name, body)
-        return await actors.sharing.answer(name, body)
+            return self.departure.handle_message(name, body)
+        return await actors.sharing.handle_message(name, body)
 
     def _dispatch(self, name: str, body: bytes) -> bytes:
         if name == PeerPath.HEALTH_PROBE:
--- a/src/beamspar/node/public_api.py
+++ b/src/beamspar/node/public_api.py
@@ -62,7 +62,7 @@
     async def _answer(self, request: HttpRequest, may_forward: bool) -> HttpResponse:
         if request.path == "/v1/report":
             return (
-                self.worker_heartbeats.answer(request) if request.method == "POST" else respond(405)
+                self.worker_heartbeats.handle(request) if request.method == "POST" else respond(405)
             )
         if request.path == "/up":
             return self._answer_health_check(request)
--- a/src/beamspar/node/status_delivery.py
+++ b/src/beamspar/node/status_delivery.py
@@ -6,7 +6,7 @@
 from beamspar.node.peer_client import PeerClient
 from beamspar.node.peer_paths import PeerPath
 from beamspar.protocol.peer_messages import MAX_ATTEMPT_STATUSES, AttemptStatus, AttemptStatusBatch
-from beamspar.transport.clock import Clock, spawn
+from beamspar.transport.clock import Clock, run_in_background
 
 
 class StatusDelivery:
@@ -39,7 +39,7 @@
                 if self.current.job_controller is not None:
                     self.current.job_controller.observe_statuses(statuses)
             else:
-                spawn(self._send(member, statuses), "statuses")
+                run_in_background(self._send(member, statuses), "statuses")
 
     async def _send(self, member: str, statuses: list[AttemptStatus]) -> None:
         machine_controller = self.current.machine_controller
--- a/src/beamspar/node/submissions.py
+++ b/src/beamspar/node/submissions.py
@@ -15,7 +15,7 @@
 from beamspar.placement import fits_type
 from beamspar.protocol.cloud import MachineType
 from beamspar.protocol.codec import InvalidInputError, unpack
-from beamspar.protocol.jobs import JOB_ID, JobSpec, job_response, parse_spec
+from beamspar.protocol.jobs import JOB_ID, JobSpec, job_response, parse_job_spec
 from beamspar.settings import Settings
 from beamspar.state import keys
 from beamspar.state.client import StateClient
@@ -82,8 +82,8 @@
         return await self._accept(job, spec)
 
     def _parse(self, data: Any) -> JobSpec:
-        spec = parse_spec(data)
-        max_bytes = self.settings.platform.state.smallest.value_kb * SPEC_BYTES_PER_VALUE_KB
+        spec = parse_job_spec(data)
+        max_bytes = self.settings.platform.state.strictest.value_kb * SPEC_BYTES_PER_VALUE_KB
         if len(msgspec.json.encode(spec)) > max_bytes:
             raise InvalidInputError("the description is too long to be stored")
         return spec
@@ -112,7 +112,10 @@
         try:
             await job_controller.accept(spec)
         except ConflictError as conflict:
-            if keys.job(job) in conflict.failed or keys.finished_job(job) in conflict.failed:
+            if (
+                keys.job_key(job) in conflict.failed
+                or keys.finished_job_key(job) in conflict.failed
+            ):
                 return await self.polls.poll(job)
             return busy()
         except (StateUnavailableError, LeaseExpiredError) as failure:
--- a/src/beamspar/node/user_cancellations.py
+++ b/src/beamspar/node/user_cancellations.py
@@ -65,7 +65,7 @@
         end_record = self.jobs.finished.get(job)
         if end_record is not None:
             return respond(200, {"id": job, "status": end_record.status})
-        item = await self.state.get(keys.job(job), RequestPriority.URGENT)
+        item = await self.state.get(keys.job_key(job), RequestPriority.URGENT)
         if item is None:
             # If the job has ended, this read caches its end record for the next attempt.
             return no_such_job() if await self.jobs.read(job) is None else None
@@ -81,10 +81,10 @@
         cancellation = {"t": 1}
         try:
             revision = await self.state.transact(
-                {keys.job(job): version},
+                {keys.job_key(job): version},
                 [
-                    put(keys.job(job), msgspec.to_builtins(record)),
-                    put(keys.cancellation(job), cancellation),
+                    put(keys.job_key(job), msgspec.to_builtins(record)),
+                    put(keys.cancellation_key(job), cancellation),
                 ],
                 RequestPriority.URGENT,
             )
@@ -93,6 +93,6 @@
         log.info("{job} cancelled by its user", job=job)
         registration = self.current.registration
         if registration is not None:
-            registration.mirror.observe(keys.cancellation(job), cancellation, revision)
+            registration.mirror.observe(keys.cancellation_key(job), cancellation, revision)
         self.notices.confirm(job, revision)
         return True
--- a/src/beamspar/node/version_checks.py
+++ b/src/beamspar/node/version_checks.py
@@ -11,7 +11,7 @@
 from beamspar.state.errors import ConflictError, LeaseExpiredError, StateUnavailableError
 from beamspar.state.request_queue import RequestPriority
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, spawn
+from beamspar.transport.clock import Clock, run_in_background
 
 # Conditions in one transaction per change that the state service allows in one transaction.
 CONDITIONS_PER_CHANGE = 4
@@ -33,7 +33,7 @@
         self.clock = clock
         self.state = state
         self.timeouts = timeouts
-        self.max_conditions = settings.platform.state.smallest.txn_ops * CONDITIONS_PER_CHANGE
+        self.max_conditions = settings.platform.state.strictest.txn_ops * CONDITIONS_PER_CHANGE
         self.pending_checks: dict[KeyVersion, list[Deferred[bool]]] = {}
         self.is_running = False
 
@@ -47,7 +47,7 @@
         return result
 
     def _start_pending(self) -> None:
-        spawn(self._run_pending(), "checking versions")
+        run_in_background(self._run_pending(), "checking versions")
 
     async def _run_pending(self) -> None:
         while self.pending_checks:
--- a/src/beamspar/node/worker_heartbeats.py
+++ b/src/beamspar/node/worker_heartbeats.py
@@ -31,7 +31,7 @@
         self.peers = peers
         self.contacts = contacts
 
-    def answer(self, request: HttpRequest) -> HttpResponse:
+    def handle(self, request: HttpRequest) -> HttpResponse:
         """Respond with the worker's commands, or with the controller that holds its machine.
 
         The response is 503 if this controller can't act now or no controller holds the machine.
@@ -42,7 +42,7 @@
             log.info("rejected a malformed worker heartbeat: {error}", error=invalid)
             return error(400, str(invalid))
         actors = self.current.actors
-        if actors is None or not actors.registration.lease_is_valid():
+        if actors is None or not actors.registration.is_lease_valid():
             return respond(503)
         holder_and_token = actors.registration.mirror.holder_of(heartbeat.machine)
         if holder_and_token is None:
--- a/src/beamspar/placement.py
+++ b/src/beamspar/placement.py
@@ -64,7 +64,7 @@
     Free resources are not considered. `zones` counts, by zone, the job's tasks that are or may
     be placed there.
     """
-    if not capacity.usable or (capacity.spot and not spec.spot):
+    if not capacity.is_usable or (capacity.spot and not spec.spot):
         return False
     if spec.kinds is not None and capacity.kind not in spec.kinds:
         return False
--- a/src/beamspar/protocol/jobs.py
+++ b/src/beamspar/protocol/jobs.py
@@ -86,7 +86,7 @@
         return self.shape == _GANG
 
     @property
-    def grouped(self) -> bool:
+    def is_placed_as_group(self) -> bool:
         """Whether its tasks are placed all at once or not at all."""
         return self.tasks > 1 and (self.is_gang or (self.is_service and self.one_zone))
 
@@ -118,7 +118,7 @@
 )
 
 
-def parse_spec(data: Any) -> JobSpec:
+def parse_job_spec(data: Any) -> JobSpec:
     """Return a submission as a JobSpec.
 
     Raises InvalidInputError, which names the first invalid field.
--- a/src/beamspar/protocol/machine_capacity.py
+++ b/src/beamspar/protocol/machine_capacity.py
@@ -27,7 +27,7 @@
         name="evictable", default_factory=list
     )
     # Whether new tasks may be started there.
-    usable: bool = True
+    is_usable: bool = msgspec.field(name="usable", default=True)
     # The number of tasks on the machine.
     tasks: int = 0
     # The number of images being fetched, which share the machine's download rate.
--- a/src/beamspar/protocol/peer_messages.py
+++ b/src/beamspar/protocol/peer_messages.py
@@ -89,12 +89,12 @@
     # The rank of its job's priority, 0 being the highest.
     rank: int = 0
     # Whether it saves a checkpoint when it is stopped, and the time that this takes.
-    saves: bool = False
+    saves_checkpoint: bool = False
     save_s: float = 0.0
     # Tasks of lower priority on the machine may be preempted for it.
-    preempt: bool = False
+    may_preempt: bool = False
     # Whether it belongs to a gang: stopping it loses the run time of all the gang's tasks.
-    gang: bool = False
+    is_in_gang: bool = False
     # Its job fails on every machine, so an error is no evidence of a faulty machine.
     is_job_at_fault: bool = False
 
@@ -164,11 +164,11 @@
 
 
 class PlacementOffer(msgspec.Struct, array_like=True):
-    """A machine for one task of a job; with `preempt`, tasks of lower priority must stop first."""
+    """A machine for one task of a job; lower-priority tasks must stop first if `may_preempt`."""
 
     job: str
     machine: str
-    preempt: bool = False
+    may_preempt: bool = False
 
 
 class CapacityOffers(msgspec.Struct):
@@ -206,7 +206,7 @@
     # The specification of one of its jobs.
     spec: dict[str, Any]
     # The number of tasks of its largest job.
-    largest: int = 0
+    largest_job: int = 0
     # The numbers of placed tasks, by zone.
     zones: dict[str, int] = {}
 
--- a/src/beamspar/quota/allocation_planner.py
+++ b/src/beamspar/quota/allocation_planner.py
@@ -58,15 +58,15 @@
 
     def needs_update(self, team: str, partition: str, quota: TeamQuota) -> bool:
         """Return whether the stored entry of the partition differs from the desired one."""
-        allocation = self.desired(team, partition, quota)
+        allocation = self.desired_allocation(team, partition, quota)
         if partition in quota.unreadable:
             return True
         return allocation != quota.allocations.get(partition)
 
-    def desired(self, team: str, partition: str, quota: TeamQuota) -> Allocation | None:
+    def desired_allocation(self, team: str, partition: str, quota: TeamQuota) -> Allocation | None:
         """Return the entry that the partition should have; None for no entry."""
         key = AllocationKey(partition, team)
-        used = self._usage.used_by(key)
+        used = self._usage.usage_of(key)
         requests = self._requests.requests_of(key)
         is_former = partition != self._registration.partition
         if is_former and not requests and max(used) <= AMOUNT_TOLERANCE:
--- a/src/beamspar/quota/allocation_requests.py
+++ b/src/beamspar/quota/allocation_requests.py
@@ -84,7 +84,7 @@
             if not requests:
                 del self._requests[key]
 
-    def forget(self, partition: str) -> None:
+    def remove_partition(self, partition: str) -> None:
         """Drop the requests of a partition that has another owner now."""
         for key in [key for key in self._requests if key.partition == partition]:
             del self._requests[key]
--- a/src/beamspar/quota/allocation_writer.py
+++ b/src/beamspar/quota/allocation_writer.py
@@ -23,7 +23,7 @@
 )
 from beamspar.state.messages import put
 from beamspar.state.request_queue import RequestPriority
-from beamspar.transport.clock import spawn
+from beamspar.transport.clock import run_in_background
 
 log = Logger(namespace="quota")
 
@@ -88,9 +88,9 @@
         self.check(team)
 
     def _start_write(self, team: str) -> None:
-        if team not in self._writing and self._registration.lease_is_valid():
+        if team not in self._writing and self._registration.is_lease_valid():
             self._writing.add(team)
-            spawn(self._write(team), f"quota of {team}")
+            run_in_background(self._write(team), f"quota of {team}")
 
     async def _write(self, team: str) -> None:
         """Lower or raise this controller's allocations to what it needs, in one transaction."""
@@ -123,11 +123,11 @@
     def _propose(self, team: str) -> ProposedWrite:
         before = after = self._records.read(team)
         registration = self._registration
-        conditions = {**registration.fence_condition(), keys.team_quota(team): before.version}
+        conditions = {**registration.fence_condition(), keys.team_quota_key(team): before.version}
         must_resolve = self._planner.is_indeterminate(team)
         allocations: list[tuple[AllocationKey, IndeterminateWrite]] = []
         for partition in self._partitions_to_write(team, before):
-            desired = self._planner.desired(team, partition, after)
+            desired = self._planner.desired_allocation(team, partition, after)
             conditions.update(registration.mirror.partition_condition(partition))
             after = after.with_allocation(partition, desired)
             # Until the outcome is known, only the lowest of the stored allocation, this one and
@@ -150,7 +150,7 @@
 
     async def _store(self, write: ProposedWrite) -> None:
         """Send the write and apply it to the mirror; raises what `transact` raises."""
-        key = keys.team_quota(write.team)
+        key = keys.team_quota_key(write.team)
         revision = await self._state.transact(
             write.conditions, [put(key, write.record)], RequestPriority.PLACEMENT
         )
--- a/src/beamspar/quota/indeterminate_writes.py
+++ b/src/beamspar/quota/indeterminate_writes.py
@@ -60,7 +60,7 @@
         """Return whether an owned partition has a write that only another write can resolve."""
         return any(key.team == team and owns(key.partition) for key in self._writes)
 
-    def forget(self, partition: str) -> None:
+    def remove_partition(self, partition: str) -> None:
         """Drop the writes of a partition that has another owner now."""
         for key in [key for key in self._writes if key.partition == partition]:
             del self._writes[key]
--- a/src/beamspar/quota/quota_manager.py
+++ b/src/beamspar/quota/quota_manager.py
@@ -67,7 +67,7 @@
             self._indeterminate_writes,
             self._owns,
         )
-        operations = platform.state.smallest.txn_ops
+        operations = platform.state.strictest.txn_ops
         self._writer = AllocationWriter(
             registration,
             state,
@@ -95,7 +95,7 @@
     @property
     def usage(self) -> dict[AllocationKey, Amounts]:
         """Usage of the jobs of this controller's partitions, by partition and team."""
-        return self._usage.used
+        return self._usage.usage
 
     def recount(self, job: Job) -> int:
         """Update the usage of the job; return by how many its counted tasks have grown."""
@@ -107,9 +107,9 @@
 
     def remove_partition(self, partition: str) -> None:
         """Drop all state of a partition that has another owner now."""
-        self._usage.forget(partition)
-        self._requests.forget(partition)
-        self._indeterminate_writes.forget(partition)
+        self._usage.remove_partition(partition)
+        self._requests.remove_partition(partition)
+        self._indeterminate_writes.remove_partition(partition)
 
     def excess(self, partition: str, team: str) -> Amounts:
         """Return by how much the usage of the partition exceeds its allocation.
@@ -122,7 +122,7 @@
         if settings is None or not self._owns(partition):
             return NO_AMOUNTS
         key = AllocationKey(partition, team)
-        used = self._usage.used_by(key)
+        used = self._usage.usage_of(key)
         allocated = self._indeterminate_writes.certain_amounts(key, self._records.read(team))
         excess = Amounts(
             max(used.cpus - allocated.cpus, 0.0) if settings.cpus_max else 0.0,
@@ -169,7 +169,7 @@
         """Return whether this many more tasks are covered and no other work has precedence."""
         spec, key = job.spec, AllocationKey(job.partition, team.name)
         allocated = self._indeterminate_writes.certain_amounts(key, quota)
-        needed = self._usage.used_by(key).plus_tasks(tasks, spec.cpus, spec.gpus)
+        needed = self._usage.usage_of(key).plus_tasks(tasks, spec.cpus, spec.gpus)
         return (
             _is_within(needed.cpus, allocated.cpus, team.cpus_max)
             and _is_within(needed.gpus, allocated.gpus, team.gpus_max)
--- a/src/beamspar/quota/quota_records.py
+++ b/src/beamspar/quota/quota_records.py
@@ -27,7 +27,7 @@
 
     def read(self, team: str) -> TeamQuota:
         """Return the team's record in the mirror."""
-        value, version = self._mirror.values.get(keys.team_quota(team), ({}, 0))
+        value, version = self._mirror.values.get(keys.team_quota_key(team), ({}, 0))
         newest = self._newest.get(team)
         if newest is None or newest.version != version:
             newest = self._newest[team] = TeamQuota(value, version)
--- a/src/beamspar/quota/usage_counter.py
+++ b/src/beamspar/quota/usage_counter.py
@@ -13,15 +13,15 @@
     """Owns the total usage of the jobs in memory, by partition and team."""
 
     def __init__(self, teams: Collection[str]) -> None:
-        self.used: dict[AllocationKey, Amounts] = {}
+        self.usage: dict[AllocationKey, Amounts] = {}
         # Only teams with a quota are counted.
         self._teams = teams
-        # Number of tasks of each job that are counted in `used`.
+        # Number of tasks of each job that are counted in `usage`.
         self._counted_tasks: dict[Job, int] = {}
 
-    def used_by(self, key: AllocationKey) -> Amounts:
+    def usage_of(self, key: AllocationKey) -> Amounts:
         """Return what the partition's jobs of the team use."""
-        return self.used.get(key, NO_AMOUNTS)
+        return self.usage.get(key, NO_AMOUNTS)
 
     def recount(self, job: Job) -> int:
         """Update the usage of the job; return by how many its counted tasks have grown."""
@@ -40,13 +40,13 @@
         if tasks:
             self._add(job, -tasks)
 
-    def forget(self, partition: str) -> None:
+    def remove_partition(self, partition: str) -> None:
         """Drop the usage of a partition that has another owner now."""
         for job in [job for job in self._counted_tasks if job.partition == partition]:
             del self._counted_tasks[job]
-        for key in [key for key in self.used if key.partition == partition]:
-            del self.used[key]
+        for key in [key for key in self.usage if key.partition == partition]:
+            del self.usage[key]
 
     def _add(self, job: Job, tasks: int) -> None:
         key = AllocationKey(job.partition, job.spec.team)
-        self.used[key] = self.used_by(key).plus_tasks(tasks, job.spec.cpus, job.spec.gpus)
+        self.usage[key] = self.usage_of(key).plus_tasks(tasks, job.spec.cpus, job.spec.gpus)
--- a/src/beamspar/settings.py
+++ b/src/beamspar/settings.py
@@ -94,7 +94,7 @@
     next: NextLimits = NextLimits()
 
     @property
-    def smallest(self) -> StateServiceLimits:
+    def strictest(self) -> StateServiceLimits:
         """The smaller of the present and the announced value of each limit.
 
         All writes stay within these, because the change takes effect without further notice.
@@ -116,7 +116,7 @@
     list_lag_s: float
 
 
-class Limits(msgspec.Struct, frozen=True):
+class ProcessLimits(msgspec.Struct, frozen=True):
     """Resources that one controller's process may use."""
 
     cores: float = 1.0
@@ -138,9 +138,9 @@
     skew_ms: float = 0.0
     teams: list[Team] = []
     objectives: list[Objective] = []
-    limits: Limits = Limits()
+    limits: ProcessLimits = ProcessLimits()
 
-    def start_within(self, job_class: str) -> float:
+    def start_time_limit_s(self, job_class: str) -> float:
         """Return the seconds within which tasks of the class should start; 0 if not limited."""
         limits_s = [
             objective.within_s
@@ -180,7 +180,7 @@
     sharing: bool = False
 
 
-def load(path: str) -> Settings:
+def load_settings(path: str) -> Settings:
     """Read and validate the settings file, ignoring unknown fields. Raises SettingsError."""
     settings = _read(path)
     _check_addresses(settings)
@@ -223,7 +223,7 @@
         raise SettingsError("settings: facts.workers durations must be above 0")
     if workers.cancel_s <= workers.lease_s:
         raise SettingsError("settings: facts.workers.cancel_s must exceed lease_s")
-    for limits in (platform.state, platform.state.smallest):
+    for limits in (platform.state, platform.state.strictest):
         smallest_rate_or_size = min(limits.rps, limits.write_rps, limits.value_kb)
         if limits.txn_ops < MIN_TXN_OPS or smallest_rate_or_size <= 0:
             raise SettingsError("settings: facts.state limits are too small to work with")
--- a/src/beamspar/sharing/command.py
+++ b/src/beamspar/sharing/command.py
@@ -18,9 +18,9 @@
     CommandReply,
     MemberShare,
     MoveView,
+    ParticipationState,
     SharesReply,
     SharingPath,
-    Standing,
 )
 from beamspar.standby.command import NOT_DONE, NoAnswerError, addresses, call, main
 
@@ -41,7 +41,7 @@
     return replies
 
 
-def leading(replies: dict[str, SharesReply | str]) -> SharesReply | None:
+def leader_reply(replies: dict[str, SharesReply | str]) -> SharesReply | None:
     """Return the reply of the leader that makes decisions; None if there is none."""
     valid = [reply for reply in replies.values() if isinstance(reply, SharesReply)]
     return next((reply for reply in valid if reply.leading), None)
@@ -49,7 +49,9 @@
 
 def describe_member(reply: SharesReply, share: MemberShare | None) -> str:
     """Return a line of text that describes a controller."""
-    standing = "left: may be stopped" if reply.standing == Standing.LEFT else reply.standing
+    standing = (
+        "left: may be stopped" if reply.standing == ParticipationState.LEFT else reply.standing
+    )
     lead = ", leads" if reply.leading else ""
     if share is None:
         return f"{standing}{lead}"
@@ -70,7 +72,7 @@
 def shares(settings: Settings, as_json: bool) -> None:
     """Each controller's machines, demand and load, and the moves; 1 if nobody decides."""
     replies = request_shares(settings)
-    leader = leading(replies)
+    leader = leader_reply(replies)
     if as_json:
         output: dict[str, Any] = {
             member: {"error": reply} if isinstance(reply, str) else msgspec.to_builtins(reply)
@@ -121,7 +123,7 @@
 @click.pass_obj
 def move(settings: Settings, shard: str, to: str) -> None:
     """Move a block to another controller; `shares` tells what becomes of it."""
-    leader = leading(request_shares(settings))
+    leader = leader_reply(request_shares(settings))
     if leader is None:
         click.echo("nobody decides", err=True)
         sys.exit(NOT_DONE)
--- a/src/beamspar/sharing/handover.py
+++ b/src/beamspar/sharing/handover.py
@@ -28,7 +28,7 @@
 from beamspar.state import keys
 from beamspar.state.control_records import MachineShard, shard_record
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, spawn
+from beamspar.transport.clock import Clock, run_in_background
 from beamspar.transport.http import CallFailedError
 
 log = Logger(namespace="sharing")
@@ -125,7 +125,7 @@
             )
         ready: set[str] = set()
         requests = [
-            spawn(self._prepare(source, tokens, ready), f"preparing {source}")
+            run_in_background(self._prepare(source, tokens, ready), f"preparing {source}")
             for source, tokens in fencing_tokens.items()
         ]
         for request in requests:
@@ -160,10 +160,10 @@
         for move in moves:
             shard = self.mirror.shards[move.shard]
             record = shard_record(move.target, shard.machines, previous_holder_may_act=True)
-            changes.append(RecordChange(keys.shard(move.shard), record))
+            changes.append(RecordChange(keys.shard_key(move.shard), record))
             # If the target has ended in the meantime, the shard would have no working holder until
             # the target's registration lease expires.
-            key = keys.member(move.target)
+            key = keys.member_key(move.target)
             conditions[key] = self.mirror.version(key)
             self.in_progress[move.shard] = _shown(move, MoveStage.COMMITTING)
         if not changes:
--- a/src/beamspar/sharing/leave.py
+++ b/src/beamspar/sharing/leave.py
@@ -46,10 +46,10 @@
 
 def _entries(registration: Registration) -> dict[str, int]:
     """Return the entries of the record that name the current incarnation of a controller."""
-    value, _ = registration.mirror.values.get(keys.LEAVING_MEMBERS, ({}, 0))
+    value, _ = registration.mirror.values.get(keys.LEAVING_MEMBERS_KEY, ({}, 0))
     entries = {}
     for member, incarnation in (_decode(value) or {}).items():
-        fence, _ = registration.mirror.values.get(keys.fence(member), ({}, 0))
+        fence, _ = registration.mirror.values.get(keys.fence_key(member), ({}, 0))
         if fence.get("inc") == incarnation:
             entries[member] = incarnation
     return entries
@@ -86,11 +86,11 @@
         registration.mirror.listeners.append(self._record_changed)
 
     def _record_changed(self, key: str) -> None:
-        value, _ = self.mirror.values.get(keys.LEAVING_MEMBERS, ({}, 0))
-        if key == keys.LEAVING_MEMBERS and _decode(value) is None:
+        value, _ = self.mirror.values.get(keys.LEAVING_MEMBERS_KEY, ({}, 0))
+        if key == keys.LEAVING_MEMBERS_KEY and _decode(value) is None:
             log.error(
                 "malformed record {key}, taken as empty: {value}",
-                key=keys.LEAVING_MEMBERS,
+                key=keys.LEAVING_MEMBERS_KEY,
                 value=value,
             )
 
@@ -101,7 +101,7 @@
     async def request(self, undo: bool) -> CommandReply:
         """Begin to leave the service, or with `undo` serve again."""
         for _ in range(MAX_ATTEMPTS):
-            if not self.registration.lease_is_valid():
+            if not self.registration.is_lease_valid():
                 return CommandReply(False, "this controller is not registered at present")
             entries = _entries(self.registration)
             if (self.registration.own_name in entries) != undo:
@@ -131,26 +131,26 @@
         return CommandReply(False, "the record keeps changing: try again")
 
     async def _store(self, entries: dict[str, int], undo: bool, others: set[str]) -> None:
-        _, version = self.mirror.values.get(keys.LEAVING_MEMBERS, (None, 0))
-        conditions = {keys.LEAVING_MEMBERS: version, **self.registration.fence_condition()}
+        _, version = self.mirror.values.get(keys.LEAVING_MEMBERS_KEY, (None, 0))
+        conditions = {keys.LEAVING_MEMBERS_KEY: version, **self.registration.fence_condition()}
         if undo:
             del entries[self.registration.own_name]
         else:
             entries[self.registration.own_name] = self.registration.incarnation
             # Ensures that one of the controllers that keep serving is registered when the write is
             # applied.
-            key = keys.member(min(others))
+            key = keys.member_key(min(others))
             conditions[key] = self.mirror.values.get(key, (None, 0))[1]
         revision = await self.state.transact(
-            conditions, [put(keys.LEAVING_MEMBERS, entries)], RequestPriority.URGENT
+            conditions, [put(keys.LEAVING_MEMBERS_KEY, entries)], RequestPriority.URGENT
         )
-        self.mirror.observe(keys.LEAVING_MEMBERS, entries, revision)
+        self.mirror.observe(keys.LEAVING_MEMBERS_KEY, entries, revision)
 
     async def _refresh_record(self) -> None:
         """Read the record again after a conflict, as the mirror may lag behind."""
-        item = await self.state.get(keys.LEAVING_MEMBERS, RequestPriority.URGENT)
+        item = await self.state.get(keys.LEAVING_MEMBERS_KEY, RequestPriority.URGENT)
         if item is not None:
-            self.mirror.observe(keys.LEAVING_MEMBERS, item.value, item.version)
+            self.mirror.observe(keys.LEAVING_MEMBERS_KEY, item.value, item.version)
 
     async def step(self) -> None:
         """Take the next step of a leave.
@@ -174,7 +174,7 @@
         if (
             now - self.leaving_since
             < self.timeouts.worker_heartbeat_interval_s * MIN_UNHEALTHY_HEARTBEATS
-            or not self.registration.lease_is_valid()
+            or not self.registration.is_lease_valid()
         ):
             return
         # A registration is not enough: a controller that has just ended stays registered until its
--- a/src/beamspar/sharing/messages.py
+++ b/src/beamspar/sharing/messages.py
@@ -21,7 +21,7 @@
     SHARES = "shares"
 
 
-class Standing(StrEnum):
+class ParticipationState(StrEnum):
     """Whether a controller takes part in the service, as operators see it."""
 
     SERVING = "serving"
@@ -67,23 +67,23 @@
     fencing_token: int
     former_fencing_token: int
     # Whether no holder before the sender can still answer the machine's worker.
-    sole: bool
+    is_sole_holder: bool
     # How long ago a holder with a valid lease may have answered the worker last.
     answered_ago_s: float
     # Epoch and sequence number of the newest message of the worker, and of its newest heartbeat.
     agent_epoch: int
     sequence: int
-    report_agent_epoch: int
-    report_sequence: int
+    heartbeat_agent_epoch: int
+    heartbeat_sequence: int
     # Tasks of earlier agent epochs are proven to have ended.
     min_agent_epoch: int
     silent_s: float
     idle_s: float
     # How much longer the machine is quarantined, and whether it is to be replaced.
-    set_aside_s: float
+    quarantine_s: float
     is_degraded: bool
     # The machine is deleted as soon as it has no tasks.
-    draining: bool
+    is_draining: bool
     images: dict[str, float] = {}
 
 
@@ -153,7 +153,7 @@
     member: str
     leader: str | None
     leading: bool
-    # A `Standing`; a string, as other releases may send further ones.
+    # A `ParticipationState`; a string, as other releases may send further ones.
     standing: str
     shares: list[MemberShare] = []
     moves: list[MoveView] = []
--- a/src/beamspar/sharing/move_requests.py
+++ b/src/beamspar/sharing/move_requests.py
@@ -48,7 +48,7 @@
         )
         return CommandReply(True)
 
-    def due(self) -> list[Move]:
+    def due_moves(self) -> list[Move]:
         """Return the moves that can be made now; a shard with a draining machine has to wait."""
         return [move for move in self.moves.values() if not self.scale_in.is_draining(move.shard)]
 
--- a/src/beamspar/sharing/planner.py
+++ b/src/beamspar/sharing/planner.py
@@ -32,7 +32,7 @@
     REQUESTED = "asked for"
 
 
-class Load(msgspec.Struct, frozen=True):
+class MemberLoad(msgspec.Struct, frozen=True):
     """The load of one controller."""
 
     member: str
@@ -44,7 +44,7 @@
     is_leaving: bool = False
 
 
-class Holding(msgspec.Struct, frozen=True):
+class HeldShard(msgspec.Struct, frozen=True):
     """A shard as the planner sees it."""
 
     name: str
@@ -69,7 +69,7 @@
     is_forced: bool = False
 
 
-def target_shares(loads: Sequence[Load], machines: int) -> dict[str, float]:
+def target_shares(loads: Sequence[MemberLoad], machines: int) -> dict[str, float]:
     """Return how many of the machines each controller should hold."""
     staying = [load for load in loads if not load.is_leaving]
     if not staying:
@@ -85,13 +85,15 @@
     return targets | {load.member: 0.0 for load in loads if load.is_leaving}
 
 
-def plan(loads: Sequence[Load], holdings: Iterable[Holding], max_moves: int) -> list[Move]:
+def plan_moves(
+    loads: Sequence[MemberLoad], held_shards: Iterable[HeldShard], max_moves: int
+) -> list[Move]:
     """Return the next moves, at most `max_moves`.
 
     Moves away from leaving controllers come first, then those back to a shard's own zone, then
     those that adjust shares to demand.
     """
-    shards = sorted(holdings, key=lambda shard: shard.name)
+    shards = sorted(held_shards, key=lambda shard: shard.name)
     members = {load.member for load in loads}
     held = dict.fromkeys(members, 0)
     for shard in shards:
@@ -116,7 +118,11 @@
     """The moves chosen so far, and the machines each controller would hold after them."""
 
     def __init__(
-        self, loads: Sequence[Load], held: dict[str, int], targets: dict[str, float], max_moves: int
+        self,
+        loads: Sequence[MemberLoad],
+        held: dict[str, int],
+        targets: dict[str, float],
+        max_moves: int,
     ) -> None:
         self.held = held
         self.targets = targets
@@ -130,13 +136,13 @@
         """Return how many machines the controller holds beyond its share."""
         return self.held[member] - self.targets[member]
 
-    def move_off_leaving(self, shard: Holding) -> None:
+    def move_off_leaving(self, shard: HeldShard) -> None:
         """Move a shard of a leaving holder to a controller of its zone, or else to any other."""
         target = self._with_least_surplus(self._candidates(shard.zone))
         if target is not None:
             self._add(shard, target, MoveReason.LEAVE, is_forced=True)
 
-    def move_to_zone(self, shard: Holding) -> None:
+    def move_to_zone(self, shard: HeldShard) -> None:
         """Move a shard back to a controller of its zone.
 
         A network partition between zones then does not separate controllers from their machines.
@@ -147,7 +153,7 @@
             if target is not None:
                 self._add(shard, target, MoveReason.ZONE)
 
-    def move_by_load(self, shard: Holding) -> None:
+    def move_by_load(self, shard: HeldShard) -> None:
         """Move a shard to the candidate with the least surplus if the imbalance is large enough."""
         group = self._candidates(shard.zone)
         target = self._with_least_surplus(group)
@@ -169,7 +175,7 @@
         return min(members, key=lambda member: (self.surplus(member), member), default=None)
 
     def _add(
-        self, shard: Holding, target: str, reason: MoveReason, is_forced: bool = False
+        self, shard: HeldShard, target: str, reason: MoveReason, is_forced: bool = False
     ) -> None:
         if shard.name in self.moved or len(self.moves) >= self.max_moves:
             return
--- a/src/beamspar/sharing/planner_inputs.py
+++ b/src/beamspar/sharing/planner_inputs.py
@@ -9,7 +9,7 @@
 from beamspar.leader.shard_distribution import zone_of
 from beamspar.sharing.handover import ShardHandover
 from beamspar.sharing.leave import leaving_members
-from beamspar.sharing.planner import DemandAverage, Holding, Load
+from beamspar.sharing.planner import DemandAverage, HeldShard, MemberLoad
 from beamspar.state.control_records import MachineShard
 from beamspar.timeouts import Timeouts
 from beamspar.transport.clock import Clock
@@ -64,7 +64,7 @@
         self.scale_in = scale_in
         self.demand = DemandAverage(timeouts.worker_lease_s * AVERAGE_LEASES)
 
-    def loads(self) -> list[Load]:
+    def loads(self) -> list[MemberLoad]:
         """Return the loads of the reachable controllers."""
         now = self.clock.seconds()
         leaving = leaving_members(self.registration)
@@ -77,9 +77,9 @@
                 # The member's workers could not reach it until recently, so it gets no shards yet.
                 continue
             loads.append(
-                Load(
+                MemberLoad(
                     member,
-                    self.shard_leasing.sites.get(member, ""),
+                    self.shard_leasing.zone_by_member.get(member, ""),
                     self.demand.value(member),
                     view.late_s / self.timeouts.member_heartbeat_interval_s,
                     member in leaving,
@@ -87,13 +87,13 @@
             )
         return loads
 
-    def holdings(self) -> list[Holding]:
+    def held_shards(self) -> list[HeldShard]:
         """Return all shards with their holders."""
         shards = self.registration.mirror.shards
         return [self._holding(name, shard) for name, shard in shards.items()]
 
-    def _holding(self, name: str, shard: MachineShard) -> Holding:
-        return Holding(
+    def _holding(self, name: str, shard: MachineShard) -> HeldShard:
+        return HeldShard(
             name,
             shard.holder,
             zone_of(shard),
--- a/src/beamspar/sharing/service.py
+++ b/src/beamspar/sharing/service.py
@@ -18,20 +18,20 @@
     LeaveRequest,
     MemberShare,
     MoveRequest,
+    ParticipationState,
     PrepareReply,
     PrepareRequest,
     ReleaseRequest,
     SharesReply,
     SharingPath,
-    Standing,
 )
 from beamspar.sharing.move_requests import MoveRequests
-from beamspar.sharing.planner import plan, target_shares
+from beamspar.sharing.planner import plan_moves, target_shares
 from beamspar.sharing.planner_inputs import PlannerInputs, ScaleInView
 from beamspar.sharing.transfer import Send, Transfer
 from beamspar.state.client import StateClient
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, spawn
+from beamspar.transport.clock import Clock, run_in_background
 
 
 class Sharing:
@@ -72,7 +72,7 @@
         """Take the next step if this controller is leaving, unless a step is in progress."""
         if not self.is_step_in_progress:
             self.is_step_in_progress = True
-            spawn(self._step(), "leaving")
+            run_in_background(self._step(), "leaving")
 
     async def _step(self) -> None:
         try:
@@ -93,11 +93,11 @@
         """
         self.handover.remove_stale_cooldowns()
         max_moves = self.shard_leasing.max_moves
-        holdings = self.inputs.holdings()
-        moves = self.move_requests.due()[:max_moves]
+        holdings = self.inputs.held_shards()
+        moves = self.move_requests.due_moves()[:max_moves]
         requested = {move.shard for move in moves}
         others = [shard for shard in holdings if shard.name not in requested]
-        moves += plan(self.inputs.loads(), others, max_moves - len(moves))
+        moves += plan_moves(self.inputs.loads(), others, max_moves - len(moves))
         if moves:
             try:
                 await self.handover.carry_out(moves)
@@ -113,7 +113,9 @@
 
     def shares(self) -> SharesReply:
         """Return the reply that operators see; only the leader's contains the shares and moves."""
-        standing = Standing.LEAVING if self.leave.is_leaving() else Standing.SERVING
+        standing = (
+            ParticipationState.LEAVING if self.leave.is_leaving() else ParticipationState.SERVING
+        )
         reply = SharesReply(
             self.registration.own_name, self.mirror.leader, self.leader.is_ready, standing
         )
@@ -140,7 +142,7 @@
         moves = self.handover.list_moves(self.move_requests.moves.values())
         return SharesReply(reply.member, reply.leader, reply.leading, standing, shares, moves)
 
-    async def answer(self, name: str, body: bytes) -> bytes | None:
+    async def handle_message(self, name: str, body: bytes) -> bytes | None:
         """Answer a message of a peer or operator; return None if it is not about sharing.
 
         Raises ValidationError or JSONDecodeError for a malformed message.
@@ -160,4 +162,4 @@
 
 def shares_after_leave(member: str) -> SharesReply:
     """Return the reply of a controller that has left and whose process may be stopped."""
-    return SharesReply(member, None, False, Standing.LEFT)
+    return SharesReply(member, None, False, ParticipationState.LEFT)
--- a/src/beamspar/sharing/transfer.py
+++ b/src/beamspar/sharing/transfer.py
@@ -25,7 +25,7 @@
 )
 from beamspar.state import keys
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, sleep, spawn
+from beamspar.transport.clock import Clock, run_in_background, sleep
 from beamspar.transport.http import CallFailedError
 
 log = Logger(namespace="sharing")
@@ -69,7 +69,7 @@
         Running work continues and heartbeats are still answered, so no lease expires if the leader
         fails now. The reply names the shards that became ready in time.
         """
-        if request.member != self.mirror.leader or not self.registration.lease_is_valid():
+        if request.member != self.mirror.leader or not self.registration.is_lease_valid():
             log.info(
                 "ignored a prepare request of {member}: that member does not lead, or this"
                 " controller's lease is not valid",
@@ -118,7 +118,9 @@
             return
         unsent = self.unsent_releases.setdefault(successor, {})
         if not unsent:
-            self.clock.callLater(0, spawn, self._release(successor), f"release to {successor}")
+            self.clock.callLater(
+                0, run_in_background, self._release(successor), f"release to {successor}"
+            )
         unsent[machine.info.name] = (machine, fencing_token)
 
     async def _release(self, successor: str) -> None:
@@ -186,7 +188,7 @@
         """
         accepted: list[str] = []
         unknown_yet: list[str] = []
-        fence, _ = self.mirror.values.get(keys.fence(request.member), ({}, 0))
+        fence, _ = self.mirror.values.get(keys.fence_key(request.member), ({}, 0))
         if fence.get("inc") != request.incarnation:
             log.info(
                 "refused a release of {member}: it is not from the member's current incarnation",
@@ -222,7 +224,7 @@
 
     def _take_over(self, machine: ManagedMachine, state: MachineState) -> None:
         now = self.clock.seconds()
-        if state.sole:
+        if state.is_sole_holder:
             # Neither the sender nor an earlier holder can answer the worker any more, so the
             # sender's last answer counts. Otherwise, the loss of a machine that dies during its
             # move would be detected only after one and a half leases.
@@ -234,12 +236,12 @@
             machine.agent_epoch, machine.observed_seq = state.agent_epoch, state.sequence
         if machine.last_heartbeat_id == NO_HEARTBEAT:
             machine.last_heartbeat_at = now - max(state.silent_s, 0.0)
-        reported = HeartbeatId(state.report_agent_epoch, state.report_sequence)
+        reported = HeartbeatId(state.heartbeat_agent_epoch, state.heartbeat_sequence)
         machine.last_heartbeat_id = max(machine.last_heartbeat_id, reported)
         machine.min_agent_epoch = max(machine.min_agent_epoch, state.min_agent_epoch)
-        machine.quarantined_until = max(machine.quarantined_until, now + state.set_aside_s)
+        machine.quarantined_until = max(machine.quarantined_until, now + state.quarantine_s)
         machine.is_degraded = machine.is_degraded or state.is_degraded
-        machine.is_draining = machine.is_draining or state.draining
+        machine.is_draining = machine.is_draining or state.is_draining
         if not machine.tasks:
             machine.idle_since = min(machine.idle_since, now - max(state.idle_s, 0.0))
         self.machine_controller.add_known_images(machine, state.images)
--- a/src/beamspar/standby/command.py
+++ b/src/beamspar/standby/command.py
@@ -15,7 +15,7 @@
 import msgspec
 import orjson
 
-from beamspar.settings import Settings, SettingsError, load
+from beamspar.settings import Settings, SettingsError, load_settings
 from beamspar.standby.messages import HandOverReply, StandbyPath, StandbyStatus
 
 NOT_DONE, BAD_SETTINGS = 1, 2
@@ -76,7 +76,7 @@
 def main(context: click.Context, config: str) -> None:
     """Look at the controllers' lead, and hand it over."""
     try:
-        context.obj = load(config)
+        context.obj = load_settings(config)
     except SettingsError as error:
         click.echo(str(error), err=True)
         sys.exit(BAD_SETTINGS)
--- a/src/beamspar/standby/failover.py
+++ b/src/beamspar/standby/failover.py
@@ -11,7 +11,7 @@
 from beamspar.standby.messages import TakeLeadReply, TakeLeadRequest
 from beamspar.standby.probes import MemberProbes
 from beamspar.state import keys
-from beamspar.transport.clock import sleep, spawn
+from beamspar.transport.clock import run_in_background, sleep
 
 log = Logger(namespace="standby")
 
@@ -70,7 +70,7 @@
             index=self._replica.index,
             term=self._replica.term,
         )
-        await self._leader.elect(replaces=leader)
+        await self._leader.attempt_election(replaced_leader=leader)
         self._confirm_members(except_for=leader)
 
     async def take_lead(self, request: TakeLeadRequest) -> TakeLeadReply:
@@ -79,7 +79,7 @@
         is_complete = replica.term == request.term and replica.index >= request.index
         if not is_complete or self._mirror.leader != request.member or self._leader.is_electing:
             return TakeLeadReply(False)
-        await self._leader.elect(replaces=request.member, failed=False)
+        await self._leader.attempt_election(replaced_leader=request.member, has_failed=False)
         self._confirm_members()
         return TakeLeadReply(self._mirror.leader == self._context.own_name)
 
@@ -99,12 +99,12 @@
         registration = self._registration
         return (
             not registration.is_ended
-            and registration.lease_is_valid()
+            and registration.is_lease_valid()
             and not self._leader.is_electing
         )
 
     def _leader_record(self) -> object:
-        return self._mirror.values.get(keys.LEADER, (None, 0))[0]
+        return self._mirror.values.get(keys.LEADER_KEY, (None, 0))[0]
 
     def _confirm_members(self, except_for: str = "") -> None:
         """Request a full heartbeat from every live member.
@@ -114,7 +114,7 @@
         """
         if self._leader.is_leading:
             for member in sorted(self._mirror.members - {self._context.own_name, except_for}):
-                spawn(self._confirm(member), f"confirming {member}")
+                run_in_background(self._confirm(member), f"confirming {member}")
 
     async def _confirm(self, member: str) -> None:
         heartbeat = await self._probes.confirm(member)
--- a/src/beamspar/standby/leader_follower.py
+++ b/src/beamspar/standby/leader_follower.py
@@ -46,7 +46,7 @@
             if (
                 leader is None
                 or leader == self._context.own_name
-                or not self._registration.lease_is_valid()
+                or not self._registration.is_lease_valid()
             ):
                 await sleep(self._context.clock, self._timeouts.member_heartbeat_interval_s)
                 continue
@@ -77,7 +77,7 @@
 
     async def _fetch(self, leader: str) -> bool:
         """Fetch entries that the replica lacks; return whether to fetch more at once."""
-        request = self._replica.request(self._context.own_name)
+        request = self._replica.next_request(self._context.own_name)
         timeout_s = self._timeouts.member_heartbeat_interval_s * FETCH_TIMEOUT_HEARTBEATS
         body = await self._context.send(leader, StandbyPath.FOLLOW, request, timeout_s)
         reply: FollowReply = decode(body, FollowReply)
--- a/src/beamspar/standby/standby.py
+++ b/src/beamspar/standby/standby.py
@@ -31,7 +31,7 @@
 from beamspar.standby.probes import MemberProbes
 from beamspar.state import keys
 from beamspar.timeouts import Timeouts
-from beamspar.transport.clock import Clock, spawn
+from beamspar.transport.clock import Clock, run_in_background
 
 log = Logger(namespace="standby")
 
@@ -56,9 +56,9 @@
         heartbeat: Callable[[], MemberHeartbeat],
     ) -> None:
         self.registration = registration
-        self.log: DecisionLog = leader.decisions
-        self.replica = Replica(clock, self.log.state)
-        self.failovers = FailoverHistory(timeouts)
+        self.decision_log: DecisionLog = leader.decision_log
+        self.replica = Replica(clock, self.decision_log.state)
+        self.failover_history = FailoverHistory(timeouts)
         self._clock = clock
         self._mirror = registration.mirror
         self._leader = leader
@@ -66,22 +66,22 @@
         self._heartbeat = heartbeat
         context = StandbyContext(clock, registration, leader, timeouts, send)
         self._probes = MemberProbes(context)
-        self._failover = Failover(context, self.replica, self._probes, self.failovers)
+        self._failover = Failover(context, self.replica, self._probes, self.failover_history)
         self._follower = LeaderFollower(context, self.replica, self._failover.replace_if_failed)
-        self._hand_over = LeadershipHandOver(context, self.log, zones)
+        self._hand_over = LeadershipHandOver(context, self.decision_log, zones)
         registration.mirror.listeners.append(self._on_record_changed)
         leader.on_ready = self._log_replicated_state
         leader.offers_by_zone = True
 
     def start(self) -> None:
         """Follow the leader, in the background, until the registration ends."""
-        spawn(self._follower.run(), "following the leader")
+        run_in_background(self._follower.run(), "following the leader")
 
     def follow(self, request: FollowRequest) -> FollowReply:
         """Return the entries that a follower lacks; term 0 if this controller does not lead."""
         if not self._leader.is_leading:
             return FollowReply()
-        return self.log.answer(request, self._hand_over.succession())
+        return self.decision_log.reply_to_follower(request, self._hand_over.succession())
 
     async def hand_over(self, request: HandOverRequest) -> HandOverReply:
         """Hand over leadership to a follower that has replicated the whole log."""
@@ -98,7 +98,7 @@
     def status(self) -> StandbyStatus:
         """Return the status that operators see."""
         is_leading = self._leader.is_leading
-        log_or_replica = self.log if is_leading else self.replica
+        log_or_replica = self.decision_log if is_leading else self.replica
         return StandbyStatus(
             member=self.registration.own_name,
             leader=self._mirror.leader,
@@ -108,10 +108,10 @@
             index=log_or_replica.index,
             lag=0 if is_leading else self.replica.lag,
             succession=self._hand_over.succession() if is_leading else self._follower.succession,
-            failovers=len(self.failovers.times),
+            failovers=len(self.failover_history.times),
         )
 
-    async def answer(self, path: str, body: bytes) -> bytes | None:
+    async def handle_message(self, path: str, body: bytes) -> bytes | None:
         """Handle a peer's message and return the response; None if the path is not the standby's.
 
         Raises ValidationError or JSONDecodeError if the message is malformed, and KeyError if it
@@ -124,7 +124,7 @@
                 return encode(await self.probe(decode(body, ProbeRequest)))
             case StandbyPath.CONFIRM:
                 decode(body, ConfirmRequest)
-                if not self.registration.lease_is_valid():
+                if not self.registration.is_lease_valid():
                     # Without a valid lease, its machines and jobs may belong to another controller.
                     raise KeyError(path)
                 return encode(self._heartbeat())
@@ -137,8 +137,8 @@
         return None
 
     def _on_record_changed(self, key: str) -> None:
-        if key == keys.LEADER:
-            self.failovers.observe_leader(self._mirror.leader, self._clock.seconds())
+        if key == keys.LEADER_KEY:
+            self.failover_history.observe_leader(self._mirror.leader, self._clock.seconds())
 
     def _log_replicated_state(self) -> None:
         """Log the replicated state that the first decision of a term is based on."""
@@ -146,7 +146,7 @@
             "{me} starts making decisions in term {term}: replicated up to index {index} of term "
             "{copied_term}, lag {lag}, confirmed by {members}",
             me=self.registration.own_name,
-            term=self.log.term,
+            term=self.decision_log.term,
             index=self.replica.index,
             copied_term=self.replica.term,
             lag=self.replica.lag,
--- a/src/beamspar/state/client.py
+++ b/src/beamspar/state/client.py
@@ -53,14 +53,14 @@
     fair_rate = max(
         limits.rps / controller_count * SHARE_FACTOR * REQUEST_MARGIN, MIN_FAIR_RATE_PER_S
     )
-    lowest_rate = limits.smallest.rps / controller_count * REQUEST_MARGIN
+    lowest_rate = limits.strictest.rps / controller_count * REQUEST_MARGIN
     return RateLimiter(clock, fair_rate, fair_rate, min(lowest_rate, fair_rate))
 
 
 def change_limiter(clock: Clock, limits: StateServiceLimits, controller_count: int) -> RateLimiter:
     """Return the rate limiter for this controller's changes, which may use others' unused share."""
     fair_rate = max(limits.write_rps / controller_count * SHARE_FACTOR, MIN_FAIR_RATE_PER_S)
-    lowest_rate = limits.smallest.write_rps / controller_count * SHARE_FACTOR * MIN_CHANGE_MARGIN
+    lowest_rate = limits.strictest.write_rps / controller_count * SHARE_FACTOR * MIN_CHANGE_MARGIN
     highest_rate = limits.write_rps * MAX_CHANGE_SHARE
     return RateLimiter(clock, fair_rate, highest_rate, min(lowest_rate, fair_rate))
 
@@ -82,7 +82,7 @@
         self._address = settings.services.state
         self._timeout_s = timeouts.request_timeout_s
         limits = settings.platform.state
-        self._smallest_limits = limits.smallest
+        self._smallest_limits = limits.strictest
         controller_count = max(settings.platform.nodes, 1)
         self.request_limiter = request_limiter(clock, limits, controller_count)
         self.change_limiter = change_limiter(clock, limits, controller_count)
--- a/src/beamspar/state/job_records.py
+++ b/src/beamspar/state/job_records.py
@@ -89,22 +89,22 @@
     is_first_release: bool = False
 
     @property
-    def stored(self) -> int | None:
+    def stored_tasks_per_chunk(self) -> int | None:
         """The value of `tasks_per_chunk` in the job's record."""
         return None if self.is_first_release else self.tasks_per_chunk
 
-    def prefix(self, job: str) -> str:
+    def key_prefix(self, job: str) -> str:
         """Return the common prefix of the keys of a job's chunks."""
-        tasks_prefix = keys.tasks(job)
+        tasks_prefix = keys.tasks_prefix(job)
         return tasks_prefix if self.is_first_release else f"{tasks_prefix}{self.tasks_per_chunk}/"
 
-    def key(self, job: str, chunk: int) -> str:
+    def chunk_key(self, job: str, chunk: int) -> str:
         """Return the key of one chunk."""
-        return f"{self.prefix(job)}{chunk}"
+        return f"{self.key_prefix(job)}{chunk}"
 
-    def number(self, job: str, key: str) -> int | None:
+    def chunk_number(self, job: str, key: str) -> int | None:
         """Return the number of the chunk with this key; None for a key of another layout."""
-        rest = key.removeprefix(self.prefix(job))
+        rest = key.removeprefix(self.key_prefix(job))
         return int(rest) if rest.isdigit() else None
 
 
@@ -115,7 +115,7 @@
 
 def smallest_layout(limits: StateServiceLimits) -> ChunkLayout:
     """Return the layout whose chunks fit the smaller of the present and the announced limit."""
-    return ChunkLayout(max_tasks_per_chunk(limits.smallest.value_kb))
+    return ChunkLayout(max_tasks_per_chunk(limits.strictest.value_kb))
 
 
 def layout_of(record: JobRecord, limits: StateServiceLimits) -> ChunkLayout:
@@ -137,7 +137,7 @@
     # Chunks in the layout of the first release may be as large as the present limit allows.
     chunk_kb = limits.value_kb * TASKS_SHARE_OF_VALUE
     available_kb = MAX_TRANSACTION_KB * TRANSACTION_FILL_RATIO - limits.value_kb
-    return max(min(limits.smallest.txn_ops - 1, int(available_kb / chunk_kb)), 1)
+    return max(min(limits.strictest.txn_ops - 1, int(available_kb / chunk_kb)), 1)
 
 
 def ranges(indexes: list[int]) -> list[tuple[int, int]]:
@@ -175,7 +175,7 @@
         return False
     # After a controller fails, hundreds of tasks are looked up until its successor has loaded the
     # jobs. With a priority above that of the load, the lookups would delay it indefinitely.
-    item = await state.get(keys.job(job), RequestPriority.BACKGROUND)
+    item = await state.get(keys.job_key(job), RequestPriority.BACKGROUND)
     if item is None:
         return False
     record = read_job(item)
@@ -191,6 +191,6 @@
     number = index // layout.tasks_per_chunk
     if not number:
         return record.chunk
-    item = await state.get(layout.key(job, number), RequestPriority.BACKGROUND)
+    item = await state.get(layout.chunk_key(job, number), RequestPriority.BACKGROUND)
     chunk: Chunk = msgspec.convert(item.value, Chunk) if item else Chunk()
     return chunk
--- a/src/beamspar/transport/clock.py
+++ b/src/beamspar/transport/clock.py
@@ -22,7 +22,7 @@
         """Call the function after `delay` seconds; the returned timer can be cancelled."""
 
 
-def spawn(work: Coroutine[Any, Any, Any], label: str) -> Deferred[Any]:
+def run_in_background(work: Coroutine[Any, Any, Any], label: str) -> Deferred[Any]:
     """Run a coroutine in the background, and log its failure, as no caller awaits it.
 
     `label` names the work in that log line.
--- a/src/beamspar/transport/connection_limits.py
+++ b/src/beamspar/transport/connection_limits.py
@@ -30,7 +30,7 @@
     return open_connections < max_connections * KEEP_ALIVE_SHARE
 
 
-class Sockets(NamedTuple):
+class SocketLimits(NamedTuple):
     """The maximum number of open connections of each kind."""
 
     # Incoming, from users and workers, and from peers.
@@ -41,7 +41,7 @@
     to_peers: int
 
     @classmethod
-    def of(cls, total: int, controllers: int) -> Sockets:
+    def of(cls, total: int, controllers: int) -> SocketLimits:
         """Divide `total` sockets, in a deployment of this number of controllers."""
         public, peers, worker_commands = (
             max(int(total * share), 1)
@@ -58,7 +58,7 @@
     If many workers or peers hang, each call to one of them holds its socket until its timeout.
     """
 
-    def __init__(self, sockets: Sockets) -> None:
+    def __init__(self, sockets: SocketLimits) -> None:
         self._worker_commands = DeferredSemaphore(sockets.worker_commands)
         self._peers = DeferredSemaphore(sockets.to_peers)
 
--- a/src/beamspar/transport/http.py
+++ b/src/beamspar/transport/http.py
@@ -11,12 +11,12 @@
 class CallFailedError(Exception):
     """A call without a usable response: refused, reset or timed out. It may still take effect.
 
-    `refused` is set if the connection was refused, which means that no process listens there.
+    `is_refused` is set if the connection was refused, which means that no process listens there.
     """
 
-    def __init__(self, text: str, refused: bool = False) -> None:
+    def __init__(self, text: str, is_refused: bool = False) -> None:
         super().__init__(text)
-        self.refused = refused
+        self.is_refused = is_refused
 
 
 class CallRefusedError(CallFailedError):
@@ -48,11 +48,11 @@
     """The network, over which a controller calls others and serves; tests simulate it."""
 
     def request(
-        self, method: str, address: str, path: str, body: bytes | None, limit_s: float
+        self, method: str, address: str, path: str, body: bytes | None, timeout_s: float
     ) -> Deferred[HttpResponse]:
         """Send a request to HOST:PORT and return its response.
 
-        Fails with CallFailedError, after `limit_s` seconds at the latest.
+        Fails with CallFailedError, after `timeout_s` seconds at the latest.
         """
 
     def listen(
--- a/src/beamspar/transport/http_client.py
+++ b/src/beamspar/transport/http_client.py
@@ -213,15 +213,15 @@
 class HttpClient:
     """Owns the connections that this process has opened.
 
-    `connect_s` is the timeout for opening a connection; a connection is closed after `idle_s`
-    without a request.
+    `connect_timeout_s` is the timeout for opening a connection; a connection is closed after
+    `idle_timeout_s` without a request.
     """
 
-    def __init__(self, reactor: Any, connect_s: float, idle_s: float) -> None:
+    def __init__(self, reactor: Any, connect_timeout_s: float, idle_timeout_s: float) -> None:
         self._reactor = reactor
         self._clock: Clock = reactor
-        self._connect_s = connect_s
-        self._idle_s = idle_s
+        self._connect_s = connect_timeout_s
+        self._idle_s = idle_timeout_s
         # Idle connections by address, the most recently used one last.
         self._idle: dict[str, list[_Connection]] = {}
         # Whether the timer that closes expired idle connections is set.
--- a/src/beamspar/transport/http_server.py
+++ b/src/beamspar/transport/http_server.py
@@ -9,7 +9,7 @@
 from twisted.python.failure import Failure
 from twisted.web.http import RESPONSES, HTTPChannel, HTTPFactory, Request
 
-from beamspar.transport.clock import Clock, spawn
+from beamspar.transport.clock import Clock, run_in_background
 from beamspar.transport.connection_limits import may_stay_open
 from beamspar.transport.http import Handler, HttpRequest, HttpResponse
 
@@ -63,7 +63,7 @@
         site: Site = self.channel.factory
         body = self.content.read(site.body_limit + 1) if self.content is not None else b""
         request = HttpRequest(self.method.decode("latin1"), self.path.decode("latin1"), query, body)
-        spawn(self._serve(site, request), f"{request.method} {request.path}")
+        run_in_background(self._serve(site, request), f"{request.method} {request.path}")
 
     async def _serve(self, site: Site, request: HttpRequest) -> None:
         response = await self._call_handler(site, request)
--- a/src/beamspar/transport/tcp.py
+++ b/src/beamspar/transport/tcp.py
@@ -13,7 +13,7 @@
 from beamspar.transport.connection_limits import (
     WORKER_COMMANDS_PATH,
     ConnectionLimits,
-    Sockets,
+    SocketLimits,
 )
 from beamspar.transport.http import CallFailedError, Handler, HttpResponse
 from beamspar.transport.http_client import HttpClient
@@ -23,7 +23,7 @@
 LISTEN_BACKLOG = 256
 
 
-class SteadyReactor(EPollReactor):
+class MonotonicReactor(EPollReactor):
     """A reactor on the monotonic clock.
 
     Twisted's reactor takes `seconds` and all its timers from the wall clock. That may drift by up
@@ -35,9 +35,9 @@
     seconds = staticmethod(time.monotonic)
 
 
-def steady_reactor() -> SteadyReactor:
+def install_monotonic_reactor() -> MonotonicReactor:
     """Install the program's reactor, which must happen before another one is imported."""
-    reactor = SteadyReactor()  # type: ignore[no-untyped-call]
+    reactor = MonotonicReactor()  # type: ignore[no-untyped-call]
     installReactor(reactor)
     return reactor
 
@@ -45,22 +45,24 @@
 class TcpNet:
     """The network over TCP: owns the client's connections and the listening sites.
 
-    `connect_s` is the timeout for opening a connection; a connection is closed after `idle_s`
-    without a request.
+    `connect_timeout_s` is the timeout for opening a connection; a connection is closed after
+    `idle_timeout_s` without a request.
     """
 
-    def __init__(self, reactor: Any, connect_s: float, idle_s: float, sockets: Sockets) -> None:
+    def __init__(
+        self, reactor: Any, connect_timeout_s: float, idle_timeout_s: float, sockets: SocketLimits
+    ) -> None:
         self._reactor = reactor
-        self._idle_s = idle_s
-        self._client = HttpClient(reactor, connect_s, idle_s)
+        self._idle_s = idle_timeout_s
+        self._client = HttpClient(reactor, connect_timeout_s, idle_timeout_s)
         self._limits = ConnectionLimits(sockets)
 
     def request(
-        self, method: str, address: str, path: str, body: bytes | None, limit_s: float
+        self, method: str, address: str, path: str, body: bytes | None, timeout_s: float
     ) -> Deferred[HttpResponse]:
         """Send a request to HOST:PORT and return its response.
 
-        Fails with CallFailedError, after `limit_s` seconds at the latest.
+        Fails with CallFailedError, after `timeout_s` seconds at the latest.
         """
         # Each of hundreds of workers gets direct commands now and then. Keeping connections to all
         # of them alive would take the sockets that their heartbeats need.
@@ -75,7 +77,7 @@
             raise CallFailedError(error, is_refused)
 
         result: Deferred[HttpResponse] = ensureDeferred(self._limits.run(path, call))
-        result.addTimeout(limit_s, self._reactor)
+        result.addTimeout(timeout_s, self._reactor)
         result.addErrback(fail)
         return result
 
--- a/src/beamspar/workload/job.py
+++ b/src/beamspar/workload/job.py
@@ -226,7 +226,7 @@
                 record.waiting_again.append((index, task.attempt))
         return record
 
-    def record(self) -> JobRecord:
+    def to_record(self) -> JobRecord:
         """Return the job's main record, which includes the first chunk."""
         return JobRecord(
             spec=msgspec.to_builtins(self.spec),
@@ -236,7 +236,7 @@
             running=self.bound_count,
             chunk=self.chunk_record(0),
             write_stamp=self.write_stamp,
-            tasks_per_chunk=self.layout.stored,
+            tasks_per_chunk=self.layout.stored_tasks_per_chunk,
         )
 
     def change_layout(self, layout: ChunkLayout) -> None:
--- a/tests/call_traces.py
+++ b/tests/call_traces.py
@@ -46,16 +46,16 @@
         address: str,
         path: str,
         body: bytes | None,
-        limit_s: float,
+        timeout_s: float,
     ) -> Any:
         """Make the call; add it and its response to the digest."""
-        self.add("call", source, method, address, path, body, limit_s)
+        self.add("call", source, method, address, path, body, timeout_s)
 
         def on_response(response: HttpResponse) -> HttpResponse:
             self.add("answer", source, address, path, response.status, response.body)
             return response
 
-        return self.request(source, method, address, path, body, limit_s).addCallback(on_response)
+        return self.request(source, method, address, path, body, timeout_s).addCallback(on_response)
 
     def add(self, *parts: object) -> None:
         """Add one event at the current simulated time."""
--- a/tests/kill_leader.py
+++ b/tests/kill_leader.py
@@ -25,7 +25,7 @@
 
 from beamspar.transport.clock import sleep
 from beamspar.transport.http import CallFailedError
-from beamspar.transport.tcp import steady_reactor
+from beamspar.transport.tcp import install_monotonic_reactor
 
 ROOT = Path(__file__).resolve().parent.parent
 POLL_S = 0.05
@@ -137,12 +137,12 @@
         paused = followers[0] if followers and self.rng.random() < 0.25 else ""
         if paused:
             # The preferred follower lags, and resumes once the leader is killed.
-            self.world.hold(paused, True)
+            self.world.set_suspended(paused, True)
             await sleep(clock, 1.0)
         killed_at = clock.seconds()
         self.world.crash(name, self.rng.choice([0.5, 3.0, 6.0]))
         if paused:
-            self.world.hold(paused, False)
+            self.world.set_suspended(paused, False)
         after = await self.wait_for_deciding_leader(status["term"])
         seconds = clock.seconds() - killed_at
         return Takeover(name, after["member"], seconds, bool(paused), after["lag"])
@@ -237,7 +237,7 @@
 @click.option("--report", default=None, type=click.Path(path_type=Path))
 def main(kills: int, seed: int, report: Path | None) -> None:
     """Kill the leader repeatedly."""
-    reactor: Any = steady_reactor()
+    reactor: Any = install_monotonic_reactor()
     from tests.standins.loopback import LoopbackWorld, deploy_line, drive
 
     rng = random.Random(seed)
--- a/tests/reshuffle.py
+++ b/tests/reshuffle.py
@@ -23,7 +23,7 @@
 
 from beamspar.transport.clock import sleep
 from beamspar.transport.http import CallFailedError
-from beamspar.transport.tcp import steady_reactor
+from beamspar.transport.tcp import install_monotonic_reactor
 from tests.kill_leader import CommandRun, run_command
 
 ZONES = ["east", "west", "south"]
@@ -149,11 +149,11 @@
                 self.world.crash(name, self.rng.choice([0.5, 3.0, 8.0]))
         elif kind == "pause":
             name = self.rng.choice(alive)
-            self.world.hold(name, True)
+            self.world.set_suspended(name, True)
             # Resume this process only: the controller may have been killed and restarted meanwhile.
             process = self.world.processes[name]
             for_s = self.rng.choice([0.5, 3.0, 20.0])
-            self.world.clock.callLater(for_s, self.world.wake, process)
+            self.world.clock.callLater(for_s, self.world.resume, process)
         elif kind == "leave":
             name = self.rng.choice(alive)
             ensureDeferred(self.send(name, "leave", {}))
@@ -266,7 +266,7 @@
 @click.option("--report", default=None, type=click.Path(path_type=Path))
 def main(minutes: float, seed: int, faults: bool, report: Path | None) -> None:
     """Move shards at random under load and faults."""
-    reactor: Any = steady_reactor()
+    reactor: Any = install_monotonic_reactor()
     from tests.standins.loopback import LoopbackWorld, deploy_line, drive
 
     world = LoopbackWorld(
--- a/tests/standins/checker.py
+++ b/tests/standins/checker.py
@@ -49,7 +49,7 @@
         self.start_counts: dict[str, int] = {}
         self.broken: list[str] = []
 
-    def report(self, rule: str, text: str) -> None:
+    def report_violation(self, rule: str, text: str) -> None:
         """Record a violation."""
         self.broken.append(f"{rule} at {self.clock.seconds():.2f}: {text}")
 
@@ -60,30 +60,32 @@
         self.started += 1
         other_machines = [m for m, _ in self.placements.get(task, set()) if m != machine]
         if other_machines:
-            self.report("ran_twice", f"{task} starts on {machine}, is on {other_machines}")
+            self.report_violation(
+                "ran_twice", f"{task} starts on {machine}, is on {other_machines}"
+            )
         job, _, _ = task.partition("/")
         self.start_counts[job] = self.start_counts.get(job, 0) + 1
         spec = self.jobs[job]
         kind, zone, spot = self.machines[machine]
         if spec.get("rig_kinds") and kind not in spec["rig_kinds"]:
-            self.report("wrong_place", f"{task} on {kind}")
+            self.report_violation("wrong_place", f"{task} on {kind}")
         if spec.get("yard") and zone != spec["yard"]:
-            self.report("wrong_place", f"{task} in {zone}")
+            self.report_violation("wrong_place", f"{task} in {zone}")
         if spot and not spec["standby"]:
-            self.report("wrong_place", f"{task} on a spot machine")
+            self.report_violation("wrong_place", f"{task} on a spot machine")
         # Arrays have thousands of tasks: search them only if the job constrains zones.
         zones = self._zones_of_others(task) if spec["scatter"] or spec["together"] else []
         if spec["scatter"] and zones.count(zone) + 1 > (spec["parcels"] + 1) // 2:
-            self.report("wrong_place", f"{task}: too many in {zone}")
+            self.report_violation("wrong_place", f"{task}: too many in {zone}")
         if spec["together"] and any(z != zone for z in zones):
-            self.report("wrong_place", f"{task}: apart from its job")
+            self.report_violation("wrong_place", f"{task}: apart from its job")
         if spec["shape"] == "ensemble":
             self._check_gang_attempt(job, attempt)
         self.placements.setdefault(task, set()).add((machine, attempt))
         self._check_quota(spec["owner"])
         final = self.final_answers.get(job)
         if final and final[0] == "withdrawn" and self.clock.seconds() > final[1] + self.cancel_s:
-            self.report("ran_cancelled", f"{task} starts on {machine}")
+            self.report_violation("ran_cancelled", f"{task} starts on {machine}")
 
     def _zones_of_others(self, task: str) -> list[str]:
         job = task.partition("/")[0]
@@ -104,16 +106,16 @@
             if number != attempt
         }
         if other_attempts:
-            self.report(
+            self.report_violation(
                 "gang_mixed", f"{job} attempt {attempt} starts beside {sorted(other_attempts)}"
             )
 
-    def commands_sent(self, body: bytes) -> None:
+    def record_commands(self, body: bytes) -> None:
         """Check that sent commands start no job whose cancellation was confirmed to a user."""
         for order in unpack(body)["orders"]:
             final = self.final_answers.get(order["parcel"].partition("/")[0])
             if order["verb"] == "start" and final and final[0] == "withdrawn":
-                self.report("started_cancelled", order["parcel"])
+                self.report_violation("started_cancelled", order["parcel"])
 
     def stop(self, task: str, attempt: int, machine: str) -> None:
         """Record that an attempt ended on a machine."""
@@ -145,20 +147,20 @@
             return
         cpus, gpus = self.team_usage(team)
         if (cpus_max and cpus > cpus_max + 1e-6) or (gpus_max and gpus > gpus_max + 1e-6):
-            self.report("quota", f"{team} uses {cpus} cpus and {gpus} gpus")
+            self.report_violation("quota", f"{team} uses {cpus} cpus and {gpus} gpus")
 
     # -- responses to users
 
-    def submitted(self, job: str, status: int) -> None:
+    def record_submission(self, job: str, status: int) -> None:
         """Record and check the status of a response to a submission of the job."""
         if status in (200, 201):
             self.accepted.setdefault(job, self.clock.seconds())
             if job in self.invalid:
-                self.report("took_bad", job)
+                self.report_violation("took_bad", job)
         elif status in (400, 422) and job in self.accepted:
-            self.report("forgotten", f"{job} submitted again gets {status}")
+            self.report_violation("forgotten", f"{job} submitted again gets {status}")
 
-    def answered(self, job: str, status: int, data: Any, sent_at: float | None = None) -> None:
+    def record_answer(self, job: str, status: int, data: Any, sent_at: float | None = None) -> None:
         """Record and check the response to a query or cancellation.
 
         A response may contain a state older than the final one if the request was sent, at
@@ -170,11 +172,11 @@
             and job in self.accepted
             and (sent_at is None or sent_at >= self.accepted[job])
         ):
-            self.report("forgotten", f"{job} gets 404")
+            self.report_violation("forgotten", f"{job} gets 404")
         if status != 200:
             return
         if job not in self.requested:
-            self.report("invented", job)
+            self.report_violation("invented", job)
             return
         self.accepted.setdefault(job, now)
         self.last_answered[job] = now
@@ -182,9 +184,9 @@
         old_state = self.final_answers.get(job, ("", 0.0))[0]
         overlapping = sent_at is not None and sent_at < self.final_answers.get(job, ("", 0.0))[1]
         if old_state in FINAL and state != old_state and not (overlapping and state not in FINAL):
-            self.report("went_back", f"{job} was {old_state}, is {state}")
+            self.report_violation("went_back", f"{job} was {old_state}, is {state}")
         if state == "done" and len(self.done.get(job, set())) < self.jobs[job]["parcels"]:
-            self.report("not_done", f"{job}: {sorted(self.done.get(job, set()))}")
+            self.report_violation("not_done", f"{job}: {sorted(self.done.get(job, set()))}")
         if state in FINAL and old_state not in FINAL:
             self.final_answers[job] = (state, now)
 
@@ -194,7 +196,7 @@
         for job, accepted in self.accepted.items():
             last = max(self.last_answered.get(job, accepted), accepted, since)
             if job not in self.final_answers and now - last > limit_s:
-                self.report("forgotten", f"{job}: no answer for {now - last:.0f} s")
+                self.report_violation("forgotten", f"{job}: no answer for {now - last:.0f} s")
                 self.last_answered[job] = now
 
     def check_waiting(self, job: str, fits: bool, limit_s: float = 90.0) -> None:
@@ -203,7 +205,7 @@
         if not fits:
             self.waiting_since.pop(job, None)
         elif now - self.waiting_since.setdefault(job, now) > limit_s:
-            self.report("left_waiting", f"{job} since {self.waiting_since.pop(job):.0f}")
+            self.report_violation("left_waiting", f"{job} since {self.waiting_since.pop(job):.0f}")
 
     def check_cancelled(self) -> None:
         """Check that cancelled jobs are off every machine within `cancel_s`."""
@@ -211,5 +213,5 @@
         for task, places in self.placements.items():
             final = self.final_answers.get(task.partition("/")[0])
             if places and final and final[0] == "withdrawn" and now > final[1] + self.cancel_s:
-                self.report("ran_cancelled", f"{task} is on {sorted(places)}")
+                self.report_violation("ran_cancelled", f"{task} is on {sorted(places)}")
                 places.clear()
--- a/tests/standins/history.py
+++ b/tests/standins/history.py
@@ -68,10 +68,10 @@
 
 
 @contextmanager
-def watched() -> Iterator[LeaderHistory]:
+def checked_history() -> Iterator[LeaderHistory]:
     """Check all decision logs and replicas that are written inside the context."""
     history = LeaderHistory()
-    decide, apply = DecisionLog.decide, Replica.apply
+    decide, apply = DecisionLog.record, Replica.apply
 
     def watched_decide(log: DecisionLog, decision: Decision) -> None:
         decide(log, decision)
@@ -90,7 +90,7 @@
         return result
 
     with (
-        mock.patch.object(DecisionLog, "decide", watched_decide),
+        mock.patch.object(DecisionLog, "record", watched_decide),
         mock.patch.object(Replica, "apply", watched_apply),
     ):
         yield history
--- a/tests/standins/loopback.py
+++ b/tests/standins/loopback.py
@@ -20,7 +20,7 @@
 import click
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from beamspar.transport.connection_limits import Sockets
+from beamspar.transport.connection_limits import SocketLimits
 from beamspar.transport.http import Handler, HttpResponse
 from beamspar.transport.http_server import Site
 from beamspar.transport.tcp import TcpNet
@@ -81,7 +81,7 @@
         super().__init__(clock, rng)
         self.reactor = reactor
         self.ports: dict[str, int] = {}
-        self.net = TcpNet(reactor, 1.5, 15.0, Sockets.of(10_000, 3))
+        self.net = TcpNet(reactor, 1.5, 15.0, SocketLimits.of(10_000, 3))
 
     def real_address(self, address: str) -> str:
         """Return the TCP address to which the simulated address is mapped."""
@@ -104,17 +104,17 @@
         address: str,
         path: str,
         body: bytes | None,
-        limit_s: float,
+        timeout_s: float,
     ) -> Deferred[HttpResponse]:
-        return self.net.request(method, self.real_address(address), path, body, limit_s)
+        return self.net.request(method, self.real_address(address), path, body, timeout_s)
 
 
 class LoopbackWorker(Worker):
     """A worker that reports the TCP address at which it accepts commands."""
 
-    def message(self) -> dict[str, Any]:
+    def next_heartbeat(self) -> dict[str, Any]:
         network: Any = self.network
-        return {**super().message(), "address": network.real_address(self.address)}
+        return {**super().next_heartbeat(), "address": network.real_address(self.address)}
 
 
 class LoopbackWorld(World):
@@ -186,11 +186,11 @@
         self.processes[name].wait()
         super().crash(name, back_s)
 
-    def hold(self, name: str, on: bool) -> None:
+    def set_suspended(self, name: str, on: bool) -> None:
         """Suspend the process, or resume it."""
         self.processes[name].send_signal(signal.SIGSTOP if on else signal.SIGCONT)
 
-    def wake(self, process: subprocess.Popen[bytes]) -> None:
+    def resume(self, process: subprocess.Popen[bytes]) -> None:
         """Resume a suspended process if it still exists."""
         if process.poll() is None:
             process.send_signal(signal.SIGCONT)
--- a/tests/standins/net.py
+++ b/tests/standins/net.py
@@ -147,9 +147,9 @@
         address: str,
         path: str,
         body: bytes | None,
-        limit_s: float,
+        timeout_s: float,
     ) -> Deferred[HttpResponse]:
-        """Make a call; it fails with CallFailedError, at the latest after `limit_s`."""
+        """Make a call; it fails with CallFailedError, at the latest after `timeout_s`."""
         if path == "/orders" and body:
             self.on_commands(source, body)
         if path.startswith("/peer/"):
@@ -178,7 +178,7 @@
             else:
                 result.callback(response)
 
-        timer = self.clock.callLater(limit_s, settle, None)
+        timer = self.clock.callLater(timeout_s, settle, None)
         registered = self.handlers.get(address)
         if registered is not None and (source, registered[0]) in self.blocked_pairs:
             return result
@@ -240,16 +240,16 @@
         self.generation = network.generation.get(host, 0)
 
     def request(
-        self, method: str, address: str, path: str, body: bytes | None, limit_s: float
+        self, method: str, address: str, path: str, body: bytes | None, timeout_s: float
     ) -> Deferred[HttpResponse]:
         if self.network.generation.get(self.host, 0) != self.generation:
             return Deferred()
 
         async def call() -> HttpResponse:
             try:
-                return await self.network.request(self.host, method, address, path, body, limit_s)
+                return await self.network.request(self.host, method, address, path, body, timeout_s)
             except CallFailedError as error:
-                raise self.failure(str(error), error.refused) from error
+                raise self.failure(str(error), error.is_refused) from error
 
         return ensureDeferred(self.connection_limits.run(path, call))
 
--- a/tests/standins/ownership.py
+++ b/tests/standins/ownership.py
@@ -32,7 +32,7 @@
         self.moves = 0
         self.faults: list[str] = []
 
-    def committed(self, keys: list[str], items: dict[str, Any]) -> None:
+    def check_commit(self, keys: list[str], items: dict[str, Any]) -> None:
         """Check the shards after a transaction that changed these keys."""
         changed = [key for key in keys if key.startswith(SHARD_PREFIX)]
         if not changed:
@@ -66,7 +66,7 @@
             self.names.append(machine)
         return self.ids[machine]
 
-    def acted(self, machine: str, token: int, controller: str) -> None:
+    def check_action(self, machine: str, token: int, controller: str) -> None:
         """Record that a worker accepted a response or command, and check who sent it.
 
         Under one fencing token, only one controller may act on a machine.
--- a/tests/standins/sharing.py
+++ b/tests/standins/sharing.py
@@ -30,7 +30,7 @@
         # By moment: a function to call once, when a move next reaches it.
         self.hooks: dict[str, Callable[[], None]] = {}
         super().__init__(seed, **{**defaults, **options}, tuning=tuning)
-        self._carry = self.network.request
+        self._send_request = self.network.request
         self.network.request = self._request_with_hooks  # type: ignore[method-assign]
 
     def _run_hook(self, moment: str) -> None:
@@ -39,7 +39,13 @@
             hook()
 
     def _request_with_hooks(
-        self, source: str, method: str, address: str, path: str, body: bytes | None, limit_s: float
+        self,
+        source: str,
+        method: str,
+        address: str,
+        path: str,
+        body: bytes | None,
+        timeout_s: float,
     ) -> Deferred[HttpResponse]:
         is_move = path == "/multi" and any(
             change.get("put", "").startswith(SHARD_PREFIX) and change["data"].get("live")
@@ -51,7 +57,7 @@
             self._run_hook("commit")
         if path == "/peer/release":
             self._run_hook("release")
-        result = self._carry(source, method, address, path, body, limit_s)
+        result = self._send_request(source, method, address, path, body, timeout_s)
         if path == "/peer/prepare":
             result.addCallback(lambda response: (self._run_hook("prepared"), response)[1])
         if is_move:
@@ -105,7 +111,7 @@
             self.send(self.leader(), "move", {"block": shard, "to": rng.choice(self.names)})
         self.clock.callLater(every_s, self.reshuffle, rng, until, every_s)
 
-    def load(self, rng: random.Random, count: int, every_s: float) -> None:
+    def submit_load(self, rng: random.Random, count: int, every_s: float) -> None:
         """Submit services, which run on, and `count` arrays of short tasks."""
         for number in range(6):
             self.clock.callLater(5 + number * 0.2, self.submit, f"j-s{number}", parcels=2)
@@ -115,7 +121,7 @@
                 8 + number * every_s, lambda n=number, o=options: self.submit(f"j-a{n}", **o)
             )
 
-    def unserved(self) -> dict[str, str]:
+    def unusable_machines(self) -> dict[str, str]:
         """Return running machines that the holder of their shard can't use for placement."""
         unserved_machines = {}
         for name, worker in self.cloud.workers.items():
--- a/tests/standins/state.py
+++ b/tests/standins/state.py
@@ -91,7 +91,7 @@
         self.rng = random.Random(1)
         self._expire_leases()
 
-    def outage(self, on: bool) -> None:
+    def set_outage(self, on: bool) -> None:
         """Begin or end an outage.
 
         Leases don't expire during it and run for their full length again after it.
@@ -226,7 +226,7 @@
         self.late_count_left -= 1
         return True
 
-    def lower(self, limits: dict[str, Any]) -> None:
+    def lower_limits(self, limits: dict[str, Any]) -> None:
         """Lower these limits from now on, without notice; stored values stay readable."""
         self.txn_ops = limits.get("txn_ops", self.txn_ops)
         self.value_kb = limits.get("value_kb", self.value_kb)
--- a/tests/standins/stored_use.py
+++ b/tests/standins/stored_use.py
@@ -41,7 +41,7 @@
         # empty partition: the excess of the team's allocations over its quota.
         self.excess: dict[tuple[str, str], Amounts] = {}
 
-    def written(self, keys: list[str], writer: str, reported: bool) -> None:
+    def check_write(self, keys: list[str], writer: str, reported: bool) -> None:
         """Check after a transaction; an excess is reported only if the transaction increased it."""
         for key in keys:
             if key.startswith(JOB_PREFIX):
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -88,7 +88,7 @@
             self.schedule_heartbeat()
         self.clock.callLater(0.1, self._lease_loop)
 
-    def message(self) -> dict[str, Any]:
+    def next_heartbeat(self) -> dict[str, Any]:
         """Return the next heartbeat."""
         self.seq += 1
         return {
@@ -123,7 +123,7 @@
         self.is_heartbeat_due, self.is_heartbeat_in_flight = False, True
         sent_at, agent_epoch = self.clock.seconds(), self.agent_epoch
         self.last_sent = sent_at
-        body = pack(self.message())
+        body = pack(self.next_heartbeat())
         self.sent_heartbeats.append(body)
         self.on_heartbeat(body)
         call = self.network.request(
@@ -178,11 +178,11 @@
         if call.path == "/orders":
             body = unpack(call.body)
             if body["baton"] < self.fencing_token or body["shift"] != self.agent_epoch:
-                return HttpResponse(409, pack(self.message()))
+                return HttpResponse(409, pack(self.next_heartbeat()))
             self.on_fencing_token(self.name, body["baton"], caller)
             self._observe_fencing_token(body["baton"])
             self._execute(body["orders"])
-        return HttpResponse(200, pack(self.message()))
+        return HttpResponse(200, pack(self.next_heartbeat()))
 
     def _execute(self, orders: list[dict[str, Any]]) -> None:
         for order in orders:
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -10,7 +10,7 @@
 
 from beamspar.protocol.codec import pack, unpack
 from beamspar.settings import OperatorSettings, Settings
-from beamspar.transport.connection_limits import ConnectionLimits, Sockets
+from beamspar.transport.connection_limits import ConnectionLimits, SocketLimits
 from beamspar.transport.http import CallFailedError
 from tests.standins import releases
 from tests.standins.checker import FINAL, Checker
@@ -64,7 +64,9 @@
             lambda: Writer(self.network.caller, self.network.caller_generation),
         )
         state["next"] = next_limits
-        self.stored_use = StoredUse(self.state.items, self.checker.limits, self.checker.report)
+        self.stored_use = StoredUse(
+            self.state.items, self.checker.limits, self.checker.report_violation
+        )
         self.state.on_commit = self._on_commit
         self.ownership = OwnershipChecker(
             self.clock, lambda machine: machine not in self.cloud.machines
@@ -152,14 +154,14 @@
         A write of the production release isn't reported, as that release frees allocations too
         early. The excess that it leaves must not grow by writes of the present release.
         """
-        self.ownership.committed(keys, self.state.items)
-        self.stored_use.written(keys, str(writer), reported=writer not in self.old_processes)
+        self.ownership.check_commit(keys, self.state.items)
+        self.stored_use.check_write(keys, str(writer), reported=writer not in self.old_processes)
 
     def _make_worker(self, machine: dict[str, Any]) -> Worker:
         kind = next(t for t in TYPES if t["label"] == machine["rig_kind"])
         worker = self._new_worker(machine, kind)
         worker.on_heartbeat = self._on_heartbeat
-        worker.on_fencing_token = self.ownership.acted
+        worker.on_fencing_token = self.ownership.check_action
         return worker
 
     def _new_worker(self, machine: dict[str, Any], kind: dict[str, Any]) -> Worker:
@@ -243,7 +245,7 @@
             "state" in unreachable or source in self.state.refused_hosts or self.state.slow_s > 0
         )
         if not frozen and not (unserved and unreachable & set(self.names)):
-            self.checker.commands_sent(body)
+            self.checker.record_commands(body)
 
     def leader(self) -> str:
         """Return the leader by the stored record; a process may not have observed it yet."""
@@ -314,7 +316,7 @@
             altered = dict(self.checker.jobs[job], cpus=1e6)
             del altered["shape"]
             self.call(self.rng.choice(self.names), "POST", "/submissions", altered).addCallback(
-                lambda result: self.checker.submitted(job, result[0])
+                lambda result: self.checker.record_submission(job, result[0])
             )
         if done:
             self.cancel(self.rng.choice(done))
@@ -327,7 +329,7 @@
             self.checker.requested.add(name)
             node = self.rng.choice(self.names)
             self.call(node, "POST", "/submissions", spec).addCallback(
-                lambda result, name=name: self.checker.submitted(name, result[0])
+                lambda result, name=name: self.checker.record_submission(name, result[0])
             )
         self.clock.callLater(0.5, self.send_invalid_requests, until)
 
@@ -337,7 +339,9 @@
         """Start a controller process."""
         self.network.alive.add(name)
         platform = self.settings[name].platform
-        connection_limits = ConnectionLimits(Sockets.of(platform.limits.sockets, platform.nodes))
+        connection_limits = ConnectionLimits(
+            SocketLimits.of(platform.limits.sockets, platform.nodes)
+        )
         release = releases.production() if name in self.old else releases.present()
         if name in self.old:
             self.old_processes.add(Writer(name, self.network.generation.get(name, 0)))
@@ -402,9 +406,9 @@
         def on_response(result: tuple[int, Any]) -> None:
             status, data = result
             is_new = job not in self.checker.accepted
-            self.checker.submitted(job, status)
+            self.checker.record_submission(job, status)
             if status in (200, 201):
-                self.checker.answered(job, 200, data, sent_at)
+                self.checker.record_answer(job, 200, data, sent_at)
                 if is_new:
                     self.clock.callLater(5.0, self._query, job)
                     self._repeat_queries(job)
@@ -420,7 +424,7 @@
 
         def on_response(result: tuple[int, Any]) -> None:
             was_final = job in self.checker.final_answers
-            self.checker.answered(job, *result, sent_at)
+            self.checker.record_answer(job, *result, sent_at)
             final = self.checker.final_answers.get(job, ("", 0))[0]
             if final and not was_final:
                 self._repeat_queries(job)
@@ -436,7 +440,7 @@
 
         def on_response(result: tuple[int, Any]) -> None:
             was_final = job in self.checker.final_answers
-            self.checker.answered(job, *result, sent_at)
+            self.checker.record_answer(job, *result, sent_at)
             if job in self.checker.final_answers and not was_final:
                 self._repeat_queries(job)
             if result[0] not in (200, 404):
--- a/tests/test_attempt_statuses.py
+++ b/tests/test_attempt_statuses.py
@@ -45,7 +45,7 @@
     controller = JobController(clock, registration, store, settings(), timeouts)  # type: ignore[arg-type]
     registration.mirror.observe("c/folio/rig-0.1", {"owner": "rig-0"}, 3)
     machines = [Machine(f"host-{n}", f"10.0.0.1:{n}", "small", "east") for n in range(3)]
-    registration.mirror.observe(keys.shard("s-1"), shard_record("rig-1", machines), 5)
+    registration.mirror.observe(keys.shard_key("s-1"), shard_record("rig-1", machines), 5)
     job = Job(spec, "rig-0.1", ChunkLayout(46), 0.0)
     job.gang_wait_s = 40.0
     job.gang.begin_attempt()
@@ -161,7 +161,7 @@
 def test_a_task_on_a_machine_that_left_its_shard_is_retried() -> None:
     controller, job, _ = make()
     job.tasks[1].is_stored = False
-    controller.mirror.observe(keys.shard("s-1"), None, 9)
+    controller.mirror.observe(keys.shard_key("s-1"), None, 9)
     controller.attempt_statuses.end_attempts_on_vanished_machines()
     assert job.tasks[0].machine is None
     # The other task's binding is not stored yet, so its attempt is not ended yet.
@@ -183,7 +183,7 @@
         return Deferred()
 
     controller.assignments.send = send
-    controller.registration.lease_is_valid = lambda: True  # type: ignore[method-assign]
+    controller.registration.is_lease_valid = lambda: True  # type: ignore[method-assign]
     controller.assignments.publish()
     assert [member for member, _ in sent] == ["rig-1"]
     assert controller.assignments.unpublished == {}
--- a/tests/test_cancellation_bounds.py
+++ b/tests/test_cancellation_bounds.py
@@ -36,7 +36,7 @@
     assert [world.status(f"j-{n}") for n in range(12)] == ["withdrawn"] * 12
     assert world.running("j-0") == 3, "not all tasks of j-0 run on behind the partition"
     # The state service is down for all controllers, so no successor can lease the machines.
-    world.state.outage(True)
+    world.state.set_outage(True)
     world.run(50 + after)
     assert any(world.machines_of(f"j-{n}") for n in range(12)), (
         "all tasks ended early, so the bound is not tested"
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -32,8 +32,8 @@
 
 
 def accept(checker: Checker, job: str = "j-1") -> None:
-    checker.submitted(job, 201)
-    checker.answered(job, 200, {"status": "pending"}, checker.clock.seconds())
+    checker.record_submission(job, 201)
+    checker.record_answer(job, 200, {"status": "pending"}, checker.clock.seconds())
 
 
 def ran_twice(checker: Checker) -> None:
@@ -75,7 +75,7 @@
 
 def confirm_cancellation(checker: Checker) -> None:
     accept(checker)
-    checker.answered("j-1", 200, {"status": "withdrawn"}, 0.0)
+    checker.record_answer("j-1", 200, {"status": "withdrawn"}, 0.0)
 
 
 def ran_cancelled(checker: Checker) -> None:
@@ -93,18 +93,18 @@
 
 def started_cancelled(checker: Checker) -> None:
     confirm_cancellation(checker)
-    checker.commands_sent(encode_commands(7, 1, [StartCommand("j-1/0", 1)]))
+    checker.record_commands(encode_commands(7, 1, [StartCommand("j-1/0", 1)]))
 
 
 def forgotten(checker: Checker) -> None:
     accept(checker)
     at(checker, 1.0)
-    checker.answered("j-1", 404, {}, 0.5)
+    checker.record_answer("j-1", 404, {}, 0.5)
 
 
 def refused_again(checker: Checker) -> None:
     accept(checker)
-    checker.submitted("j-1", 422)
+    checker.record_submission("j-1", 422)
 
 
 def no_answers(checker: Checker) -> None:
@@ -124,36 +124,36 @@
 
 
 def invented(checker: Checker) -> None:
-    checker.answered("j-9", 200, {"status": "pending"}, 0.0)
+    checker.record_answer("j-9", 200, {"status": "pending"}, 0.0)
 
 
 def not_done(checker: Checker) -> None:
     accept(checker)
     checker.finish("j-1/0")
-    checker.answered("j-1", 200, {"status": "done"}, 0.0)
+    checker.record_answer("j-1", 200, {"status": "done"}, 0.0)
 
 
 def done(checker: Checker) -> None:
     accept(checker)
     checker.finish("j-1/0")
     checker.finish("j-1/1")
-    checker.answered("j-1", 200, {"status": "done"}, 0.0)
+    checker.record_answer("j-1", 200, {"status": "done"}, 0.0)
 
 
 def older_after_done(checker: Checker) -> None:
     done(checker)
     at(checker, 2.0)
-    checker.answered("j-1", 200, {"status": "running"}, 1.0)
+    checker.record_answer("j-1", 200, {"status": "running"}, 1.0)
 
 
 def another_end(checker: Checker) -> None:
     done(checker)
-    checker.answered("j-1", 200, {"status": "withdrawn"}, 0.0)
+    checker.record_answer("j-1", 200, {"status": "withdrawn"}, 0.0)
 
 
 def took_bad(checker: Checker) -> None:
     checker.invalid.add("j-2")
-    checker.submitted("j-2", 201)
+    checker.record_submission("j-2", 201)
 
 
 VIOLATIONS: list[tuple[Callable[[Checker], None], str]] = [
@@ -188,16 +188,16 @@
 
 def test_an_allowed_history_is_not_reported() -> None:
     checker = make_checker()
-    checker.answered("j-1", 404, {}, 0.0)
+    checker.record_answer("j-1", 404, {}, 0.0)
     accept(checker)
     checker.start("j-1/0", 1, "m-1")
     at(checker, 1.0)
-    checker.answered("j-1", 200, {"status": "running"}, 0.5)
-    checker.answered("j-1", 200, {"status": "withdrawn"}, 0.9)
+    checker.record_answer("j-1", 200, {"status": "running"}, 0.5)
+    checker.record_answer("j-1", 200, {"status": "withdrawn"}, 0.9)
     # Allowed: an older state for a query sent before the confirmation, and a stop command for the
     # cancelled job.
-    checker.answered("j-1", 200, {"status": "running"}, 0.8)
-    checker.commands_sent(encode_commands(7, 1, [StopCommand("j-1/0", 1, 0.0)]))
+    checker.record_answer("j-1", 200, {"status": "running"}, 0.8)
+    checker.record_commands(encode_commands(7, 1, [StopCommand("j-1/0", 1, 0.0)]))
     at(checker, 44.0)
     checker.check_cancelled()
     checker.stop("j-1/0", 1, "m-1")
--- a/tests/test_command_planning.py
+++ b/tests/test_command_planning.py
@@ -151,7 +151,7 @@
 
 def test_a_cancelled_job_is_stopped_without_a_grace_period() -> None:
     command_planner = planner()
-    host = machine(desired_attempt(KEY, DesiredAction.RUN, saves=True, save_s=4.0))
+    host = machine(desired_attempt(KEY, DesiredAction.RUN, saves_checkpoint=True, save_s=4.0))
     host.tasks[KEY] = TaskStatus(*KEY, "running")
     assert command_planner.plan_stops_and_clears(host) == []
     host.termination_notice_s = 30.0
@@ -162,7 +162,9 @@
 
 def test_preemption_stops_the_lowest_priority_first_and_no_more_than_needed() -> None:
     lower = [
-        desired_attempt(AttemptKey(f"j-low-{n}/0", 1), DesiredAction.RUN, 2.0, rank=rank, gang=gang)
+        desired_attempt(
+            AttemptKey(f"j-low-{n}/0", 1), DesiredAction.RUN, 2.0, rank=rank, is_in_gang=gang
+        )
         for n, (rank, gang) in enumerate([(1, False), (3, True), (3, False)])
     ]
     desired = desired_attempt(KEY, DesiredAction.RUN, 4.0, rank=1)
--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -87,7 +87,7 @@
 def test_production_reads_messages_of_this_release() -> None:
     production = releases.production().module("control.messages")
     desired_attempt = messages.DesiredAttempt(
-        "host-1", 7, "j-1/0", 2, messages.DesiredAction.RUN, gang=True
+        "host-1", 7, "j-1/0", 2, messages.DesiredAction.RUN, is_in_gang=True
     )
     update = messages.DesiredStateUpdate("rig-0", "rig-0.1", 3, 1, 9, [desired_attempt])
     read = production.decode(messages.encode([update]), list[production.Sync])
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -34,14 +34,14 @@
 def make_log_and_replica() -> tuple[SimClock, DecisionLog, Replica]:
     clock = SimClock()
     log = DecisionLog(clock, LeaderState())
-    log.begin(7)
+    log.start_term(7)
     return clock, log, Replica(clock, LeaderState())
 
 
 def catch_up(log: DecisionLog, replica: Replica, max_messages: int = 100) -> int:
     """Fetch and apply encoded replies until none is left; return the number of messages."""
     for count in range(1, max_messages):
-        reply = log.answer(replica.request("rig-1"), [])
+        reply = log.reply_to_follower(replica.next_request("rig-1"), [])
         body = encode(reply)
         assert len(body) < MAX_PEER_MESSAGE_BYTES
         if not replica.apply(decode(body, FollowReply)):
@@ -82,7 +82,7 @@
     rng = random.Random(seed)
     clock, log, replica = make_log_and_replica()
     for number in range(600):
-        log.decide(random_decision(rng, number))
+        log.record(random_decision(rng, number))
         clock.advance_to(clock.now + rng.random())
         if rng.random() < 0.05:
             catch_up(log, replica)
@@ -96,11 +96,11 @@
 def test_each_entry_is_applied_once_and_in_order() -> None:
     _, log, replica = make_log_and_replica()
     catch_up(log, replica)
-    log.decide(InstancesRequested("r-1", PLACES[0], 1))
-    reply = log.answer(replica.request("rig-1"), [])
+    log.record(InstancesRequested("r-1", PLACES[0], 1))
+    reply = log.reply_to_follower(replica.next_request("rig-1"), [])
     replica.apply(reply)
-    log.decide(InstanceRequestAbandoned("r-1"))
-    replica.apply(log.answer(replica.request("rig-1"), []))
+    log.record(InstanceRequestAbandoned("r-1"))
+    replica.apply(log.reply_to_follower(replica.next_request("rig-1"), []))
     # A late duplicate of the first reply must not restore the request.
     replica.apply(reply)
     assert replica.index == 2 and replica.state.pending == {}
@@ -109,7 +109,7 @@
 def test_a_gap_is_detected_and_closed_by_a_snapshot() -> None:
     _, log, replica = make_log_and_replica()
     catch_up(log, replica)
-    log.decide(InstancesRequested("r-1", PLACES[0], 1))
+    log.record(InstancesRequested("r-1", PLACES[0], 1))
     with pytest.raises(StaleTermError, match="gap"):
         replica.apply(FollowReply(7, 3, [LogEntry(3, 0.0, InstanceRequestAbandoned("r-1"))]))
     assert replica.state.pending == {} and replica.index == 0
@@ -119,26 +119,26 @@
 
 def test_entries_of_an_older_term_are_rejected() -> None:
     _, log, replica = make_log_and_replica()
-    log.decide(InstancesRequested("r-1", PLACES[0], 1))
+    log.record(InstancesRequested("r-1", PLACES[0], 1))
     catch_up(log, replica)
     old_log = DecisionLog(SimClock(), LeaderState())
-    old_log.begin(6)
-    old_log.decide(InstancesRequested("r-old", PLACES[0], 1))
+    old_log.start_term(6)
+    old_log.record(InstancesRequested("r-old", PLACES[0], 1))
     with pytest.raises(StaleTermError, match="over"):
-        replica.apply(old_log.answer(replica.request("rig-1"), []))
+        replica.apply(old_log.reply_to_follower(replica.next_request("rig-1"), []))
     assert set(replica.state.pending) == {"r-1"}
     replica.restart()
     with pytest.raises(StaleTermError, match="over"):
-        replica.apply(old_log.answer(replica.request("rig-1"), []))
+        replica.apply(old_log.reply_to_follower(replica.next_request("rig-1"), []))
 
 
 def test_a_new_term_begins_with_a_snapshot_though_the_index_is_the_same() -> None:
     clock, log, replica = make_log_and_replica()
-    log.decide(InstancesRequested("r-1", PLACES[0], 1))
+    log.record(InstancesRequested("r-1", PLACES[0], 1))
     catch_up(log, replica)
     successor_log = DecisionLog(clock, LeaderState())
-    successor_log.begin(9)
-    successor_log.decide(InstancesRequested("r-2", PLACES[0], 1))
+    successor_log.start_term(9)
+    successor_log.record(InstancesRequested("r-2", PLACES[0], 1))
     catch_up(successor_log, replica)
     assert set(replica.state.pending) == {"r-2"} and replica.term == 9
 
@@ -147,7 +147,7 @@
     _, log, replica = make_log_and_replica()
     catch_up(log, replica)
     for number in range(LOG_ENTRIES * 3):
-        log.decide(CacheChanged(f"host-{number}", {"image": 1.0}))
+        log.record(CacheChanged(f"host-{number}", {"image": 1.0}))
     assert len(log.recent_entries) == LOG_ENTRIES
     messages = catch_up(log, replica)
     assert messages == -(-LOG_ENTRIES * 3 // ENTRIES_PER_MESSAGE)
@@ -158,10 +158,10 @@
 def test_decisions_during_a_snapshot_follow_it() -> None:
     _, log, replica = make_log_and_replica()
     for number in range(ENTRIES_PER_MESSAGE + 10):
-        log.decide(CacheChanged(f"host-{number}", {"image": 1.0}))
-    assert replica.apply(log.answer(replica.request("rig-1"), []))
-    log.decide(CacheChanged("host-0", {}))
-    log.decide(CacheChanged("host-new", {"image": 1.0}))
+        log.record(CacheChanged(f"host-{number}", {"image": 1.0}))
+    assert replica.apply(log.reply_to_follower(replica.next_request("rig-1"), []))
+    log.record(CacheChanged("host-0", {}))
+    log.record(CacheChanged("host-new", {"image": 1.0}))
     catch_up(log, replica)
     assert replica.state.caches.keys() == log.state.caches.keys()
     assert replica.index == log.index
@@ -170,12 +170,12 @@
 def test_a_restarted_snapshot_replaces_the_parts_of_the_previous_one() -> None:
     _, log, replica = make_log_and_replica()
     for number in range(ENTRIES_PER_MESSAGE * 2):
-        log.decide(CacheChanged(f"host-{number}", {"image": 1.0}))
-    assert replica.apply(log.answer(replica.request("rig-1"), []))
+        log.record(CacheChanged(f"host-{number}", {"image": 1.0}))
+    assert replica.apply(log.reply_to_follower(replica.next_request("rig-1"), []))
     assert len(replica.snapshot_parts) == ENTRIES_PER_MESSAGE
     # A successor with other machines leads now, and it has no record of the transfer.
-    log.begin(8)
-    log.decide(CacheChanged("host-0", {}))
+    log.start_term(8)
+    log.record(CacheChanged("host-0", {}))
     catch_up(log, replica)
     assert "host-0" not in replica.state.caches
     assert replica.state.caches.keys() == log.state.caches.keys()
@@ -183,10 +183,10 @@
 
 def test_a_controller_that_does_not_lead_sends_no_entries() -> None:
     _, log, replica = make_log_and_replica()
-    log.decide(InstancesRequested("r-1", PLACES[0], 1))
-    log.end()
-    reply = log.answer(replica.request("rig-1"), ["rig-1"])
+    log.record(InstancesRequested("r-1", PLACES[0], 1))
+    log.end_term()
+    reply = log.reply_to_follower(replica.next_request("rig-1"), ["rig-1"])
     assert reply == FollowReply()
     # Decisions of another leader are applied to the same state, without a number.
-    log.decide(InstanceRequestAbandoned("r-1"))
+    log.record(InstanceRequestAbandoned("r-1"))
     assert log.index == 0 and not log.recent_entries and log.state.pending == {}
--- a/tests/test_desired_state.py
+++ b/tests/test_desired_state.py
@@ -102,10 +102,10 @@
         "image": "img",
         "image_gb": 5.0,
         "rank": 1,
-        "saves": True,
+        "saves_checkpoint": True,
         "save_s": 7.0,
-        "preempt": True,
-        "gang": False,
+        "may_preempt": True,
+        "is_in_gang": False,
         "is_job_at_fault": False,
     }
 
@@ -113,9 +113,9 @@
 def test_a_gang_that_has_lost_a_task_saves_no_checkpoint() -> None:
     job, task = bound(msgspec.structs.replace(SPEC, shape="ensemble"))
     assigned = AssignedTask(job, task)
-    assert desired_attempt("host-0", 9, "j-1/0", assigned, DesiredAction.RUN).saves
+    assert desired_attempt("host-0", 9, "j-1/0", assigned, DesiredAction.RUN).saves_checkpoint
     job.gang.cannot_save = True
-    assert not desired_attempt("host-0", 9, "j-1/0", assigned, DesiredAction.STOP).saves
+    assert not desired_attempt("host-0", 9, "j-1/0", assigned, DesiredAction.STOP).saves_checkpoint
 
 
 def test_a_task_key_names_the_job_and_the_index() -> None:
