--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -214,19 +214,19 @@
 def keys() -> list[str]:
     first, small = records.ChunkLayout(372, True), records.ChunkLayout(93)
     return [
-        stored_keys.job("j-1"),
-        stored_keys.finished_job("j-1"),
-        stored_keys.cancellation("j-1"),
-        first.prefix("j-1"),
-        first.key("j-1", 4),
-        small.prefix("j-1"),
-        small.key("j-1", 4),
+        stored_keys.job_key("j-1"),
+        stored_keys.finished_job_key("j-1"),
+        stored_keys.cancellation_key("j-1"),
+        first.key_prefix("j-1"),
+        first.chunk_key("j-1", 4),
+        small.key_prefix("j-1"),
+        small.chunk_key("j-1", 4),
         stored_keys.CONTROL_PREFIX,
         stored_keys.PARTITION_PREFIX,
         stored_keys.SHARD_PREFIX,
-        stored_keys.LEADER,
-        stored_keys.LEAVING_MEMBERS,
-        stored_keys.MACHINE_TYPES,
+        stored_keys.LEADER_KEY,
+        stored_keys.LEAVING_MEMBERS_KEY,
+        stored_keys.MACHINE_TYPES_KEY,
         stored_keys.TEAM_QUOTA_PREFIX,
     ]
 
@@ -364,8 +364,8 @@
     "block-machine-least": lambda: control_records.Machine("host-7", "10.1.0.7:9000", "g8", "b"),
     "team-record": team_record,
     "release-told": lambda: control_records.RELEASE,
-    "submission": lambda: jobs_protocol.parse_spec(JOB),
-    "submission-least": lambda: jobs_protocol.parse_spec(least_job()),
+    "submission": lambda: jobs_protocol.parse_job_spec(JOB),
+    "submission-least": lambda: jobs_protocol.parse_job_spec(least_job()),
     "job-answer": lambda: jobs_protocol.job_response("j-1", "running", 3, 13),
     "job-answer-least": lambda: jobs_protocol.job_response("j-1", "pending"),
     "redirect": lambda: workers_protocol.redirect_response("rig-2"),
@@ -580,7 +580,7 @@
 
     world.network.request = request  # type: ignore[method-assign]
     world.submit("j-long", shape="standing")
-    world.load(random.Random(11), count=20, every_s=0.5)
+    world.submit_load(random.Random(11), count=20, every_s=0.5)
     world.run(20)
     world.cancel("j-long")
     world.run(20.5)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -46,7 +46,7 @@
     """Check that no rule is broken, each machine is served, arrays are done and services run."""
     assert world.checker.broken == []
     assert world.ownership.faults == []
-    assert world.unserved() == {}
+    assert world.unusable_machines() == {}
     arrays = [job for job in world.checker.accepted if job.startswith("j-a")]
     assert [job for job in arrays if world.status(job) != "done"] == []
     services = [job for job in world.checker.accepted if job.startswith("j-s")]
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize(("moment", "victims", "fault"), CASES, ids="/".join)
 def test_a_move_survives_faults(moment: str, victims: str, fault: str) -> None:
     world = SharingWorld(7)
-    world.load(random.Random(7), count=40, every_s=0.5)
+    world.submit_load(random.Random(7), count=40, every_s=0.5)
     world.run(20)
     shard, source, target = world.choose_move()
     parts = {"source": source, "target": target, "leader": world.leader()}
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -11,8 +11,8 @@
 from twisted.internet import reactor as installed
 from twisted.internet.threads import deferToThread
 
-from beamspar.transport.clock import spawn
-from beamspar.transport.connection_limits import KEEP_ALIVE_SHARE, Sockets
+from beamspar.transport.clock import run_in_background
+from beamspar.transport.connection_limits import KEEP_ALIVE_SHARE, SocketLimits
 from beamspar.transport.http import HttpRequest, HttpResponse
 from beamspar.transport.tcp import TcpNet
 
@@ -65,8 +65,10 @@
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             port = probe.getsockname()[1]
-        net = TcpNet(loop, 5.0, 60.0, Sockets.of(100, 3))
-        spawn(net.listen(f"127.0.0.1:{port}", handler, MAX_CONNECTIONS, 1024), "listening")
+        net = TcpNet(loop, 5.0, 60.0, SocketLimits.of(100, 3))
+        run_in_background(
+            net.listen(f"127.0.0.1:{port}", handler, MAX_CONNECTIONS, 1024), "listening"
+        )
         clients = deferToThread(fill_up, port)
         clients.addCallbacks(results.append, lambda f: failures.append(f.getTraceback()))
         clients.addBoth(lambda _: loop.stop())
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -13,7 +13,7 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from beamspar.transport.connection_limits import Sockets
+from beamspar.transport.connection_limits import SocketLimits
 from beamspar.transport.http import CallFailedError, HttpResponse
 from beamspar.transport.http_client import MAX_IDLE_CONNECTIONS_PER_ADDRESS
 from beamspar.transport.tcp import TcpNet
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         self.reactor = MemoryReactorClock()
-        self.net = TcpNet(self.reactor, 1.0, IDLE_S, Sockets.of(100, 3))
+        self.net = TcpNet(self.reactor, 1.0, IDLE_S, SocketLimits.of(100, 3))
         self.opened: list[tuple[Any, StringTransport]] = []
 
     def call(self, path: str = "/multi") -> list[Any]:
@@ -204,7 +204,7 @@
     *_, factory, _, _ = peer.reactor.tcpClients[-1]
     factory.clientConnectionFailed(None, Failure(ConnectionRefusedError()))
     assert failed(result)
-    assert result[0].value.refused
+    assert result[0].value.is_refused
 
 
 def test_connections_for_direct_commands_are_not_kept_open() -> None:
--- a/tests/test_instance_manager.py
+++ b/tests/test_instance_manager.py
@@ -8,7 +8,7 @@
 
 from typing import Any
 
-from beamspar.decision_log.decisions import Booting
+from beamspar.decision_log.decisions import BootingMachine
 from beamspar.leader.instance_manager import InstanceManager
 from beamspar.protocol.cloud import MachineType
 from beamspar.protocol.jobs import JobSpec
@@ -67,7 +67,7 @@
 
 def test_a_machine_that_boots_late_does_not_count_as_capacity() -> None:
     manager = instance_manager()
-    manager.booting["host-1"] = Booting("big", "east", False, 0.0)
+    manager.booting["host-1"] = BootingMachine("big", "east", False, 0.0)
     task = JobSpec("j-2", "front", "red", "standing", "critical", 1, 30.0, 0.0, 1.0, "img", 1.0)
     manager.clock.now = BIG.boot_s * 1.4  # type: ignore[attr-defined]
     assert manager.plan_scale_out([(task, 1)], []) is None
--- a/tests/test_job_acceptor.py
+++ b/tests/test_job_acceptor.py
@@ -70,7 +70,7 @@
     capacity = MachineCapacity("m-1", "small", "east", False, 8.0, 0.0, 64.0)
     controller.placer.local_capacities = lambda: [capacity]
     # The lease counts as valid throughout.
-    registration.lease_is_valid = lambda: True  # type: ignore[method-assign]
+    registration.is_lease_valid = lambda: True  # type: ignore[method-assign]
     return controller, state, clock
 
 
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -54,7 +54,7 @@
     unused: Any = None
     store: Any = recorder
     registration = Registration(clock, store, own_settings, timeouts)
-    registration.mirror.observe(keys.LEADER, {"name": "rig-0", "inc": 0}, 5)
+    registration.mirror.observe(keys.LEADER_KEY, {"name": "rig-0", "inc": 0}, 5)
     rng = random.Random(1)
     instance_manager = InstanceManager(clock, unused, registration, own_settings, timeouts, {})
     leader = Leader(
@@ -100,7 +100,12 @@
     for key, value in changes:
         expected = {machine["name"] for machine in value["machines"]}
         machines_by_transaction = [
-            {m["name"] for c in written if c["put"] != keys.LEADER for m in c["data"]["machines"]}
+            {
+                m["name"]
+                for c in written
+                if c["put"] != keys.LEADER_KEY
+                for m in c["data"]["machines"]
+            }
             for _, written in recorder.written
         ]
         assert (
--- a/tests/test_leader_decisions.py
+++ b/tests/test_leader_decisions.py
@@ -112,7 +112,7 @@
     full = capacity(cpus=0.0)
     full.preemptible = [(4.0, 0.0, 0.0)] * 4
     placement = choose_by_preemption(JobDemand(SPEC, request(1)), [full], {})
-    assert placement is not None and placement.capacity is full and placement.preempt
+    assert placement is not None and placement.capacity is full and placement.may_preempt
     low = msgspec.structs.replace(SPEC, priority="low")
     assert choose_by_preemption(JobDemand(low, request(1)), [full], {}) is None
 
--- a/tests/test_leave.py
+++ b/tests/test_leave.py
@@ -15,7 +15,7 @@
 
 def running(**options: object) -> SharingWorld:
     world = SharingWorld(11, **options)
-    world.load(random.Random(11), count=40, every_s=0.5)
+    world.submit_load(random.Random(11), count=40, every_s=0.5)
     world.run(20)
     return world
 
--- a/tests/test_moving_machines.py
+++ b/tests/test_moving_machines.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.standins.sharing import SharingWorld
-from tests.test_random import load
+from tests.test_random import submit_random_job
 
 FaultInjection = Callable[[SharingWorld, list[str], str, str], None]
 FAULT_DURATION_S = 24.0
@@ -80,7 +80,7 @@
 
 def lower_limits(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
     """The state service applies the lower limits that were announced."""
-    world.state.lower(world.raw_settings[source]["facts"]["state"]["next"])
+    world.state.lower_limits(world.raw_settings[source]["facts"]["state"]["next"])
 
 
 def end_both(world: SharingWorld, machines: list[str], source: str, target: str) -> None:
@@ -120,7 +120,7 @@
         tuning={"block_size": 3},
     )
     for number in range(30):
-        world.clock.callLater(4 + number, load, world, rng, number)
+        world.clock.callLater(4 + number, submit_random_job, world, rng, number)
     world.run(22)
     shard, source, target = world.choose_move()
     machines = [machine["name"] for machine in world.shards()[shard]["machines"]]
@@ -129,5 +129,5 @@
     world.run(110)
     assert not world.hooks, "the move did not reach the moment of the fault"
     assert world.checker.broken == [] and world.ownership.faults == []
-    assert world.unserved() == {} and world.state.oversized == []
+    assert world.unusable_machines() == {} and world.state.oversized == []
     assert world.checker.done and world.gangs.attempts
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -30,7 +30,7 @@
         rng.choice([0.0, 0.0, 1.0, 4.0]),
         rng.choice([4.0, 16.0, 64.0]),
         {image: 1.0 for image in "ij" if rng.random() < 0.4},
-        usable=rng.random() < 0.9,
+        is_usable=rng.random() < 0.9,
         fetching=rng.choice([0, 0, 1, 2]),
     )
 
--- a/tests/test_placement_round.py
+++ b/tests/test_placement_round.py
@@ -109,5 +109,5 @@
         PlacementOffer("j-2", "host-2"),
         PlacementOffer("j-1", "host-3"),
     ]
-    places = [OfferedPlace("host-1", preempt=True), OfferedPlace("host-3")]
+    places = [OfferedPlace("host-1", may_preempt=True), OfferedPlace("host-3")]
     assert group_places(offers, {"j-1"}) == {"j-1": places}
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -8,24 +8,24 @@
 import msgspec
 import pytest
 
-from beamspar.sharing.planner import DemandAverage, Holding, Load, plan, target_shares
+from beamspar.sharing.planner import DemandAverage, HeldShard, MemberLoad, plan_moves, target_shares
 
 
-def loads(**demand: float) -> list[Load]:
-    return [Load(member, "east", amount) for member, amount in demand.items()]
+def loads(**demand: float) -> list[MemberLoad]:
+    return [MemberLoad(member, "east", amount) for member, amount in demand.items()]
 
 
-def shards(holder: str, count: int, zone: str = "east", size: int = 4) -> list[Holding]:
-    return [Holding(f"{holder}-{zone}-{n:03}", holder, zone, size) for n in range(count)]
+def shards(holder: str, count: int, zone: str = "east", size: int = 4) -> list[HeldShard]:
+    return [HeldShard(f"{holder}-{zone}-{n:03}", holder, zone, size) for n in range(count)]
 
 
 def settle(
-    members: list[Load], holdings: list[Holding], max_moves: int = 3
-) -> tuple[int, list[Holding]]:
+    members: list[MemberLoad], holdings: list[HeldShard], max_moves: int = 3
+) -> tuple[int, list[HeldShard]]:
     """Plan and apply moves until none is planned; return their number and the final holdings."""
     total = 0
     for _ in range(200):
-        moves = plan(members, holdings, max_moves)
+        moves = plan_moves(members, holdings, max_moves)
         assert len(moves) <= max_moves
         if not moves:
             return total, holdings
@@ -38,7 +38,7 @@
     raise AssertionError("the plans do not converge within 200 rounds")
 
 
-def held(holdings: list[Holding], member: str) -> int:
+def held(holdings: list[HeldShard], member: str) -> int:
     return sum(shard.machines for shard in holdings if shard.holder == member)
 
 
@@ -49,7 +49,7 @@
 
 
 def test_a_controller_with_late_timers_gets_a_smaller_share() -> None:
-    members = [Load("a", "", 10, lateness=2.0), Load("b", "", 10)]
+    members = [MemberLoad("a", "", 10, lateness=2.0), MemberLoad("b", "", 10)]
     shares = target_shares(members, 90)
     assert shares["a"] == pytest.approx(30) and shares["b"] == pytest.approx(60)
 
@@ -63,7 +63,7 @@
 
 def test_an_even_distribution_causes_no_moves() -> None:
     start = shards("a", 20) + shards("b", 21) + shards("c", 19)
-    assert plan(loads(a=10, b=11, c=9), start, 10) == []
+    assert plan_moves(loads(a=10, b=11, c=9), start, 10) == []
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -72,7 +72,7 @@
     rng = random.Random(seed)
     zones = ["east", "west", "south"]
     members = [
-        Load(f"m{n}", rng.choice(zones), rng.randrange(100), rng.random(), rng.random() < 0.2)
+        MemberLoad(f"m{n}", rng.choice(zones), rng.randrange(100), rng.random(), rng.random() < 0.2)
         for n in range(rng.randint(2, 6))
     ]
     start = [
@@ -96,12 +96,14 @@
         msgspec.structs.replace(shard, is_in_cooldown=True) for shard in shards("a", 10)
     ]
     pinned = [msgspec.structs.replace(shard, is_pinned=True) for shard in shards("a", 10)]
-    assert plan(loads(a=1, b=50), cooling_down, 5) == []
-    leaving = [Load("a", "east", 1, is_leaving=True), Load("b", "east", 1)]
-    assert len(plan(leaving, cooling_down, 5)) == 5
-    assert plan(leaving, pinned, 5) == []
+    assert plan_moves(loads(a=1, b=50), cooling_down, 5) == []
+    leaving = [MemberLoad("a", "east", 1, is_leaving=True), MemberLoad("b", "east", 1)]
+    assert len(plan_moves(leaving, cooling_down, 5)) == 5
+    assert plan_moves(leaving, pinned, 5) == []
     assert (
-        plan([msgspec.structs.replace(load, is_leaving=True) for load in leaving], cooling_down, 5)
+        plan_moves(
+            [msgspec.structs.replace(load, is_leaving=True) for load in leaving], cooling_down, 5
+        )
         == []
     )
 
@@ -120,7 +122,9 @@
                 for member, amount in demand.items():
                     average.observe(member, amount, now)
                 averaged = {member: average.value(member) for member in demand}
-                moves = plan(loads(**(averaged if way == "averaged" else demand)), holdings, 3)
+                moves = plan_moves(
+                    loads(**(averaged if way == "averaged" else demand)), holdings, 3
+                )
                 to = {move.shard: move.target for move in moves}
                 moved[way] += len(moves) if minute > 10 else 0
                 holdings = [
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -161,7 +161,7 @@
 
 from beamspar import cli
 from beamspar.node import node
-from beamspar.settings import OperatorSettings, load
+from beamspar.settings import OperatorSettings, load_settings
 
 
 class Probe:
@@ -179,7 +179,7 @@
 
 
 node.Node = Probe
-cli.serve(load(sys.argv[1]), OperatorSettings())
+cli.serve(load_settings(sys.argv[1]), OperatorSettings())
 """
 
 
@@ -205,8 +205,8 @@
 sys.argv = ["run.py", "--help"]
 sys.path.insert(0, "target/app")
 import run
-from beamspar.transport.tcp import steady_reactor
-steady_reactor()
+from beamspar.transport.tcp import install_monotonic_reactor
+install_monotonic_reactor()
 import beamspar.node.node
 from pathlib import Path
 for name, module in list(sys.modules.items()):
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from tests.standins.history import watched
+from tests.standins.history import checked_history
 from tests.standins.world import ZONES, World
 
 SEEDS = range(int(os.environ.get("BEAMSPAR_SEEDS", "6")))
 ROUNDS = 14
 
 
-def fault(world: World, rng: random.Random) -> None:
+def inject_random_fault(world: World, rng: random.Random) -> None:
     """Inject one random fault; earlier ones may still last."""
     names = world.names
     machines = [n for n, w in world.cloud.workers.items() if not w.dead]
@@ -26,8 +26,8 @@
         for name in rng.sample(names, rng.randint(1, len(names))):
             world.crash(name, rng.choice([0.1, 1.0, 6.0, 40.0]))
     elif kind == 1:
-        world.state.outage(True)
-        later(duration_s, world.state.outage, False)
+        world.state.set_outage(True)
+        later(duration_s, world.state.set_outage, False)
     elif kind == 2 and machine:
         world.cloud.workers[machine].die()
     elif kind == 3 and machine:
@@ -76,8 +76,8 @@
         later(duration_s, world.state.refused_hosts.discard, node)
         if rng.random() < 0.5:
             # An outage for all controllers follows, longer than the time limit of a cancellation.
-            later(1.0, world.state.outage, True)
-            later(1.0 + 59.0, world.state.outage, False)
+            later(1.0, world.state.set_outage, True)
+            later(1.0 + 59.0, world.state.set_outage, False)
     elif kind == 15:
         world.state.late_share, world.state.loses_answer_only = rng.choice([0.1, 0.4]), True
         later(duration_s, setattr, world.state, "late_share", 0.0)
@@ -115,7 +115,7 @@
                 later(duration_s, setattr, worker, "hung", False)
 
 
-def load(world: World, rng: random.Random, number: int) -> None:
+def submit_random_job(world: World, rng: random.Random, number: int) -> None:
     job = f"j-{number}"
     shape = rng.choice(["standing", "sweep", "sweep", "ensemble"])
     world.submit(
@@ -136,7 +136,7 @@
     )
 
 
-def leaks(world: World) -> list[str]:
+def leaked_quota_use(world: World) -> list[str]:
     """Return quota use that no task accounts for, which the team would lose for good."""
     unaccounted = []
     for name, node in world.nodes.items():
@@ -179,7 +179,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_random_faults_with_a_warm_standby(seed: int) -> None:
-    with watched() as history:
+    with checked_history() as history:
         world = play(9000 + seed, 1, standby=True)
     history.stored(world.state.history)
     assert history.faults == []
@@ -205,7 +205,7 @@
 def end_faults(world: World) -> None:
     """End all faults, wait until their effects are over, and cancel the services."""
     world.cloud.down = False
-    world.state.outage(False)
+    world.state.set_outage(False)
     world.state.late_share = world.state.slow_s = 0.0
     world.state.refused_hosts.clear()
     world.state.late_watches.clear()
@@ -231,7 +231,7 @@
     assert world.checker.broken == []
     assert world.checker.started
     assert world.state.oversized == []
-    assert leaks(world) == []
+    assert leaked_quota_use(world) == []
     unfinished = [
         job
         for job, spec in world.checker.jobs.items()
@@ -271,12 +271,12 @@
             world.upgrade(not_upgraded.pop(), rng.choice([0.1, 1.0, 6.0, 25.0]))
         elif upgrade and number >= ROUNDS - 4 and is_upgraded(world):
             # The announced limits take effect at any time after the upgrade and without notice.
-            world.state.lower(ANNOUNCED_LIMITS)
+            world.state.lower_limits(ANNOUNCED_LIMITS)
         for _ in range(2 * size):
             jobs += 1
-            load(world, rng, jobs)
+            submit_random_job(world, rng, jobs)
         if rng.random() < 0.6:
-            fault(world, rng)
+            inject_random_fault(world, rng)
         if slow:
             slow_down(world, slow_rng)
         if rng.random() < 0.5:
--- a/tests/test_random_quotas.py
+++ b/tests/test_random_quotas.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.standins.world import ZONES, World
-from tests.test_random import end_faults, fault, leaks
+from tests.test_random import end_faults, inject_random_fault, leaked_quota_use
 
 SEEDS = range(3000, 3000 + int(os.environ.get("BEAMSPAR_SEEDS", "6")))
 ROUNDS = 10
@@ -97,7 +97,13 @@
             jobs += 1
             submit_job(world, rng, f"j-{jobs}", min(size, 3))
         inject_fault = rng.choice(
-            [crash_as_machines_return, crash_as_machines_return, delay_watches, fault, None]
+            [
+                crash_as_machines_return,
+                crash_as_machines_return,
+                delay_watches,
+                inject_random_fault,
+                None,
+            ]
         )
         if inject_fault is not None:
             inject_fault(world, rng)
@@ -136,7 +142,7 @@
         if max(amounts) > 1e-6
     }
     assert used == {}
-    assert leaks(world) == []
+    assert leaked_quota_use(world) == []
     for team in TEAMS:
         for node in world.names:
             job = f"j-full-{team['name']}-{node}"
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -50,7 +50,7 @@
     )
     machines = [Machine(f"host-{n:06d}", f"10.0.0.1:{n}", "big", "east") for n in range(count)]
     registration.mirror.observe(
-        keys.shard("host-000000"), shard_record(registration.own_name, machines), 5
+        keys.shard_key("host-000000"), shard_record(registration.own_name, machines), 5
     )
     for number, machine in enumerate(controller.machines.values()):
         for index in range(TASKS_EACH):
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -69,7 +69,7 @@
             world.upgrade(name, step.get("back_s", 6.0))
     elif do == "limits":
         # The announced limits in the settings take effect at the state service.
-        world.state.lower(world.raw_settings[world.names[0]]["facts"]["state"]["next"])
+        world.state.lower_limits(world.raw_settings[world.names[0]]["facts"]["state"]["next"])
         world.state.largest = 0
     elif do == "freeze":
         for name in select_controllers(world, step["nodes"]):
@@ -87,7 +87,7 @@
         world.state.slow_s = step.get("slow_s", 0.0)
         world.state.refused_hosts = set(select_controllers(world, step.get("refuse", [])))
     elif do == "state":
-        world.state.outage(step["down"])
+        world.state.set_outage(step["down"])
     elif do == "cloud":
         world.cloud.down = step["down"]
     elif do == "cut":
--- a/tests/test_shard_distribution.py
+++ b/tests/test_shard_distribution.py
@@ -21,7 +21,7 @@
 from tests.test_quota_manager import settings
 
 SITES = {"a": "east", "b": "east", "c": "west"}
-LIMITS = settings().platform.state.smallest
+LIMITS = settings().platform.state.strictest
 
 
 def machines(count: int, zone: str = "east", kind: str = "big") -> list[Machine]:
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -13,14 +13,14 @@
 from beamspar.sharing.messages import MachineState, MoveRequest, ReleaseReply, ReleaseRequest
 from tests.standins.sharing import SharingWorld
 from tests.test_handover import check_whole
-from tests.test_random import fault
+from tests.test_random import inject_random_fault
 
 SEEDS = range(int(os.environ.get("BEAMSPAR_SEEDS", "4")))
 
 
 def running(seed: int = 3, **options: Any) -> SharingWorld:
     world = SharingWorld(seed, **options)
-    world.load(random.Random(seed), count=40, every_s=0.5)
+    world.submit_load(random.Random(seed), count=40, every_s=0.5)
     world.run(20)
     return world
 
@@ -46,7 +46,7 @@
     world = running(4000 + seed, tuning={"standby": standby})
     world.reshuffle(rng, until=150)
     for number in range(12):
-        fault(world, rng)
+        inject_random_fault(world, rng)
         if rng.random() < 0.3:
             member = rng.choice(world.names)
             world.send(member, "leave", {})
@@ -57,7 +57,7 @@
         world.send(member, "leave", {"undo": True})
     world.network.frozen.clear()
     world.cloud.down = False
-    world.state.outage(False)
+    world.state.set_outage(False)
     world.run(330)
     assert world.checker.broken == []
     assert world.ownership.faults == []
@@ -138,7 +138,7 @@
         busy += [n for n in returned if n in before]
     assert world.checker.broken == [] and world.ownership.faults == []
     assert busy == [], "a machine with running tasks was deleted"
-    assert world.unserved() == {}, "a machine stays draining or has no serving holder"
+    assert world.unusable_machines() == {}, "a machine stays draining or has no serving holder"
     assert [j for j in world.checker.accepted if world.running(j) != 2 and "s" in j[2:]] == []
 
 
@@ -230,14 +230,14 @@
     world = running()
     shard, source, target = world.choose_move()
     sent: list[bytes] = []
-    carry = world._carry
+    carry = world._send_request
 
     def recording_carry(*arguments: Any) -> Any:
         if arguments[3] == "/peer/release":
             sent.append(arguments[4])
         return carry(*arguments)
 
-    world._carry = recording_carry
+    world._send_request = recording_carry
     for to in (target, source, target):
         world.send_and_wait(world.leader(), "move", {"block": shard, "to": to})
         world.run(world.clock.seconds() + 3)
@@ -288,10 +288,11 @@
     ahead = replace(right, fencing_token=node.registration.mirror.revision + 5)
     request = ReleaseRequest(source, incarnation, [ahead])
     assert node.sharing.transfer.accept(request) == ReleaseReply([], [machine])
-    # Without `sole` a holder before the sender may still answer, so the longest lease counts.
+    # Without `is_sole_holder` a holder before the sender may still answer, so the longest lease
+    # counts.
     before = held.last_possible_answer_at = world.clock.seconds() + 20.0
     held.answered_at = -1e9
-    node.sharing.transfer._take_over(held, replace(right, sole=False))
+    node.sharing.transfer._take_over(held, replace(right, is_sole_holder=False))
     assert held.last_possible_answer_at == before and not held.is_state_transferred
     request = ReleaseRequest(source, incarnation, [right])
     assert node.sharing.transfer.accept(request) == ReleaseReply([machine])
@@ -331,8 +332,8 @@
     machine = world.shards()[shard]["machines"][0]["name"]
     assert sharing.move_requests.accept(MoveRequest(shard, target)).done
     sharing.leader.draining_machines[machine] = source
-    assert sharing.move_requests.due() == []
-    assert {h.name: h.is_in_cooldown for h in sharing.inputs.holdings()}[shard]
+    assert sharing.move_requests.due_moves() == []
+    assert {h.name: h.is_in_cooldown for h in sharing.inputs.held_shards()}[shard]
     del sharing.leader.draining_machines[machine]
     world.run(world.clock.seconds() + 2.0)
     assert world.shards()[shard]["holder"] == target
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -22,7 +22,7 @@
     TakeLeadReply,
     TakeLeadRequest,
 )
-from tests.standins.history import watched
+from tests.standins.history import checked_history
 from tests.standins.state import Writer
 from tests.standins.world import ZONES, World
 
@@ -47,7 +47,7 @@
 
 def failover_count(world: World) -> int:
     """Return the number of failovers that the controllers observed."""
-    return max(len(node.standby.failovers.times) for node in world.nodes.values())
+    return max(len(node.standby.failover_history.times) for node in world.nodes.values())
 
 
 def run_until_failover(world: World, old: str, limit_s: float = 30.0) -> float:
@@ -144,7 +144,7 @@
     assert world.leader() == new
     status = world.nodes[old].standby.status()
     assert (status.leader, status.is_leading, status.lag) == (new, False, 0)
-    assert status.term == world.nodes[new].standby.log.term
+    assert status.term == world.nodes[new].standby.decision_log.term
 
 
 def test_followers_replicate_the_leaders_decisions() -> None:
@@ -223,16 +223,16 @@
     world = deployment()
     node = next(n for name, n in world.nodes.items() if name != world.leader())
     now = node.clock.seconds()
-    node.standby.failovers.times = [now - 1.0]
-    assert node.standby.failovers.may_fail_over(now)
-    node.standby.failovers.times = [now - 1.0] * 2
-    assert not node.standby.failovers.may_fail_over(now)
-    node.standby.failovers.times = [now - node.timeouts.leader_lease_s * 1.5] * 2
-    assert node.standby.failovers.may_fail_over(now)
-    node.standby.failovers.times = [now - node.timeouts.leader_lease_s * 1.5] * 3
-    assert not node.standby.failovers.may_fail_over(now)
-    node.standby.failovers.times = [now - node.timeouts.worker_lease_s * 9] * 9
-    assert node.standby.failovers.may_fail_over(now)
+    node.standby.failover_history.times = [now - 1.0]
+    assert node.standby.failover_history.may_fail_over(now)
+    node.standby.failover_history.times = [now - 1.0] * 2
+    assert not node.standby.failover_history.may_fail_over(now)
+    node.standby.failover_history.times = [now - node.timeouts.leader_lease_s * 1.5] * 2
+    assert node.standby.failover_history.may_fail_over(now)
+    node.standby.failover_history.times = [now - node.timeouts.leader_lease_s * 1.5] * 3
+    assert not node.standby.failover_history.may_fail_over(now)
+    node.standby.failover_history.times = [now - node.timeouts.worker_lease_s * 9] * 9
+    assert node.standby.failover_history.may_fail_over(now)
 
 
 def test_fifty_kills_of_the_leader_break_no_rule() -> None:
@@ -240,7 +240,7 @@
 
     Some hit a leader that has only just returned.
     """
-    with watched() as history:
+    with checked_history() as history:
         world = run_with_fifty_kills()
     history.stored(world.state.history)
     assert history.faults == [] and history.entries
@@ -318,12 +318,12 @@
     old = world.leader()
     assert not hand_over(world, "rig-9").is_done
     # A decision is made while no follower can fetch it, and the hand-over begins after it.
-    log = world.nodes[old].standby.log
+    log = world.nodes[old].standby.decision_log
     for name in world.names:
         if name != old:
             world.network.frozen[name] = world.clock.seconds() + 2.9
     world.run(world.clock.seconds() + 0.5)
-    log.decide(MachinesStarted(["host-none"]))
+    log.record(MachinesStarted(["host-none"]))
     reply = hand_over(world)
     assert (reply.is_done, reply.leader) == (False, old)
     assert world.leader() == old
@@ -332,7 +332,7 @@
 def test_a_hand_over_waits_for_a_follower_that_lags_a_little() -> None:
     world = deployment()
     old = world.leader()
-    world.nodes[old].standby.log.decide(MachinesStarted(["host-none"]))
+    world.nodes[old].standby.decision_log.record(MachinesStarted(["host-none"]))
     reply = hand_over(world)
     assert reply.is_done and deciding_leader(world) == reply.leader
     assert world.nodes[reply.leader].standby.replica.index >= 1
@@ -377,7 +377,7 @@
     world.network.request = recording  # type: ignore[method-assign]
     world.run(60.0)
     standby = world.nodes["rig-0"].standby
-    assert world.leader() == old and not standby.failovers.times
+    assert world.leader() == old and not standby.failover_history.times
     assert (standby.replica.term, standby.replica.index) == (0, 0)
     assert "/peer/follow" in requested_paths and "/peer/probe" not in requested_paths
     # Once all are upgraded, the leader's log is followed and its failure is detected.
@@ -451,7 +451,7 @@
     world = deployment()
     old = world.leader()
     for node in world.nodes.values():
-        node.standby.failovers.times = [node.clock.seconds()] * 5
+        node.standby.failover_history.times = [node.clock.seconds()] * 5
     world.crash(old, None)
     assert run_until_failover(world, old) > FAILOVER_S
 
@@ -463,7 +463,7 @@
     since = world.state.revision
     for name in world.names:
         if name != old:
-            ensureDeferred(world.nodes[name].leader.elect(replaces=old))
+            ensureDeferred(world.nodes[name].leader.attempt_election(replaced_leader=old))
     world.run(world.clock.seconds() + 2.0)
     elected = {
         event["data"]["name"]
--- a/tests/test_standby_command.py
+++ b/tests/test_standby_command.py
@@ -45,7 +45,7 @@
     with (
         mock.patch.object(command, "call", fake.call),
         mock.patch.object(command, "addresses", lambda settings: addresses),
-        mock.patch.object(command, "load", lambda path: settings()),
+        mock.patch.object(command, "load_settings", lambda path: settings()),
     ):
         yield fake
 
