--- a/src/beamspar/jobs/assignments.py
+++ b/src/beamspar/jobs/assignments.py
@@ -52,7 +52,7 @@
 
 
 class PendingClearKey(msgspec.Struct, frozen=True):
-    """Identifies one attempt of a task."""
+    """Identifies the attempt of a pending clear."""
 
     task_name: str
     attempt: int
--- a/src/beamspar/jobs/job_writer.py
+++ b/src/beamspar/jobs/job_writer.py
@@ -122,8 +122,8 @@
     async def _store_final_record(self, job: Job) -> bool:
         """Replace the job's record by its final one; return whether the job has left memory.
 
-        It has also left memory if it turned out to be finished already, or to belong to another
-        controller.
+        It has also left memory if it turned out to be finished already, or to belong to
+        another controller.
         """
         status = JobStatus.CANCELLED if job.status == JobStatus.CANCELLED else JobStatus.DONE
         conditions = {**self._transactions.conditions(job), keys.finished_job_key(job.id): 0}
--- a/src/beamspar/jobs/placement_round.py
+++ b/src/beamspar/jobs/placement_round.py
@@ -118,10 +118,10 @@
     )
 
 
-def group_places(offers: list[PlacementOffer], grouped: set[str]) -> dict[str, list[OfferedPlace]]:
-    """Return the places offered to each of the grouped jobs, in the order of the offers."""
+def group_places(offers: list[PlacementOffer], job_ids: set[str]) -> dict[str, list[OfferedPlace]]:
+    """Return the places offered to each of these jobs, in the order of the offers."""
     places: dict[str, list[OfferedPlace]] = {}
     for offer in offers:
-        if offer.job in grouped:
+        if offer.job in job_ids:
             places.setdefault(offer.job, []).append(OfferedPlace(offer.machine, offer.may_preempt))
     return places
--- a/src/beamspar/jobs/placer.py
+++ b/src/beamspar/jobs/placer.py
@@ -235,12 +235,12 @@
     def _bind_offers(self, jobs: list[Job], offers: list[PlacementOffer], now: float) -> None:
         """Bind tasks to the machines that the leader offers."""
         by_id = {job.id: job for job in jobs}
-        grouped = {job.id for job in jobs if is_placed_together(job)}
-        for job_id, places in group_places(offers, grouped).items():
+        group_job_ids = {job.id for job in jobs if is_placed_together(job)}
+        for job_id, places in group_places(offers, group_job_ids).items():
             job = by_id[job_id]
             self.binder.bind_group(job, job.placeable_indexes(now, len(places)), places)
         for offer in offers:
-            if offer.job in grouped:
+            if offer.job in group_job_ids:
                 continue
             offered = by_id.get(offer.job)
             indexes = offered.placeable_indexes(now, 1) if offered else []
--- a/src/beamspar/jobs/record_transactions.py
+++ b/src/beamspar/jobs/record_transactions.py
@@ -91,8 +91,8 @@
     def conditions(self, job: Job) -> dict[str, int]:
         """Return the versions that each transaction on the job requires.
 
-        This controller's fence, its ownership of the partition and the job's own record must be
-        unchanged.
+        This controller's fence, its ownership of the partition and the job's own record
+        must be unchanged.
         """
         return {
             **self._registration.fence_condition(),
--- a/src/beamspar/workload/failure_backoff.py
+++ b/src/beamspar/workload/failure_backoff.py
@@ -25,8 +25,8 @@
     def __init__(self) -> None:
         self._has_succeeded = False
         self._failures = 0
-        # Machines that the job failed on, at most as many as it takes to
-        # attribute the failures to the job.
+        # Machines that the job failed on, at most as many as it takes to attribute the failures to
+        # the job itself.
         self._failed_machines: set[str] = set()
         self._failure_rounds = 0
         self._not_before = 0.0
