--- a/src/beamspar/cluster/registration.py
+++ b/src/beamspar/cluster/registration.py
@@ -2,8 +2,8 @@
 
 A controller may act only while `is_lease_valid()`: both the last renewal of its lease and its
 mirror, which contains the cancellations, must be recent, measured from when the requests were
-*sent*. A controller that is partitioned from the state service therefore stops in time by its own
-clock.
+*sent*. A controller that is partitioned from the state service therefore stops in time, by its
+own clock.
 """
 
 from __future__ import annotations
@@ -49,8 +49,7 @@
         self.timeouts = timeouts
         self.own_name = settings.member
         self.mirror = StateMirror(clock, state, settings, timeouts, self._on_fence_changed)
-        # The attributes below describe the registered incarnation. They are 0 and "" before it is
-        # registered.
+        # The attributes below describe the registered incarnation: 0 and "" until it is registered.
         self.incarnation = 0
         self.lease_id = 0
         # The revision at which this incarnation wrote the fence.
--- a/src/beamspar/cluster/state_mirror.py
+++ b/src/beamspar/cluster/state_mirror.py
@@ -1,8 +1,8 @@
 """A cache of the control records that is kept current by a watch, and indexes derived from them.
 
 A mirror may lag behind the state service but is never ahead of it. A decision that must not be
-based on stale records includes the versions of the records it used as conditions of its
-transaction.
+based on stale records includes the versions of the records it used as conditions of
+its transaction.
 """
 
 from __future__ import annotations
@@ -76,8 +76,7 @@
         # By machine: the holder before the current one.
         self.previous_holders: dict[str, str] = {}
         # Unfinished jobs that their users have cancelled: those with a stored cancellation mark,
-        # and those announced by the controller that stored the mark, with the revision of its
-        # write.
+        # and those announced by the controller that stored the mark, with the write's revision.
         self.cancelled: set[str] = set()
         self.announced_cancellations: dict[str, int] = {}
         self.listeners: list[Listener] = []
@@ -142,8 +141,8 @@
         """
         now = self.clock.seconds()
         if previous_holder_may_act:
-            # It may not have observed yet that it was replaced, and may act until its own lease
-            # ends.
+            # It may not have observed yet that it was replaced, and may act until its own
+            # lease ends.
             return now + self.timeouts.registration_lease_s
         previous = self.previous_holders.get(machine, self.own_name)
         if previous != self.own_name and previous not in self.members:
@@ -227,8 +226,8 @@
 
         They are received even while this controller can't reach the state service. A stored
         cancellation is final, so it takes effect without a read. Those up to the mirror's revision
-        are ignored: either the mirror contains them, or their jobs have finished and the marks were
-        removed.
+        are ignored: either the mirror contains them, or their jobs have finished and the marks
+        were removed.
         """
         for job, revision in jobs.items():
             if revision > self.revision and not self.is_cancelled(job):
@@ -320,8 +319,8 @@
     def _add_shard(self, name: str, value: Any, version: int, old_holders: dict[str, str]) -> None:
         shard = msgspec.convert(value, MachineShard)
         shard.record_fencing_token = shard.kept_fencing_token or version
-        fence = self.version(keys.fence_key(shard.holder))
-        shard.fencing_token = max(shard.record_fencing_token, fence)
+        fence_version = self.version(keys.fence_key(shard.holder))
+        shard.fencing_token = max(shard.record_fencing_token, fence_version)
         self.shards[name] = shard
         for machine in shard.machines:
             self.shard_of[machine.name] = name
@@ -337,11 +336,11 @@
         that was leased between this controller's registration and the read that follows it is
         applied before the controller's fence, and could not be held at that time.
         """
-        fence = self.version(keys.fence_key(member))
+        fence_version = self.version(keys.fence_key(member))
         for name, shard in self.shards.items():
             if shard.holder != member:
                 continue
-            token = max(shard.record_fencing_token, fence)
+            token = max(shard.record_fencing_token, fence_version)
             if token != shard.fencing_token or member == self.own_name:
                 shard.fencing_token = token
                 self._notify(keys.shard_key(name))
--- a/src/beamspar/decision_log/decision_log.py
+++ b/src/beamspar/decision_log/decision_log.py
@@ -33,7 +33,7 @@
 
 
 class DecisionLog:
-    """Numbers and stores the leader's decisions, and answers followers' requests.
+    """Numbers and stores the leader's decisions, and replies to followers' requests.
 
     The log never waits for a follower. Its memory is bounded: it stores a limited number of
     entries, and at most one snapshot transfer per member.
@@ -58,7 +58,7 @@
         self.followers.clear()
 
     def end_term(self) -> None:
-        """End the log: followers receive replies with term 0 from now on."""
+        """End the term and its log; from now on, followers receive replies with term 0."""
         self.start_term(0)
 
     def record(self, decision: Decision) -> None:
--- a/src/beamspar/decision_log/decisions.py
+++ b/src/beamspar/decision_log/decisions.py
@@ -1,8 +1,8 @@
 """The leader's decisions as log entries, and the state that results from applying them.
 
 Leader and followers apply the same entries with the same code. No points in time are sent, as the
-clocks of controllers are not synchronized: an entry is sent with its age, and durations are
-relative.
+clocks of controllers are not synchronized: an entry is sent with its age, and durations
+are relative.
 """
 
 from __future__ import annotations
--- a/src/beamspar/leader/cloud_client.py
+++ b/src/beamspar/leader/cloud_client.py
@@ -32,8 +32,8 @@
 class CloudClient:
     """Calls the cloud's API.
 
-    All requests raise CloudUnavailableError, or NoCapacityError if the cloud reports a lack of
-    capacity.
+    All requests raise CloudUnavailableError, or NoCapacityError if the cloud reports
+    a lack of capacity.
     """
 
     def __init__(self, net: Net, address: str, timeout_s: float) -> None:
--- a/src/beamspar/leader/draining.py
+++ b/src/beamspar/leader/draining.py
@@ -24,8 +24,8 @@
 PARTITION_DIVISOR = 3
 # How long machines behind a partition may be silent before they are deleted, in worker leases.
 PARTITION_SILENCE_LEASES = 4
-# Multiple of the needed capacity that is kept, so that no instance is deleted and then created
-# again.
+# Multiple of the needed capacity that is kept, so that no instance is deleted and then
+# created again.
 KEPT_CAPACITY_FACTOR = 2
 
 
--- a/src/beamspar/leader/instance_manager.py
+++ b/src/beamspar/leader/instance_manager.py
@@ -247,8 +247,8 @@
     def _booting_capacities(self) -> list[MachineCapacity]:
         """Return the capacity of machines that are created but not up yet.
 
-        Late machines are not counted, and those that are no longer expected are removed from
-        `booting`.
+        Late machines are not counted, and those that are no longer expected are removed
+        from `booting`.
         """
         now = self.clock.seconds()
         capacities = []
--- a/src/beamspar/leader/shard_distribution.py
+++ b/src/beamspar/leader/shard_distribution.py
@@ -137,8 +137,8 @@
         # A holder in the shard's own zone is preferred regardless of the counts.
         return target
     if target == shard.holder or is_in_zone:
-        # The holder is in the shard's zone, or no member is: only a clear imbalance justifies a
-        # move.
+        # The holder is in the shard's zone, or no member is: only a clear imbalance
+        # justifies a move.
         target = min(machine_counts, key=lambda m: (machine_counts[m], m))
         if is_in_zone and zone_by_member.get(target) != zone:
             return None
--- a/src/beamspar/leader/shard_leasing.py
+++ b/src/beamspar/leader/shard_leasing.py
@@ -71,8 +71,7 @@
         self.excluded_members: Callable[[], set[str]] = lambda: set()
         # Moves shards between live members to balance them.
         self.rebalance: Callable[[], Awaitable[None]] = self._rebalance
-        # Callbacks such as `unreachable_since` are replaced later, so they are looked up at each
-        # call.
+        # Callbacks such as `unreachable_since` are replaced later, so each call looks them up.
         self.reachability = MemberReachability(
             clock,
             self.mirror,
--- a/src/beamspar/leader/shard_writer.py
+++ b/src/beamspar/leader/shard_writer.py
@@ -65,8 +65,8 @@
     ) -> None:
         """Write shards and partitions in as few transactions as their limits allow.
 
-        Each transaction checks the given conditions, and that its records have the versions in the
-        mirror.
+        Each transaction checks the given conditions, and that its records have the versions
+        in the mirror.
         """
         groups = [self._within_value_limit(key, record) for key, record in changes]
         while groups:
--- a/src/beamspar/leader/unserved_machines.py
+++ b/src/beamspar/leader/unserved_machines.py
@@ -18,8 +18,8 @@
     A controller that is cut off together with its zone is not dead until its registration lease
     expires, and one that lost only its workers never is, but the leases of the workers expire
     sooner. Moving a shard of a live holder is safe even if that holder does not observe the move.
-    A crashed controller, whose address refuses connections, keeps its shards so that it can come
-    back.
+    A crashed controller, whose address refuses connections, keeps its shards so that it can
+    come back.
     """
 
     def __init__(
--- a/src/beamspar/standby/context.py
+++ b/src/beamspar/standby/context.py
@@ -13,8 +13,8 @@
 from beamspar.transport.clock import Clock
 
 # Sends a message to a member's path with a timeout in seconds, and returns the response body.
-# Raises CallRefusedError if the response is a refusal, and CallFailedError if there is no usable
-# response.
+# Raises CallRefusedError if the response is a refusal, and CallFailedError if there is
+# no usable response.
 Send = Callable[[str, str, Any, float], Awaitable[bytes]]
 
 
--- a/src/beamspar/standby/failure_detector.py
+++ b/src/beamspar/standby/failure_detector.py
@@ -30,12 +30,11 @@
 class FailureDetector:
     """Decides whether a member that does not respond has failed.
 
-    A member has failed if, in several consecutive rounds, this controller can't reach it, at
-    least one other member responds, and none of those that respond can reach it. So a slow
-    member, one that others reach, and one on the other side of a network partition that isolates
-    this controller are never declared failed. If no other member is registered, this
-    controller's own probes decide. The decision affects only the time until a successor leads, not
-    safety.
+    A member has failed if, in several consecutive rounds, this controller can't reach it, at least
+    one other member responds, and none of those that respond can reach it. So a slow member, one
+    that others reach, and one on the other side of a network partition that isolates this
+    controller are never declared failed. If no other member is registered, this controller's own
+    probes decide. The decision affects only the time until a successor leads, not safety.
     """
 
     def __init__(self, clock: Clock, timeouts: Timeouts, probes: Probes) -> None:
