--- a/src/beamspar/machines/command_sending.py
+++ b/src/beamspar/machines/command_sending.py
@@ -53,8 +53,7 @@
         machine.is_sending_commands = False
         machine.failed_sends = 0
         _record_outcome(machine, sent_starts, result)
-        # Compares with the epoch that was sent, because `machine.agent_epoch` may have changed
-        # meanwhile.
+        # Compares with the epoch that was sent, as `machine.agent_epoch` may have changed since.
         is_epoch_outdated = epoch != result.heartbeat.agent_epoch
         if not result.is_executed:
             pause_s = 0.0 if is_epoch_outdated else self.timeouts.retry_delay_s
--- a/src/beamspar/machines/managed_machine.py
+++ b/src/beamspar/machines/managed_machine.py
@@ -90,8 +90,8 @@
     # The token that commands carry: the shard's fencing token, or a higher one that supersedes
     # indeterminate starts.
     command_token: int = field(init=False)
-    # Whether the worker has confirmed the command token. If so, it executes no command with a lower
-    # token.
+    # Whether the worker has confirmed the command token. If so, it executes no command with
+    # a lower token.
     has_confirmed_token: bool = False
     # The agent epoch and sequence number of the newest message of the worker, either a heartbeat or
     # the reply to commands.
@@ -147,8 +147,8 @@
 
     # -- whether it accepts new work
 
-    # Until when no attempt is started there, because the machine is about to move to another
-    # controller.
+    # Until when no attempt is started there, because the machine is about to move to
+    # another controller.
     starts_paused_until: float = NEVER
     # Whether the leader intends to delete the machine, which accepts no new work then.
     is_draining: bool = False
--- a/src/beamspar/machines/reconciler.py
+++ b/src/beamspar/machines/reconciler.py
@@ -10,8 +10,8 @@
 class Reconciler(Protocol):
     """Reconciles a machine's observed state with its desired state."""
 
-    # Whether commands that were refused only for an outdated agent epoch are resent without a
-    # pause.
+    # Whether commands that were refused only for an outdated agent epoch are resent
+    # without a pause.
     resends_without_pause: bool
 
     def reconcile(self, machine: ManagedMachine) -> None:
--- a/src/beamspar/machines/worker_observation.py
+++ b/src/beamspar/machines/worker_observation.py
@@ -181,8 +181,7 @@
 ) -> tuple[dict[AttemptKey, TaskStatus], list[AttemptKey]]:
     """Replace the machine's tasks by the reported ones.
 
-    Return the tasks that are new or have a new status, and the keys of those that have
-    disappeared.
+    Return the tasks that are new or have a new status, and the keys of those that disappeared.
     """
     previous = machine.tasks
     # Most heartbeats of machines with hundreds of tasks contain no change.
--- a/src/beamspar/sharing/leave.py
+++ b/src/beamspar/sharing/leave.py
@@ -137,8 +137,8 @@
             del entries[self.registration.own_name]
         else:
             entries[self.registration.own_name] = self.registration.incarnation
-            # Ensures that one of the controllers that keep serving is registered when the write is
-            # applied.
+            # Ensures that one of the controllers that keep serving is registered when the write
+            # is applied.
             key = keys.member_key(min(others))
             conditions[key] = self.mirror.values.get(key, (None, 0))[1]
         revision = await self.state.transact(
--- a/src/beamspar/sharing/messages.py
+++ b/src/beamspar/sharing/messages.py
@@ -1,7 +1,7 @@
 """Messages about moves of shards, between controllers and from the operators' command.
 
-Some fields are sent under another name, given by `msgspec.field`: on the wire a shard is called a
-block.
+Some fields are sent under another name, given by `msgspec.field`: on the wire a shard is
+called a block.
 """
 
 from __future__ import annotations
--- a/src/beamspar/sharing/planner_inputs.py
+++ b/src/beamspar/sharing/planner_inputs.py
@@ -90,9 +90,9 @@
     def held_shards(self) -> list[HeldShard]:
         """Return all shards with their holders."""
         shards = self.registration.mirror.shards
-        return [self._holding(name, shard) for name, shard in shards.items()]
+        return [self._held_shard(name, shard) for name, shard in shards.items()]
 
-    def _holding(self, name: str, shard: MachineShard) -> HeldShard:
+    def _held_shard(self, name: str, shard: MachineShard) -> HeldShard:
         return HeldShard(
             name,
             shard.holder,
--- a/src/beamspar/sharing/service.py
+++ b/src/beamspar/sharing/service.py
@@ -93,10 +93,10 @@
         """
         self.handover.remove_stale_cooldowns()
         max_moves = self.shard_leasing.max_moves
-        holdings = self.inputs.held_shards()
+        held_shards = self.inputs.held_shards()
         moves = self.move_requests.due_moves()[:max_moves]
         requested = {move.shard for move in moves}
-        others = [shard for shard in holdings if shard.name not in requested]
+        others = [shard for shard in held_shards if shard.name not in requested]
         moves += plan_moves(self.inputs.loads(), others, max_moves - len(moves))
         if moves:
             try:
@@ -113,11 +113,11 @@
 
     def shares(self) -> SharesReply:
         """Return the reply that operators see; only the leader's contains the shares and moves."""
-        standing = (
+        participation = (
             ParticipationState.LEAVING if self.leave.is_leaving() else ParticipationState.SERVING
         )
         reply = SharesReply(
-            self.registration.own_name, self.mirror.leader, self.leader.is_ready, standing
+            self.registration.own_name, self.mirror.leader, self.leader.is_ready, participation
         )
         if not self.leader.is_ready:
             return reply
@@ -140,10 +140,10 @@
             for load in loads
         ]
         moves = self.handover.list_moves(self.move_requests.moves.values())
-        return SharesReply(reply.member, reply.leader, reply.leading, standing, shares, moves)
+        return SharesReply(reply.member, reply.leader, reply.leading, participation, shares, moves)
 
     async def handle_message(self, name: str, body: bytes) -> bytes | None:
-        """Answer a message of a peer or operator; return None if it is not about sharing.
+        """Handle a message of a peer or operator and return the reply; None if not about sharing.
 
         Raises ValidationError or JSONDecodeError for a malformed message.
         """
--- a/src/beamspar/sharing/transfer.py
+++ b/src/beamspar/sharing/transfer.py
@@ -236,8 +236,8 @@
             machine.agent_epoch, machine.observed_seq = state.agent_epoch, state.sequence
         if machine.last_heartbeat_id == NO_HEARTBEAT:
             machine.last_heartbeat_at = now - max(state.silent_s, 0.0)
-        reported = HeartbeatId(state.heartbeat_agent_epoch, state.heartbeat_sequence)
-        machine.last_heartbeat_id = max(machine.last_heartbeat_id, reported)
+        newest_heartbeat_id = HeartbeatId(state.heartbeat_agent_epoch, state.heartbeat_sequence)
+        machine.last_heartbeat_id = max(machine.last_heartbeat_id, newest_heartbeat_id)
         machine.min_agent_epoch = max(machine.min_agent_epoch, state.min_agent_epoch)
         machine.quarantined_until = max(machine.quarantined_until, now + state.quarantine_s)
         machine.is_degraded = machine.is_degraded or state.is_degraded
