--- a/src/beamspar/node/departure.py
+++ b/src/beamspar/node/departure.py
@@ -50,7 +50,7 @@
             )
 
     def handle_message(self, name: str, body: bytes) -> bytes | None:
-        """Answer an operator's request to this controller after it has left.
+        """Handle an operator's request to this controller after it has left; return the reply.
 
         Return None if this controller has not left, or for any other message. Raises
         ValidationError or JSONDecodeError if the request is malformed.
--- a/src/beamspar/node/node.py
+++ b/src/beamspar/node/node.py
@@ -100,7 +100,7 @@
         )
         self.forwarder = RequestForwarder(self.clock, self.peers, self.timeouts)
         self.departure = Departure(
-            self.settings.member, self.state, self.current, self._spawn_registration
+            self.settings.member, self.state, self.current, self._start_registration
         )
         self.api = PublicApi(
             self.clock,
@@ -181,10 +181,10 @@
         )
         log.info("{me} listens", me=self.settings.member)
         run_in_background(self.machine_types.fetch(), "machine types")
-        self._spawn_registration()
+        self._start_registration()
         self._tick()
 
-    def _spawn_registration(self) -> None:
+    def _start_registration(self) -> None:
         run_in_background(self._register_and_start(), "registration")
 
     async def _register_and_start(self) -> None:
@@ -208,7 +208,7 @@
         if registration is self.current.registration:
             self.current.actors = None
             if not self.current.has_left:
-                self._spawn_registration()
+                self._start_registration()
 
     # -- building the actors
 
@@ -320,8 +320,8 @@
         The preference combines the CPUs and memory that accelerator jobs use per accelerator with
         the machine types that are too slow for the start objective of the job's class.
         """
-        within_s = self.settings.platform.start_time_limit_s(spec.job_class)
-        slow = slow_kinds(spec, within_s, self.machine_types.by_name.values())
+        start_limit_s = self.settings.platform.start_time_limit_s(spec.job_class)
+        slow = slow_kinds(spec, start_limit_s, self.machine_types.by_name.values())
         return Preference(self.guidance.per_accelerator, slow)
 
     async def _is_bound(self, task: str, attempt: int, machine: str) -> bool | None:
@@ -342,8 +342,8 @@
     def _tick(self, due: float | None = None) -> None:
         """Do all periodic work, about once per heartbeat interval.
 
-        `due` is the time for which this tick was scheduled. The interval varies at random
-        by up to 10 %.
+        `due` is the time for which this tick was scheduled. The interval varies at random by up to
+        10 %.
         """
         interval_s = self.timeouts.member_heartbeat_interval_s * (0.9 + 0.2 * self.rng.random())
         self.clock.callLater(interval_s, self._tick, self.clock.seconds() + interval_s)
--- a/src/beamspar/node/worker_heartbeats.py
+++ b/src/beamspar/node/worker_heartbeats.py
@@ -62,10 +62,10 @@
 
 
 def _answer_held_machine(actors: Actors, heartbeat: WorkerHeartbeat) -> HttpResponse:
-    answer = actors.machine_controller.handle_heartbeat(heartbeat)
-    if answer is None:
+    reply = actors.machine_controller.handle_heartbeat(heartbeat)
+    if reply is None:
         return respond(503)
-    fencing_token, commands = answer
+    fencing_token, commands = reply
     return respond(200, heartbeat_response(fencing_token, commands))
 
 
--- a/src/beamspar/placement.py
+++ b/src/beamspar/placement.py
@@ -237,8 +237,8 @@
 ) -> list[MachineCapacity]:
     """Choose machines for `count` tasks one by one, reserving the resources of each.
 
-    Return fewer machines if the capacity does not suffice for all tasks. The candidates are not
-    modified.
+    Return fewer machines if the capacity does not suffice for all tasks. The candidates
+    are not modified.
     """
     capacities = [copy_capacity(capacity) for capacity in candidates]
     originals = {capacity.name: capacity for capacity in candidates}
@@ -339,12 +339,13 @@
     return cpus, memory
 
 
-def slow_kinds(spec: JobSpec, within_s: float, kinds: Iterable[MachineType]) -> frozenset[str]:
-    """Return the machine types on which the image fetch alone takes too much of `within_s`."""
+def slow_kinds(spec: JobSpec, start_limit_s: float, kinds: Iterable[MachineType]) -> frozenset[str]:
+    """Return the machine types on which the image fetch alone takes too much of `start_limit_s`."""
     return frozenset(
         kind.name
         for kind in kinds
-        if within_s > 0 and spec.image_gb > MAX_FETCH_SHARE * within_s * kind.fetch_gb_per_s
+        if start_limit_s > 0
+        and spec.image_gb > MAX_FETCH_SHARE * start_limit_s * kind.fetch_gb_per_s
     )
 
 
--- a/src/beamspar/quota/allocation_planner.py
+++ b/src/beamspar/quota/allocation_planner.py
@@ -66,15 +66,15 @@
     def desired_allocation(self, team: str, partition: str, quota: TeamQuota) -> Allocation | None:
         """Return the entry that the partition should have; None for no entry."""
         key = AllocationKey(partition, team)
-        used = self._usage.usage_of(key)
+        usage = self._usage.usage_of(key)
         requests = self._requests.requests_of(key)
         is_former = partition != self._registration.partition
-        if is_former and not requests and max(used) <= AMOUNT_TOLERANCE:
+        if is_former and not requests and max(usage) <= AMOUNT_TOLERANCE:
             # The partition of an earlier incarnation accepts no new jobs. Its entry is removed once
             # its usage is zero, or each restart would leave one more entry behind.
             return None
         return desired_allocation(
-            self._teams[team], partition, quota, used, requests, self._controllers
+            self._teams[team], partition, quota, usage, requests, self._controllers
         )
 
     def is_indeterminate(self, team: str) -> bool:
--- a/src/beamspar/quota/allocations.py
+++ b/src/beamspar/quota/allocations.py
@@ -2,8 +2,8 @@
 
 `c/budget/<team>` maps partitions to lists of numbers: the CPUs and accelerators of the allocation
 and, while work of the partition waits for more, its rank (from 1), the CPUs and accelerators that
-it lacks, and the revision at which it was served last. The first release does not write that
-revision.
+it lacks, and the revision at which it was served last. The first release does not write
+that revision.
 """
 
 from __future__ import annotations
--- a/src/beamspar/quota/usage_counter.py
+++ b/src/beamspar/quota/usage_counter.py
@@ -20,7 +20,7 @@
         self._counted_tasks: dict[Job, int] = {}
 
     def usage_of(self, key: AllocationKey) -> Amounts:
-        """Return what the partition's jobs of the team use."""
+        """Return the usage of the partition's jobs of the team."""
         return self.usage.get(key, NO_AMOUNTS)
 
     def recount(self, job: Job) -> int:
