--- a/src/beamspar/protocol/peer_messages.py
+++ b/src/beamspar/protocol/peer_messages.py
@@ -1,8 +1,8 @@
 """Messages between the controllers' roles, used both between peers and within one process.
 
 A job controller, which owns partitions of jobs, sends its desired state to machine controllers,
-which respond with the statuses of attempts. Members send heartbeats and capacity requests to the
-leader.
+which respond with the statuses of attempts. Members send heartbeats and capacity requests to
+the leader.
 """
 
 from __future__ import annotations
@@ -95,7 +95,8 @@
     may_preempt: bool = False
     # Whether it belongs to a gang: stopping it loses the run time of all the gang's tasks.
     is_in_gang: bool = False
-    # Its job fails on every machine, so an error is no evidence of a faulty machine.
+    # Failures are attributed to its job, which has failed on three machines and never succeeded,
+    # so an error is no evidence of a faulty machine.
     is_job_at_fault: bool = False
 
 
@@ -183,8 +184,8 @@
     # Its free resources and cached images.
     capacity: MachineCapacity = msgspec.field(name="room")
     fencing_token: int = msgspec.field(name="number")
-    # Its worker has reported the fencing token of the latest commands, so its heartbeats are
-    # complete.
+    # Its worker has reported the fencing token of the latest commands, so its heartbeats
+    # are complete.
     has_confirmed_token: bool = msgspec.field(name="fresh")
     # Its worker has sent no heartbeat for so long that its lease has expired.
     is_expired: bool = msgspec.field(name="lost")
--- a/src/beamspar/settings.py
+++ b/src/beamspar/settings.py
@@ -173,8 +173,8 @@
     lease_share: float = 1.0
     # Free capacity that is kept in reserve, as a share of each class's tasks.
     headroom: float = 0.2
-    # Whether members replicate the leader's decisions, so that one of them can replace it within
-    # seconds.
+    # Whether members replicate the leader's decisions, so that one of them can replace it
+    # within seconds.
     standby: bool = False
     # Whether shards of machines move by load, on request and when a controller leaves.
     sharing: bool = False
--- a/src/beamspar/state/client.py
+++ b/src/beamspar/state/client.py
@@ -82,7 +82,7 @@
         self._address = settings.services.state
         self._timeout_s = timeouts.request_timeout_s
         limits = settings.platform.state
-        self._smallest_limits = limits.strictest
+        self._strictest_limits = limits.strictest
         controller_count = max(settings.platform.nodes, 1)
         self.request_limiter = request_limiter(clock, limits, controller_count)
         self.change_limiter = change_limiter(clock, limits, controller_count)
@@ -278,7 +278,7 @@
                     raise
                 retries += 1
                 if priority == RequestPriority.URGENT:
-                    await sleep(self._clock, (changes + 1) / self._smallest_limits.write_rps)
+                    await sleep(self._clock, (changes + 1) / self._strictest_limits.write_rps)
 
     # -- leases
 
--- a/src/beamspar/state/request_queue.py
+++ b/src/beamspar/state/request_queue.py
@@ -29,8 +29,8 @@
 class QueuedRequest(NamedTuple):
     """A queued request.
 
-    The queue sorts by its fields in order. `sequence` is unique, so later fields are never
-    compared.
+    The queue sorts by its fields in order. `sequence` is unique, so later fields are
+    never compared.
     """
 
     priority: RequestPriority
--- a/src/beamspar/timeouts.py
+++ b/src/beamspar/timeouts.py
@@ -23,8 +23,8 @@
     """All durations of the service in seconds, most of them as a multiple of one in the settings.
 
     `worker_heartbeat_interval_s`, the interval of workers' heartbeats, and `worker_lease_s` are
-    taken from the settings. The others are derived from these and from further limits in the
-    settings.
+    taken from the settings. The others are derived from these and from further limits in
+    the settings.
     """
 
     def __init__(self, settings: Settings, operator_settings: OperatorSettings) -> None:
--- a/src/beamspar/transport/http_client.py
+++ b/src/beamspar/transport/http_client.py
@@ -220,8 +220,8 @@
     def __init__(self, reactor: Any, connect_timeout_s: float, idle_timeout_s: float) -> None:
         self._reactor = reactor
         self._clock: Clock = reactor
-        self._connect_s = connect_timeout_s
-        self._idle_s = idle_timeout_s
+        self._connect_timeout_s = connect_timeout_s
+        self._idle_timeout_s = idle_timeout_s
         # Idle connections by address, the most recently used one last.
         self._idle: dict[str, list[_Connection]] = {}
         # Whether the timer that closes expired idle connections is set.
@@ -267,7 +267,7 @@
         result: Deferred[HttpResponse] = Deferred(cancel)
         connection = _Connection(self, address, keep_open)
         factory = _ConnectionFactory(connection, request, result)
-        connector = self._reactor.connectTCP(host, int(port), factory, self._connect_s)
+        connector = self._reactor.connectTCP(host, int(port), factory, self._connect_timeout_s)
         return result
 
     def release(self, connection: _Connection) -> None:
@@ -278,7 +278,7 @@
             return
         connection.idle_since = self._clock.seconds()
         idle.append(connection)
-        self._schedule_close(self._idle_s)
+        self._schedule_close(self._idle_timeout_s)
 
     def remove(self, connection: _Connection) -> None:
         """Remove a connection that has ended or is being closed, so that it is not reused."""
@@ -298,9 +298,9 @@
         self._is_close_scheduled = False
         now = self._clock.seconds()
         for connection in [c for idle in self._idle.values() for c in idle]:
-            if now - connection.idle_since >= self._idle_s:
+            if now - connection.idle_since >= self._idle_timeout_s:
                 # Removed at once: a call sent on it before its end is observed would be lost.
                 self.remove(connection)
                 connection.transport.loseConnection()
             else:
-                self._schedule_close(self._idle_s / 2)
+                self._schedule_close(self._idle_timeout_s / 2)
--- a/src/beamspar/transport/tcp.py
+++ b/src/beamspar/transport/tcp.py
@@ -53,7 +53,7 @@
         self, reactor: Any, connect_timeout_s: float, idle_timeout_s: float, sockets: SocketLimits
     ) -> None:
         self._reactor = reactor
-        self._idle_s = idle_timeout_s
+        self._idle_timeout_s = idle_timeout_s
         self._client = HttpClient(reactor, connect_timeout_s, idle_timeout_s)
         self._limits = ConnectionLimits(sockets)
 
@@ -86,5 +86,5 @@
     ) -> None:
         """Serve on HOST:PORT, limiting the open connections and the bytes of a request body."""
         host, _, port = address.rpartition(":")
-        site = Site(self._reactor, handler, body_limit, max_connections, self._idle_s)
+        site = Site(self._reactor, handler, body_limit, max_connections, self._idle_timeout_s)
         self._reactor.listenTCP(int(port), site, LISTEN_BACKLOG, host)
