--- a/src/beamspar/decision_log/replica.py
+++ b/src/beamspar/decision_log/replica.py
@@ -7,8 +7,8 @@
 from beamspar.transport.clock import Clock
 
 
-class StaleTermError(Exception):
-    """The reply was rejected: it is of an older term, or its entries are out of order."""
+class RejectedReplyError(Exception):
+    """A reply was rejected: it is of an older term, or its entries don't follow those applied."""
 
 
 class Replica:
@@ -46,16 +46,21 @@
     def apply(self, reply: FollowReply) -> bool:
         """Apply a reply; return whether the next request should be sent at once.
 
-        Raises StaleTermError if the reply is rejected.
+        Raises RejectedReplyError if the reply is rejected.
         """
         if reply.term < self.newest_term:
-            raise StaleTermError(f"term {reply.term} is over: term {self.newest_term} has begun")
+            raise RejectedReplyError(
+                f"reply of term {reply.term}, which is over: term {self.newest_term} has begun"
+            )
         self.newest_term = reply.term
         now = self.clock.seconds()
         if reply.is_snapshot:
             return self._add_snapshot_part(reply, now)
         if reply.term != self.term:
-            raise StaleTermError(f"entries of term {reply.term} received before its snapshot")
+            raise RejectedReplyError(
+                f"entries of term {reply.term} received before its snapshot: the replica is at term "
+                f"{self.term}"
+            )
         self._apply_entries(reply, now)
         self.leader_index = reply.last_index
         return self.lag > 0
@@ -66,7 +71,9 @@
                 continue
             if entry.index != self.index + 1:
                 self.restart()
-                raise StaleTermError(f"entry {entry.index} leaves a gap in the log")
+                raise RejectedReplyError(
+                    f"log entry {entry.index} received out of order, with a gap before it"
+                )
             self.state.apply(entry.decision, now - entry.age_s)
             self.index = entry.index
 
--- a/src/beamspar/jobs/attempt_statuses.py
+++ b/src/beamspar/jobs/attempt_statuses.py
@@ -130,7 +130,7 @@
 
     def _end_attempt(self, job: Job, index: int, task: Task, status: AttemptStatus) -> None:
         log.info(
-            "{task} attempt {attempt} on {machine}: {state} {reason}",
+            "{task} attempt {attempt} on {machine} is over: {state} {reason}",
             task=status.task,
             attempt=status.attempt,
             machine=status.machine,
@@ -158,8 +158,9 @@
             job.unbind(index)
         task.is_stored = False
         task.fencing_token = 0
-        # The task counts against the team's quota until its release is stored: before that, a
-        # successor would restore the binding and start the task.
+        # The task counts against the team's quota until a record without its binding is stored: a
+        # controller that takes over the partition before that restores the binding and starts the
+        # task.
         job.dirty_chunks.add(index // job.tasks_per_chunk)
         self.job_store.quota_usage_changed(job)
 
@@ -186,7 +187,7 @@
         """Decide when and where the task may be retried."""
         now = self.clock.seconds()
         if job.spec.is_gang:
-            self.gang_attempts.lose_task(job, task, status, now)
+            self.gang_attempts.apply_lost_task(job, task, status, now)
         elif status.exit_reason in FAILURE_REASONS:
             task.failures += 1
             if status.exit_reason == ExitReason.ERROR:
@@ -196,9 +197,12 @@
             task.not_before = now + self.timeouts.member_heartbeat_interval_s / 2
 
     def _attribute_failure(self, job: Job, task: Task, machine: str, now: float) -> None:
-        """Have a failed task avoid the machine, and count the failure in its job's backoff."""
+        """Have a failed task avoid the machine, and count the failure in its job's backoff.
+
+        Failures of services do not count in a backoff.
+        """
         avoid_machine(task, machine)
-        # Services have few tasks, as gangs do, so the retry pauses of their tasks suffice.
+        # Like gangs, services have few tasks, so the retry pauses of these tasks suffice.
         if job.spec.is_service:
             return
         if job.backoff.record_failure(machine, now, self.timeouts.retry_delay_s):
--- a/src/beamspar/jobs/gang_attempts.py
+++ b/src/beamspar/jobs/gang_attempts.py
@@ -58,7 +58,7 @@
             # missing task can be replaced if the gang has not started.
             self.job_store.schedule_placement()
 
-    def lose_task(self, job: Job, task: Task, status: AttemptStatus, now: float) -> None:
+    def apply_lost_task(self, job: Job, task: Task, status: AttemptStatus, now: float) -> None:
         """Apply the loss of a gang's task, which is replaced unless all tasks are to be stopped."""
         gang = job.gang
         if status.exit_reason in GANG_FAILURE_REASONS and not gang.is_stopping:
--- a/src/beamspar/jobs/job_acceptor.py
+++ b/src/beamspar/jobs/job_acceptor.py
@@ -29,6 +29,7 @@
 class JobAcceptor:
     """Accepts jobs, and tracks those whose accept is in progress.
 
+    An accept is the transaction that stores a submitted job and its first bound tasks.
     Errors of the state client pass through `accept` to its caller.
     """
 
--- a/src/beamspar/jobs/job_controller.py
+++ b/src/beamspar/jobs/job_controller.py
@@ -1,4 +1,4 @@
-"""The job controller: decides about the attempts of the jobs that this member owns.
+"""The job controller: decides on the attempts of the jobs that this member owns.
 
 A task is bound to one machine by a stored record before its start is requested, and is bound
 again only after the previous attempt is known to have ended.
@@ -134,7 +134,7 @@
         self.quota_usage_changed(job)
         self.acceptor.mark_accepts_resolved(job.id)
         if self.mirror.is_cancelled(job.id):
-            # The cancellation was stored after the job's record was read.
+            # If the job is still live, its cancellation was stored after its record was read.
             self.apply_cancellation(job.id)
 
     def on_jobs_loaded(self) -> None:
--- a/src/beamspar/jobs/job_loader.py
+++ b/src/beamspar/jobs/job_loader.py
@@ -78,7 +78,7 @@
         """
         with self._count_load():
             try:
-                return await self._adopt(job_id)
+                return await self._load_record(job_id)
             except StateUnavailableError as error:
                 log.info("{job}: loading the stored job failed: {error}", job=job_id, error=error)
                 return None
@@ -144,7 +144,7 @@
         if self._is_still_owned(record.partition, ownership):
             self._add_to_memory(job)
 
-    async def _adopt(self, job_id: str) -> Job | None:
+    async def _load_record(self, job_id: str) -> Job | None:
         ownership = self._ownership_revisions()
         item = await self._state.get(keys.job_key(job_id), RequestPriority.PLACEMENT)
         if (
--- a/src/beamspar/jobs/record_transactions.py
+++ b/src/beamspar/jobs/record_transactions.py
@@ -117,8 +117,9 @@
             await self._refresh_after_conflict(job, error)
             return False
         except (StateUnavailableError, LeaseExpiredError) as error:
-            # An indeterminate write may have been applied, or may be applied later. The next write
-            # is conditional on the record's version, which shows whether this one was applied.
+            # The write may have been applied, or may be applied later, so its chunks are written
+            # again. The next write is conditional on the same version of the record, so it fails
+            # with ConflictError if this one was applied.
             job.dirty_chunks.update(write.chunks_to_retry)
             await self._delay_after_failure(job, error)
             return False
--- a/src/beamspar/leader/capacity_offers.py
+++ b/src/beamspar/leader/capacity_offers.py
@@ -106,8 +106,9 @@
         group = choose_capacities_for_group(demand, capacities, own_machines, self.preference(spec))
         offers: list[PlacementOffer] = []
         for capacity in group:
-            # A machine may be in the group several times: each reservation reduces the capacity
-            # that the next one sees.
+            # A machine may occur several times in `group`. Whether preemption is needed is
+            # determined just before each reservation, because earlier reservations have reduced
+            # the free capacity.
             placement = Placement(capacity, may_preempt=not has_capacity(spec, capacity))
             offers.append(self._reserve(spec, placement, now))
         self.unmet_demand.record(spec, 0 if group else request.count, now)
--- a/src/beamspar/leader/draining.py
+++ b/src/beamspar/leader/draining.py
@@ -19,11 +19,12 @@
 
 # Maximum share of the fleet that is draining at the same time.
 MAX_DRAINING_SHARE = 1 / 15
-# If more than this fraction (1/n) of a zone's machines is silent at the same time, a network
-# partition is assumed.
-PARTITION_DIVISOR = 3
-# How long machines behind a partition may be silent before they are deleted, in worker leases.
-PARTITION_SILENCE_LEASES = 4
+# If more than one machine of a zone, and more than this fraction (1/n) of its machines, are silent
+# at the same time, a network partition is assumed.
+NETWORK_PARTITION_DIVISOR = 3
+# How long machines behind an assumed network partition may be silent before they are deleted, in
+# worker leases.
+NETWORK_PARTITION_SILENCE_LEASES = 4
 # Multiple of the needed capacity that is kept, so that no instance is deleted and then
 # created again.
 KEPT_CAPACITY_FACTOR = 2
@@ -36,7 +37,7 @@
     idle_s: float
 
 
-class Occupancy(msgspec.Struct):
+class MachineGroups(msgspec.Struct):
     """The fleet's machines, grouped by whether they may be deleted."""
 
     # Machines to delete now, because they are drained or unfit for use.
@@ -80,9 +81,9 @@
     # -- silent machines
 
     def delete_failed(self) -> None:
-        """Delete machines that have certainly failed."""
-        # A member that receives heartbeats from few of its machines is cut off itself: the
-        # machines have not failed.
+        """Delete the silent machines that count as failed; see `failed_machines`."""
+        # A member that receives heartbeats from few of its machines is assumed to be cut off
+        # itself, so its machines do not count as failed.
         cut_off = self.shard_leasing.cut_off_members()
         silent: dict[str, list[MachineStatus]] = {}
         total: dict[str, int] = {}
@@ -94,7 +95,9 @@
                 silent.setdefault(zone, []).append(status)
         for zone, statuses in silent.items():
             failed = failed_machines(
-                statuses, total[zone], self.timeouts.worker_lease_s * PARTITION_SILENCE_LEASES
+                statuses,
+                total[zone],
+                self.timeouts.worker_lease_s * NETWORK_PARTITION_SILENCE_LEASES,
             )
             if failed:
                 self.instance_manager.scale_in(failed)
@@ -111,23 +114,23 @@
             # The capacity and the needs of some member are unknown, so nothing counts as surplus.
             self.draining_machines.clear()
             return
-        occupancy = self._occupancy(now)
-        for name in occupancy.to_delete:
-            # Queued one by one: the first is deleted by a request of its own at once, the others by
-            # the requests that follow.
+        groups = self._group_machines(now)
+        for name in groups.to_delete:
+            # Queued by separate calls: if no deletion is in progress, the first machine is deleted
+            # at once by a request of its own, and the others by the requests that follow.
             self.instance_manager.scale_in([name])
-        if not any(machine.idle_s > self.timeouts.idle_timeout_s for machine in occupancy.idle):
+        if not any(machine.idle_s > self.timeouts.idle_timeout_s for machine in groups.idle):
             self.draining_machines.clear()
             return
         price = self.instance_manager.price
-        occupancy.idle.sort(
+        groups.idle.sort(
             key=lambda machine: (price(machine.status.capacity), machine.status.capacity.name)
         )
-        unneeded = self._unneeded(occupancy)
-        self.draining_machines = self._select_for_draining(occupancy.idle, unneeded)
+        unneeded = self._unneeded(groups)
+        self.draining_machines = self._select_for_draining(groups.idle, unneeded)
 
-    def _occupancy(self, now: float) -> Occupancy:
-        occupancy = Occupancy()
+    def _group_machines(self, now: float) -> MachineGroups:
+        groups = MachineGroups()
         for member in self.mirror.members:
             for name, received in self.fleet_view.members[member].machines.items():
                 status = received.status
@@ -137,25 +140,26 @@
                 is_drained = name in self.draining_machines and status.is_draining
                 is_unfit = status.is_degraded and status.is_quarantined
                 if is_empty and (is_drained or is_unfit):
-                    # An unfit machine takes the place of a healthy one that could be created.
-                    occupancy.to_delete.append(name)
+                    # An unfit machine is deleted, as it takes the place of a healthy one that could
+                    # be created instead.
+                    groups.to_delete.append(name)
                 elif not is_empty or status.is_expired or status.is_quarantined:
-                    occupancy.kept_capacities.append(copy_capacity(status.capacity))
+                    groups.kept_capacities.append(copy_capacity(status.capacity))
                 else:
                     idle_s = status.idle_s + now - received.received_at
-                    occupancy.idle.append(IdleMachine(status, idle_s))
-        return occupancy
+                    groups.idle.append(IdleMachine(status, idle_s))
+        return groups
 
-    def _unneeded(self, occupancy: Occupancy) -> set[str]:
+    def _unneeded(self, groups: MachineGroups) -> set[str]:
         """Return the idle machines that stay empty when the needs are placed.
 
         The needs fill the kept machines first, then the idle ones in their order.
         """
-        idle_capacities = [copy_capacity(machine.status.capacity) for machine in occupancy.idle]
+        idle_capacities = [copy_capacity(machine.status.capacity) for machine in groups.idle]
         for capacity in idle_capacities:
             capacity.is_usable = True
         free_cpus = {capacity.name: capacity.cpus for capacity in idle_capacities}
-        capacities = occupancy.kept_capacities + idle_capacities
+        capacities = groups.kept_capacities + idle_capacities
         for spec, tasks in self.capacity_needs.current():
             kept = tasks * KEPT_CAPACITY_FACTOR
             zone_spec = self.instance_manager.bind_to_zone(spec, kept, capacities)
@@ -191,10 +195,11 @@
 ) -> list[str]:
     """Return which of a zone's silent machines have failed.
 
-    Many machines that are silent at the same time are behind a network partition and will recover,
-    unless they are silent for too long. A few machines, or a single one, have failed; deleting
-    them proves the end of their tasks sooner than the expiry of their workers' leases does.
+    Many machines that are silent at the same time are assumed to be behind a network partition:
+    only those that are silent for longer than `partition_silence_s` count as failed. A few
+    machines, or a single one, count as failed at once; deleting them proves the end of their tasks
+    sooner than the expiry of their workers' leases does.
     """
-    if len(silent) * PARTITION_DIVISOR <= machines_in_zone or len(silent) == 1:
+    if len(silent) * NETWORK_PARTITION_DIVISOR <= machines_in_zone or len(silent) == 1:
         return [status.capacity.name for status in silent]
     return [status.capacity.name for status in silent if status.silent_s > partition_silence_s]
--- a/src/beamspar/leader/instance_manager.py
+++ b/src/beamspar/leader/instance_manager.py
@@ -141,8 +141,8 @@
         """Read all pages of the list, with pauses that leave half of the rate to scaling out.
 
         Without pauses, the cloud refuses the pages beyond its burst limit. The list of a fleet of
-        more than 1,500 machines (at 1.5 calls per second) was then never complete, and each
-        machine got a shard of its own.
+        more than 1,500 machines (at 1.5 calls per second) would then never be complete, and each
+        machine would get a shard of its own.
         """
         instances: list[Instance] = []
         after = ""
@@ -175,7 +175,7 @@
             self.decision_log.record(MachinesStarted([name]))
 
     def inherit_requests(self) -> None:
-        """Take over the pending requests that the former leader is known to have decided."""
+        """Queue the pending requests of former leaders that the replicated state contains."""
         self.inherited_requests = list(self.leader_state.pending.values())
 
     # -- scaling in
@@ -282,10 +282,12 @@
             pause_s = self._refusal_backoff_s(place)
             self.decision_log.record(InstancesRefused(request.name, place, pause_s))
             log.info(
-                "the cloud has no capacity for {kind} in {zone} (spot: {spot})",
+                "the cloud has no capacity for {kind} in {zone} (spot: {spot}), backing off for "
+                "{pause_s:.1f} s",
                 kind=kind,
                 zone=zone,
                 spot=spot,
+                pause_s=pause_s,
             )
             return
         except CloudUnavailableError:
--- a/src/beamspar/leader/shard_leasing.py
+++ b/src/beamspar/leader/shard_leasing.py
@@ -250,7 +250,7 @@
         moves = self._unserved.choose_moves()
         for move in moves:
             log.info(
-                "moving shard {name} from {source}, which does not serve it, to {target}",
+                "moving shard {name} from {source}, which does not answer its workers, to {target}",
                 name=move.name,
                 source=move.source,
                 target=move.target,
--- a/src/beamspar/leader/shard_writer.py
+++ b/src/beamspar/leader/shard_writer.py
@@ -106,7 +106,7 @@
         limit_bytes = self.limits.value_kb * 1024 * job_records.TRANSACTION_FILL_RATIO
         parts = [record]
         while len(orjson.dumps(parts[0])) > limit_bytes and len(parts[0]["machines"]) > 1:
-            parts = [half for part in parts for half in _halves(part)]
+            parts = [half for part in parts for half in _split_in_half(part)]
         if len(parts) == 1 or len(parts) >= self.limits.txn_ops:
             return [whole]
         return [
@@ -136,7 +136,7 @@
     return drop(change.key) if change.record is None else put(change.key, change.record)
 
 
-def _halves(record: dict[str, Any]) -> list[dict[str, Any]]:
+def _split_in_half(record: dict[str, Any]) -> list[dict[str, Any]]:
     """Split a shard's record into two with half of the machines each; omit an empty half."""
     machines = record["machines"]
     middle = -(-len(machines) // 2)
--- a/src/beamspar/machines/command_planning.py
+++ b/src/beamspar/machines/command_planning.py
@@ -200,7 +200,8 @@
     def _release_orphans(self, machine: ManagedMachine) -> None:
         """Remove orphaned attempts that can no longer start.
 
-        The starts of the others are superseded.
+        If another one's start may still be executed and no message is in flight, raise the command
+        token, which supersedes that start.
         """
         for key in list(machine.orphaned):
             if key in machine.terminated or key in machine.tasks:
--- a/src/beamspar/machines/command_sending.py
+++ b/src/beamspar/machines/command_sending.py
@@ -61,8 +61,9 @@
         self.observer.observe(machine, result.heartbeat)
         may_repeat_at_once = is_epoch_outdated and self.reconciler.resends_without_pause
         if not machine.has_confirmed_token and not may_repeat_at_once:
-            # The worker has not confirmed the command token yet. An agent epoch may have to end
-            # first, so there is no need to retry at once.
+            # Until the worker has confirmed the command token, it is sent no commands. An agent
+            # epoch may have to end before it confirms the token, so there is no need to retry at
+            # once.
             earliest = self.clock.seconds() + self.timeouts.retry_delay_s
             machine.next_send_at = max(machine.next_send_at, earliest)
         self.reconciler.reconcile(machine)
@@ -88,9 +89,11 @@
         )
         machine.next_send_at = self.clock.seconds() + pause_s
         log.info(
-            "{machine}: sending commands failed, will retry: {error}",
+            "{machine}: sending a message to the worker failed, will retry after {pause_s:.1f} s: "
+            "{error}",
             machine=machine.info.name,
             error=error,
+            pause_s=pause_s,
         )
         machine.is_sending_commands = False
 
--- a/src/beamspar/machines/machine_controller.py
+++ b/src/beamspar/machines/machine_controller.py
@@ -237,8 +237,9 @@
         self.planner.update_convergence(machine, due)
         if machine.is_sending_commands or now < machine.next_send_at:
             return
-        # A worker that has not replied to commands is sent another message, as its machine stays
-        # unusable until it replies.
+        # Even without commands, a message is sent if the worker has not confirmed the command token
+        # or the last message failed: the machine is unusable until the worker replies. Until the
+        # token is confirmed, the message carries no commands.
         if not machine.has_confirmed_token or commands or machine.failed_sends:
             self.sender.send_in_background(machine, commands if machine.has_confirmed_token else [])
 
--- a/src/beamspar/machines/worker_observation.py
+++ b/src/beamspar/machines/worker_observation.py
@@ -49,9 +49,11 @@
             return False
         if heartbeat.observed_fencing_token > machine.command_token:
             log.info(
-                "{machine}: ignoring a heartbeat with a higher fencing token, {token}",
+                "{machine}: ignoring a heartbeat with fencing token {token}, which is higher than "
+                "the command token {command_token}",
                 machine=heartbeat.machine,
                 token=heartbeat.observed_fencing_token,
+                command_token=machine.command_token,
             )
             return False
         machine.last_heartbeat_id = heartbeat_id
--- a/src/beamspar/node/departure.py
+++ b/src/beamspar/node/departure.py
@@ -41,7 +41,9 @@
         self.current.has_left, self.current.is_loaded = True, False
         lease_id = registration.lease_id
         registration.end("it has left the service")
-        log.warn("{me} has left: the process may be stopped", me=registration.own_name)
+        log.warn(
+            "{me} has left the service; its process may be stopped now", me=registration.own_name
+        )
         try:
             await self.state.revoke_lease(lease_id)
         except (StateUnavailableError, LeaseExpiredError) as error:
--- a/src/beamspar/node/job_lookup.py
+++ b/src/beamspar/node/job_lookup.py
@@ -42,7 +42,7 @@
     try:
         return msgspec.convert(value, kind)
     except msgspec.ValidationError as error:
-        raise StateUnavailableError(f"malformed stored record: {error}") from error
+        raise StateUnavailableError(f"malformed stored {kind.__name__}: {error}") from error
 
 
 def finished_state(job: str, end: EndRecord) -> JobState:
@@ -111,7 +111,9 @@
         return self.version_checks.is_current(keys.job_key(job), version)
 
     def read(self, job: str) -> Deferred[JobState | None]:
-        """Return the job's state as stored, sharing one read among all requests until it is sent.
+        """Return the job's stored state.
+
+        Requests for the same job share one read until it is sent to the state service.
 
         The deferred fails with StateUnavailableError if the state can't be determined now.
         """
--- a/src/beamspar/node/leader_guidance.py
+++ b/src/beamspar/node/leader_guidance.py
@@ -1,4 +1,4 @@
-"""The instructions in the leader's last heartbeat response that this controller follows."""
+"""Data from the leader's heartbeat responses that this controller applies."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class LeaderGuidance:
-    """Holds the leader's latest data on reserved machines, accelerator jobs and image caches.
+    """Holds the latest data of the leader on reserved machines, accelerators and image caches.
 
-    It outlives an incarnation of this controller.
+    The data is kept when a new incarnation of this controller begins.
     """
 
     def __init__(self) -> None:
-        # CPUs and memory (GB) that jobs with accelerators use per accelerator.
+        # The most CPUs and memory (GB) that jobs with accelerators need per accelerator.
         self.per_accelerator = (0.0, 0.0)
         # Machines that only the leader may offer.
         self.reserved: frozenset[str] = frozenset()
         # Per machine, its cached images with their sizes in GB, the least recently used first.
-        # Actors share this dictionary.
+        # The actors of this controller share this dictionary, so it is changed in place.
         self.caches: dict[str, dict[str, float]] = {}
         # The version of the leader's cache map up to which changes have been received.
         self.caches_known = 0
--- a/src/beamspar/node/machine_types.py
+++ b/src/beamspar/node/machine_types.py
@@ -64,7 +64,9 @@
                 {keys.MACHINE_TYPES_KEY: 0}, [put(keys.MACHINE_TYPES_KEY, value)]
             )
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
-            log.info("the copy of the machine types was not stored: {error}", error=error)
+            log.info(
+                "storing a copy of the machine types failed, will not retry: {error}", error=error
+            )
 
     def observe(self, key: str) -> None:
         """Use the stored copy when it appears in the mirror.
--- a/src/beamspar/protocol/peer_messages.py
+++ b/src/beamspar/protocol/peer_messages.py
@@ -2,7 +2,7 @@
 
 A job controller, which owns partitions of jobs, sends its desired state to machine controllers,
 which respond with the statuses of attempts. Members send heartbeats and capacity requests to
-the leader.
+the leader. Names on the wire that differ from those in the code are kept for compatibility.
 """
 
 from __future__ import annotations
--- a/src/beamspar/quota/fair_share.py
+++ b/src/beamspar/quota/fair_share.py
@@ -80,7 +80,7 @@
     decision = _decide(partition, quota, used, requests, available)
     needed = decision.needed
     if decision.is_satisfied and not quota.waiting_elsewhere(partition):
-        needed = _with_slack(team, needed, available, current, controllers if requests else 0)
+        needed = _add_slack(team, needed, available, current, controllers if requests else 0)
     cpus, gpus = (
         round(min(max(need, in_use), max(limit, allocated)), ALLOCATION_DIGITS)
         for need, in_use, limit, allocated in zip(needed, used, available, current, strict=True)
@@ -150,7 +150,7 @@
     return max(fitting, 0)
 
 
-def _with_slack(
+def _add_slack(
     team: Team, needed: Amounts, available: Amounts, current: Amounts, controllers: int
 ) -> Amounts:
     """Return the needed amounts plus a share of the rest of the available quota.
--- a/src/beamspar/quota/quota_manager.py
+++ b/src/beamspar/quota/quota_manager.py
@@ -98,7 +98,7 @@
         return self._usage.usage
 
     def recount(self, job: Job) -> int:
-        """Update the usage of the job; return by how many its counted tasks have grown."""
+        """Update the usage of the job; return the increase in its counted tasks."""
         return self._usage.recount(job)
 
     def release(self, job: Job) -> None:
@@ -187,6 +187,7 @@
         """
         order = WaitingOrder(job.spec.rank, job.quota_served_revision, job.partition)
         elsewhere = quota.waiting_elsewhere(job.partition)
+        # `waiting_rank` counts from 1 and `rank` from 0, so this tests for a strictly higher rank.
         if any(allocation.waiting_rank <= job.spec.rank for _, allocation in elsewhere):
             return True
         return any(
@@ -249,10 +250,10 @@
         return self._requests.other_job_waits(team, job.id)
 
     def amount_to_preempt(self, name: str, rank: int) -> Amounts:
-        """Return how much work of this rank should release now for work of a higher rank.
+        """Return the amounts that this controller should preempt from work of this rank now.
 
-        The work of a higher rank is pending work of the team, in any partition, that waits for
-        quota. Each controller preempts its part of the total in each round.
+        They are needed by pending work of the team, in any partition, that has a higher rank and
+        waits for quota. Each controller preempts an equal part of the total in each round.
         """
         team = self.teams.get(name)
         if team is None:
@@ -260,6 +261,7 @@
         quota = self._records.read(name)
         lacking = [0.0, 0.0]
         for allocation in quota.allocations.values():
+            # `waiting_rank` is 0 if no work waits, else the highest rank of waiting work plus 1.
             if allocation.waiting_rank and allocation.waiting_rank - 1 < rank:
                 lacking[0] += allocation.lacking_cpus
                 lacking[1] += allocation.lacking_gpus
--- a/src/beamspar/quota/quota_preemption.py
+++ b/src/beamspar/quota/quota_preemption.py
@@ -66,7 +66,7 @@
         for unit in units_of(job, spot)
     ]
     lacking_above = {rank: Amounts(*lacking(rank)) for rank in {unit.rank for unit in units}}
-    return _until_freed(units, lambda unit: lacking_above[unit.rank])
+    return _units_until_freed(units, lambda unit: lacking_above[unit.rank])
 
 
 def choose_unstarted_excess(
@@ -81,7 +81,7 @@
         if not any(task.state for _, task in unit.tasks)
     ]
     to_free = Amounts(*excess)
-    return _until_freed(units, lambda unit: to_free)
+    return _units_until_freed(units, lambda unit: to_free)
 
 
 def units_of(job: Job, spot: Collection[str]) -> list[PreemptionUnit]:
@@ -95,7 +95,7 @@
     return [_unit(job, group, spot) for group in groups]
 
 
-def _until_freed(
+def _units_until_freed(
     units: Iterable[PreemptionUnit], to_free: Callable[[PreemptionUnit], Amounts]
 ) -> list[PreemptionUnit]:
     """Return the first units in order, up to the first for which enough is freed already."""
--- a/src/beamspar/quota/usage_counter.py
+++ b/src/beamspar/quota/usage_counter.py
@@ -24,7 +24,7 @@
         return self.usage.get(key, NO_AMOUNTS)
 
     def recount(self, job: Job) -> int:
-        """Update the usage of the job; return by how many its counted tasks have grown."""
+        """Update the usage of the job; return the increase in its counted tasks."""
         if job.spec.team not in self._teams:
             return 0
         tasks = job.quota_usage.tasks
--- a/src/beamspar/settings.py
+++ b/src/beamspar/settings.py
@@ -51,7 +51,8 @@
     # What it limits; only WAIT_OBJECTIVE is used.
     kind: str = ""
     job_class: str = ""
-    # The time limit, and the share of cases that are to meet it.
+    # The seconds within which tasks of the class should start, and the share of them that are to
+    # do so.
     within_s: float = 0.0
     share: float = 0.0
 
--- a/src/beamspar/sharing/handover.py
+++ b/src/beamspar/sharing/handover.py
@@ -84,7 +84,7 @@
         """
         shards_before = {move.shard: self.mirror.shards.get(move.shard) for move in moves}
         moves = [move for move in moves if self._is_still_valid(move, shards_before[move.shard])]
-        self.in_progress = {move.shard: _shown(move, MoveStage.PREPARING) for move in moves}
+        self.in_progress = {move.shard: _move_view(move, MoveStage.PREPARING) for move in moves}
         try:
             ready = await self._prepare_all(moves, shards_before)
             chosen = [
@@ -133,8 +133,8 @@
         return ready
 
     async def _prepare(self, source: str, shards: dict[str, int], ready: set[str]) -> None:
-        # The length of the pause. For half of it the source waits for its starts in flight; at its
-        # end the source resumes starts by itself.
+        # How long the source pauses starts on these shards; afterwards it resumes them by itself.
+        # It delays its reply for up to half of this time, until none of its starts is in flight.
         for_s = self.timeouts.member_heartbeat_interval_s * 2
         try:
             reply = await self.prepare(
@@ -142,7 +142,8 @@
             )
         except (CallFailedError, ValueError) as error:
             log.info(
-                "{source} failed to prepare, only forced moves of its shards go on: {error}",
+                "prepare request to {source} failed, only forced moves of its shards proceed: "
+                "{error}",
                 source=source,
                 error=error,
             )
@@ -161,11 +162,12 @@
             shard = self.mirror.shards[move.shard]
             record = shard_record(move.target, shard.machines, previous_holder_may_act=True)
             changes.append(RecordChange(keys.shard_key(move.shard), record))
-            # If the target has ended in the meantime, the shard would have no working holder until
-            # the target's registration lease expires.
+            # The write fails if the target's registration has ended or changed in the meantime. A
+            # target that has ended would leave the shard without a working holder until a lease
+            # expires.
             key = keys.member_key(move.target)
             conditions[key] = self.mirror.version(key)
-            self.in_progress[move.shard] = _shown(move, MoveStage.COMMITTING)
+            self.in_progress[move.shard] = _move_view(move, MoveStage.COMMITTING)
         if not changes:
             return
         await self.shard_leasing.shard_writer.write(changes, conditions)
@@ -178,7 +180,7 @@
                 reason=move.reason,
             )
             self.moved_at[move.shard] = self.clock.seconds()
-            self.completed.append(_shown(move, MoveStage.MOVED))
+            self.completed.append(_move_view(move, MoveStage.MOVED))
 
     def list_moves(self, wanted: Iterable[Move]) -> list[MoveView]:
         """Return the moves that are completed, in progress and wanted, the newest last."""
@@ -186,7 +188,7 @@
             *self.completed,
             *self.in_progress.values(),
             *(
-                _shown(move, MoveStage.WANTED)
+                _move_view(move, MoveStage.WANTED)
                 for move in wanted
                 if move.shard not in self.in_progress
             ),
@@ -208,5 +210,5 @@
     return shard.fencing_token if shard is not None else 0
 
 
-def _shown(move: Move, stage: MoveStage) -> MoveView:
+def _move_view(move: Move, stage: MoveStage) -> MoveView:
     return MoveView(move.shard, move.source, move.target, move.reason, stage)
--- a/src/beamspar/sharing/leave.py
+++ b/src/beamspar/sharing/leave.py
@@ -177,8 +177,8 @@
             or not self.registration.is_lease_valid()
         ):
             return
-        # A registration is not enough: a controller that has just ended stays registered until its
-        # lease expires.
+        # Some other controller must be reachable: being registered is not enough, as a controller
+        # whose process has just ended stays registered until its lease expires.
         serving = self.mirror.members - leaving_members(self.registration)
         if any(self.leader.shard_leasing.unreachable_since(member) is None for member in serving):
             await self.resign()
--- a/src/beamspar/sharing/messages.py
+++ b/src/beamspar/sharing/messages.py
@@ -1,7 +1,7 @@
 """Messages about moves of shards, between controllers and from the operators' command.
 
 Some fields are sent under another name, given by `msgspec.field`: on the wire a shard is
-called a block.
+called a block. The names on the wire are kept for compatibility.
 """
 
 from __future__ import annotations
--- a/src/beamspar/sharing/planner_inputs.py
+++ b/src/beamspar/sharing/planner_inputs.py
@@ -27,7 +27,7 @@
 
     def is_draining(self, shard: str) -> bool:
         """Return whether one of the shard's machines is cordoned because it is to be deleted."""
-        return self._has_any_of(shard, self.leader.draining_machines.keys())
+        return self._contains_any_of(shard, self.leader.draining_machines.keys())
 
     def is_pinned(self, shard: str) -> bool:
         """Return whether the deletion of one of the shard's machines is requested or in progress.
@@ -35,11 +35,11 @@
         A new holder would accept work for the machine, and the work would be lost with it.
         """
         instance_manager = self.leader.instance_manager
-        return self._has_any_of(shard, instance_manager.to_delete) or self._has_any_of(
+        return self._contains_any_of(shard, instance_manager.to_delete) or self._contains_any_of(
             shard, instance_manager.deleting
         )
 
-    def _has_any_of(self, name: str, machines: Collection[str]) -> bool:
+    def _contains_any_of(self, name: str, machines: Collection[str]) -> bool:
         shard = self.mirror.shards.get(name)
         return bool(machines and shard and any(m.name in machines for m in shard.machines))
 
--- a/src/beamspar/standby/leader_follower.py
+++ b/src/beamspar/standby/leader_follower.py
@@ -7,7 +7,7 @@
 from twisted.logger import Logger
 
 from beamspar.decision_log.messages import FollowReply
-from beamspar.decision_log.replica import Replica, StaleTermError
+from beamspar.decision_log.replica import RejectedReplyError, Replica
 from beamspar.protocol.peer_messages import decode
 from beamspar.standby.context import StandbyContext
 from beamspar.standby.messages import StandbyPath
@@ -89,7 +89,7 @@
             return False
         try:
             has_more = self._replica.apply(reply)
-        except StaleTermError as error:
+        except RejectedReplyError as error:
             log.info(
                 "rejected log entries of leader {leader}, will fetch a snapshot: {error}",
                 leader=leader,
--- a/src/beamspar/state/client.py
+++ b/src/beamspar/state/client.py
@@ -101,7 +101,7 @@
         """Return the estimated time to send all queued changes, in seconds."""
         return self._queue.queued_changes() / self.change_limiter.rate
 
-    # -- a single call
+    # -- sending requests and checking responses
 
     def _record_outcome(self, served: bool) -> None:
         now = self._clock.seconds()
@@ -151,7 +151,7 @@
                 f"{method} {path}: service unavailable (status {response.status})"
             )
 
-    def _convert(self, data: Any, target_type: Any, status: int) -> Any:
+    def _convert_response(self, data: Any, target_type: Any, status: int) -> Any:
         if status != 200:
             raise StateUnavailableError(f"reply to a read has unexpected status {status}")
         try:
@@ -183,7 +183,7 @@
         status, data = await self._call("GET", f"/store/{key}", None, self._timeout_s, False)
         if status == 404:
             return None
-        item: KeyValue = self._convert(data, KeyValue, status)
+        item: KeyValue = self._convert_response(data, KeyValue, status)
         return item
 
     async def scan(
@@ -202,7 +202,7 @@
             if last_key:
                 path += f"&since={quote(last_key, safe='/')}"
             status, data = await self._call("GET", path, None, self._timeout_s * 2, False)
-            rows = self._convert(data.get("rows", []), list[KeyValue], status)
+            rows = self._convert_response(data.get("rows", []), list[KeyValue], status)
             revision = self._revision(data)
             first_revision = first_revision or revision
             items.extend(rows)
@@ -222,7 +222,7 @@
         status, data = await self._call("GET", path, None, timeout_s, False)
         if status == 410:
             raise CompactedError
-        events = self._convert(data.get("events") or [], list[WatchEvent], status)
+        events = self._convert_response(data.get("events") or [], list[WatchEvent], status)
         return events, self._revision(data)
 
     # -- transactions
--- a/src/beamspar/timeouts.py
+++ b/src/beamspar/timeouts.py
@@ -77,7 +77,7 @@
         # The interval of members' heartbeats to the leader, of health probes and of placement.
         self.member_heartbeat_interval_s = self.worker_heartbeat_interval_s / 6
         # How long users' polls are batched for one comparison of record versions by the state
-        # service. With a comparison for every other poll, polls took more CPU time and request rate
+        # service. With a comparison for every other poll, polls take more CPU time and request rate
         # than everything else.
         self.poll_batching_s = self.member_heartbeat_interval_s / 4
         # The interval at which a job controller resends its whole desired state, even if no message
@@ -96,13 +96,18 @@
         # The maximum age of the mirror at which it may be used to start work: the time of a watch
         # request and its response.
         self.mirror_max_age_s = self.worker_heartbeat_interval_s * 1.67
-        # A worker or member without heartbeats counts as silent after this time.
+        # How long after its worker's last heartbeat a machine gets no new tasks, and the leader may
+        # count it as failed. After half of this time the machine is reported to the leader as
+        # silent, which shows members that are cut off from most of their machines.
         self.silence_timeout_s = self.worker_heartbeat_interval_s * 2.5
-        # Within `unserved_machine_window_s`, a worker without replies tries every controller. After
-        # `unreachable_timeout_s`, its controller counts as unreachable: early enough for another
-        # controller to reply within the worker's lease, even if the worker first waits for a reply
-        # of the unreachable one.
+        # How long a controller lists a machine as unserved after its worker last turned to it
+        # instead of the machine's holder. In this time, a worker that gets no replies tries every
+        # controller.
         self.unserved_machine_window_s = self.worker_heartbeat_interval_s * 3
+        # How long calls to a member must have failed before the leader counts it as unreachable, or
+        # how long a machine must have been silent before the leader moves its shard from a holder
+        # that is cut off. This is early enough for another controller to reply within the worker's
+        # lease, even if the worker first waits for a reply of the unreachable one.
         self.unreachable_timeout_s = self.worker_lease_s * 0.4
         # How long a task may run without being named by a job controller before its record is read.
         self.unknown_task_timeout_s = self.worker_heartbeat_interval_s * 1.5
--- a/src/beamspar/workload/job.py
+++ b/src/beamspar/workload/job.py
@@ -33,8 +33,8 @@
         self.is_writing = False
         self.write_stamp = ""
         self.tasks: dict[int, Task] = {}
-        # Number of tasks bound to a machine, how many of these are reported as running, and the
-        # bound tasks by machine. Updated incrementally: a job array may have thousands of bound
+        # The number of bound tasks, how many of these are reported as running, and the number of
+        # bound tasks per machine. Updated incrementally: a job array may have thousands of bound
         # tasks, and the numbers are read in each placement round and with each heartbeat.
         self.bound_count = 0
         self.running_count = 0
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -24,7 +24,7 @@
     Place,
 )
 from beamspar.decision_log.messages import FollowReply, LogEntry
-from beamspar.decision_log.replica import Replica, StaleTermError
+from beamspar.decision_log.replica import RejectedReplyError, Replica
 from beamspar.protocol.peer_messages import MAX_PEER_MESSAGE_BYTES, decode, encode
 from tests.standins.clock import SimClock
 
@@ -110,7 +110,7 @@
     _, log, replica = make_log_and_replica()
     catch_up(log, replica)
     log.record(InstancesRequested("r-1", PLACES[0], 1))
-    with pytest.raises(StaleTermError, match="gap"):
+    with pytest.raises(RejectedReplyError, match="gap"):
         replica.apply(FollowReply(7, 3, [LogEntry(3, 0.0, InstanceRequestAbandoned("r-1"))]))
     assert replica.state.pending == {} and replica.index == 0
     catch_up(log, replica)
@@ -124,11 +124,11 @@
     old_log = DecisionLog(SimClock(), LeaderState())
     old_log.start_term(6)
     old_log.record(InstancesRequested("r-old", PLACES[0], 1))
-    with pytest.raises(StaleTermError, match="over"):
+    with pytest.raises(RejectedReplyError, match="over"):
         replica.apply(old_log.reply_to_follower(replica.next_request("rig-1"), []))
     assert set(replica.state.pending) == {"r-1"}
     replica.restart()
-    with pytest.raises(StaleTermError, match="over"):
+    with pytest.raises(RejectedReplyError, match="over"):
         replica.apply(old_log.reply_to_follower(replica.next_request("rig-1"), []))
 
 
