--- a/src/beamspar/decision_log/replica.py
+++ b/src/beamspar/decision_log/replica.py
@@ -58,8 +58,8 @@
             return self._add_snapshot_part(reply, now)
         if reply.term != self.term:
             raise RejectedReplyError(
-                f"entries of term {reply.term} received before its snapshot: the replica is at term "
-                f"{self.term}"
+                f"entries of term {reply.term} received before its snapshot: "
+                f"the replica is at term {self.term}"
             )
         self._apply_entries(reply, now)
         self.leader_index = reply.last_index
--- a/src/beamspar/node/node.py
+++ b/src/beamspar/node/node.py
@@ -331,9 +331,10 @@
             return await records.is_bound(self.state, limits, task, attempt, machine)
         except (StateUnavailableError, msgspec.ValidationError) as error:
             log.info(
-                "could not check whether {task} is bound to its machine: {error}",
+                "could not check whether {task} is bound to {machine}: {error}",
                 task=task,
                 error=error,
+                machine=machine,
             )
             return None
 
