--- a/src/beamspar/node/forwarding.py
+++ b/src/beamspar/node/forwarding.py
@@ -59,7 +59,7 @@
 async def answer_forwarded(
     body: bytes, handle: Callable[[HttpRequest], Awaitable[HttpResponse]]
 ) -> bytes:
-    """Answer a request that a peer has forwarded.
+    """Handle a request that a peer has forwarded.
 
     Raises ValidationError or JSONDecodeError if the message is malformed.
     """
--- a/src/beamspar/node/peer_dispatch.py
+++ b/src/beamspar/node/peer_dispatch.py
@@ -76,7 +76,7 @@
 
 
 class PeerDispatch:
-    """Answers the requests that arrive on the port for peers."""
+    """Handles the requests that arrive on the port for peers."""
 
     def __init__(
         self,
@@ -88,13 +88,13 @@
         self.current = current
         self.health = health
         self.departure = departure
-        # Answers a user's request that a peer has forwarded, without forwarding it again.
+        # Handles a user's request that a peer has forwarded, without forwarding it again.
         self.answer_user = answer_user
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer a message; reject and log one that is malformed or has no handler here."""
+        """Handle a message; reject and log one that is malformed or has no handler here."""
         try:
-            return HttpResponse(200, await self._answer(request))
+            return HttpResponse(200, await self._handle_message(request))
         except (msgspec.ValidationError, orjson.JSONDecodeError, KeyError) as error:
             log.info(
                 "rejected message {path}, malformed or without a handler here: {error}",
@@ -103,7 +103,7 @@
             )
             return HttpResponse(400)
 
-    async def _answer(self, request: HttpRequest) -> bytes:
+    async def _handle_message(self, request: HttpRequest) -> bytes:
         if request.path == f"{PEER_PREFIX}{PeerPath.FORWARDED_REQUEST}":
             return await answer_forwarded(request.body, self.answer_user)
         name = request.path.removeprefix(PEER_PREFIX)
--- a/src/beamspar/node/public_api.py
+++ b/src/beamspar/node/public_api.py
@@ -52,20 +52,20 @@
         self.worker_heartbeats = WorkerHeartbeats(current, peers, contacts)
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer a request of a user, a worker or the load balancer."""
-        return await self._answer(request, may_forward=True)
+        """Handle a request of a user, a worker or the load balancer."""
+        return await self._handle(request, may_forward=True)
 
     async def answer_forwarded(self, request: HttpRequest) -> HttpResponse:
-        """Answer a request that a peer has forwarded, without forwarding it again."""
-        return await self._answer(request, may_forward=False)
+        """Handle a request that a peer has forwarded, without forwarding it again."""
+        return await self._handle(request, may_forward=False)
 
-    async def _answer(self, request: HttpRequest, may_forward: bool) -> HttpResponse:
+    async def _handle(self, request: HttpRequest, may_forward: bool) -> HttpResponse:
         if request.path == "/v1/report":
             return (
                 self.worker_heartbeats.handle(request) if request.method == "POST" else respond(405)
             )
         if request.path == "/up":
-            return self._answer_health_check(request)
+            return self._handle_health_check(request)
         parts = request.path.strip("/").split("/")
         if parts[0] != "submissions":
             return error(404, "no such path")
@@ -74,15 +74,15 @@
             response = await self.forwarder.forward(peer, request)
             if response is not None:
                 return response
-        return await self._answer_user(request, parts[1:])
+        return await self._handle_submissions_path(request, parts[1:])
 
-    def _answer_health_check(self, request: HttpRequest) -> HttpResponse:
+    def _handle_health_check(self, request: HttpRequest) -> HttpResponse:
         if request.method != "GET":
             return respond(405)
         return respond(200 if self.health.is_healthy() else 503)
 
-    async def _answer_user(self, request: HttpRequest, parts: list[str]) -> HttpResponse:
-        """Answer a request below `/submissions`."""
+    async def _handle_submissions_path(self, request: HttpRequest, parts: list[str]) -> HttpResponse:
+        """Handle a request below `/submissions`."""
         match parts:
             case []:
                 is_post = request.method == "POST"
--- a/src/beamspar/node/worker_heartbeats.py
+++ b/src/beamspar/node/worker_heartbeats.py
@@ -51,7 +51,7 @@
         holder, _ = holder_and_token
         if holder != actors.registration.own_name:
             return self._redirect(heartbeat.machine, holder)
-        return _answer_held_machine(actors, heartbeat)
+        return _handle_held_machine(actors, heartbeat)
 
     def _redirect(self, machine: str, holder: str) -> HttpResponse:
         is_reachable = self.peers.is_reachable(holder)
@@ -61,7 +61,7 @@
         return respond(421, redirect_response(holder if is_reachable else None))
 
 
-def _answer_held_machine(actors: Actors, heartbeat: WorkerHeartbeat) -> HttpResponse:
+def _handle_held_machine(actors: Actors, heartbeat: WorkerHeartbeat) -> HttpResponse:
     reply = actors.machine_controller.handle_heartbeat(heartbeat)
     if reply is None:
         return respond(503)
