--- a/src/beamspar/node/public_api.py
+++ b/src/beamspar/node/public_api.py
@@ -74,14 +74,14 @@
             response = await self.forwarder.forward(peer, request)
             if response is not None:
                 return response
-        return await self._handle_submissions_path(request, parts[1:])
+        return await self._handle_submissions(request, parts[1:])
 
     def _handle_health_check(self, request: HttpRequest) -> HttpResponse:
         if request.method != "GET":
             return respond(405)
         return respond(200 if self.health.is_healthy() else 503)
 
-    async def _handle_submissions_path(self, request: HttpRequest, parts: list[str]) -> HttpResponse:
+    async def _handle_submissions(self, request: HttpRequest, parts: list[str]) -> HttpResponse:
         """Handle a request below `/submissions`."""
         match parts:
             case []:
