--- a/src/beamspar/leader/shard_leasing.py
+++ b/src/beamspar/leader/shard_leasing.py
@@ -71,8 +71,7 @@
         self.excluded_members: Callable[[], set[str]] = lambda: set()
         # Moves shards between live members to balance them.
         self.rebalance: Callable[[], Awaitable[None]] = self._rebalance
-        # Callbacks such as `unreachable_since` are replaced later, so they are looked up at each
-        # call.
+        # Callbacks such as `unreachable_since` are replaced later, so each call looks them up.
         self.reachability = MemberReachability(
             clock,
             self.mirror,
@@ -251,7 +250,7 @@
         moves = self._unserved.choose_moves()
         for move in moves:
             log.info(
-                "moving shard {name} from {source}, which does not serve it, to {target}",
+                "moving shard {name} from {source}, which does not answer its workers, to {target}",
                 name=move.name,
                 source=move.source,
                 target=move.target,
--- a/src/beamspar/node/departure.py
+++ b/src/beamspar/node/departure.py
@@ -41,7 +41,9 @@
         self.current.has_left, self.current.is_loaded = True, False
         lease_id = registration.lease_id
         registration.end("it has left the service")
-        log.warn("{me} has left: the process may be stopped", me=registration.own_name)
+        log.warn(
+            "{me} has left the service; its process may be stopped now", me=registration.own_name
+        )
         try:
             await self.state.revoke_lease(lease_id)
         except (StateUnavailableError, LeaseExpiredError) as error:
@@ -50,7 +52,7 @@
             )
 
     def handle_message(self, name: str, body: bytes) -> bytes | None:
-        """Answer an operator's request to this controller after it has left.
+        """Handle an operator's request to this controller after it has left; return the reply.
 
         Return None if this controller has not left, or for any other message. Raises
         ValidationError or JSONDecodeError if the request is malformed.
