--- a/src/beamspar/machines/worker_observation.py
+++ b/src/beamspar/machines/worker_observation.py
@@ -49,9 +49,11 @@
             return False
         if heartbeat.observed_fencing_token > machine.command_token:
             log.info(
-                "{machine}: ignoring a heartbeat with a higher fencing token, {token}",
+                "{machine}: ignoring a heartbeat with fencing token {token}, which is higher than "
+                "the command token {command_token}",
                 machine=heartbeat.machine,
                 token=heartbeat.observed_fencing_token,
+                command_token=machine.command_token,
             )
             return False
         machine.last_heartbeat_id = heartbeat_id
@@ -181,8 +183,7 @@
 ) -> tuple[dict[AttemptKey, TaskStatus], list[AttemptKey]]:
     """Replace the machine's tasks by the reported ones.
 
-    Return the tasks that are new or have a new status, and the keys of those that have
-    disappeared.
+    Return the tasks that are new or have a new status, and the keys of those that disappeared.
     """
     previous = machine.tasks
     # Most heartbeats of machines with hundreds of tasks contain no change.
--- a/src/beamspar/quota/usage_counter.py
+++ b/src/beamspar/quota/usage_counter.py
@@ -20,11 +20,11 @@
         self._counted_tasks: dict[Job, int] = {}
 
     def usage_of(self, key: AllocationKey) -> Amounts:
-        """Return what the partition's jobs of the team use."""
+        """Return the usage of the partition's jobs of the team."""
         return self.usage.get(key, NO_AMOUNTS)
 
     def recount(self, job: Job) -> int:
-        """Update the usage of the job; return by how many its counted tasks have grown."""
+        """Update the usage of the job; return the increase in its counted tasks."""
         if job.spec.team not in self._teams:
             return 0
         tasks = job.quota_usage.tasks
--- a/src/beamspar/settings.py
+++ b/src/beamspar/settings.py
@@ -51,7 +51,8 @@
     # What it limits; only WAIT_OBJECTIVE is used.
     kind: str = ""
     job_class: str = ""
-    # The time limit, and the share of cases that are to meet it.
+    # The seconds within which tasks of the class should start, and the share of them that are to
+    # do so.
     within_s: float = 0.0
     share: float = 0.0
 
@@ -173,8 +174,8 @@
     lease_share: float = 1.0
     # Free capacity that is kept in reserve, as a share of each class's tasks.
     headroom: float = 0.2
-    # Whether members replicate the leader's decisions, so that one of them can replace it within
-    # seconds.
+    # Whether members replicate the leader's decisions, so that one of them can replace it
+    # within seconds.
     standby: bool = False
     # Whether shards of machines move by load, on request and when a controller leaves.
     sharing: bool = False
