--- a/tests/call_traces.py
+++ b/tests/call_traces.py
@@ -71,9 +71,9 @@
 
 def digests_of(names: Iterable[str]) -> dict[str, str]:
     """Return the digests of the scenarios with these names."""
-    wanted = set(names)
-    paths = [path for path in FILES if path.stem in wanted]
-    assert len(paths) == len(wanted), wanted - {path.stem for path in paths}
+    requested_names = set(names)
+    paths = [path for path in FILES if path.stem in requested_names]
+    assert len(paths) == len(requested_names), requested_names - {path.stem for path in paths}
     with ProcessPoolExecutor(PROCESSES) as pool:
         return dict(pool.map(digest_of, paths))
 
--- a/tests/kill_leader.py
+++ b/tests/kill_leader.py
@@ -40,7 +40,7 @@
 ZONES = ["east", "west", "south"]
 
 
-class Takeover(msgspec.Struct):
+class Failover(msgspec.Struct):
     """One kill of the leader, and its successor."""
 
     killed: str
@@ -61,7 +61,7 @@
 class Result(msgspec.Struct):
     """The outcome of a run; `broken` lists the violations found by the stand-ins' checker."""
 
-    takeovers: list[Takeover]
+    takeovers: list[Failover]
     broken: list[str]
     unfinished: list[str]
     accepted: int
@@ -129,7 +129,7 @@
             self.world.clock.callLater(self.rng.uniform(0.5, 15.0), self.world.cancel, job)
         self.world.clock.callLater(self.rng.uniform(0.3, 1.2), self.submit)
 
-    async def kill_once(self) -> Takeover:
+    async def kill_once(self) -> Failover:
         """Kill the leader at a random time, and wait for its successor."""
         clock = self.world.clock
         await sleep(clock, self.rng.uniform(0.0, 2.0))
@@ -147,7 +147,7 @@
             self.world.set_suspended(paused, False)
         after = await self.wait_for_deciding_leader(status["term"])
         seconds = clock.seconds() - killed_at
-        return Takeover(name, after["member"], seconds, bool(paused), after["lag"])
+        return Failover(name, after["member"], seconds, bool(paused), after["lag"])
 
     async def wait_until_settled(self) -> None:
         """Wait until all controllers respond and follow again, at most one and a half leases."""
@@ -175,13 +175,13 @@
     async def run(self) -> Result:
         """Kill the leader repeatedly, run the commands, then let the job arrays finish."""
         load_before = os.getloadavg()[0]
-        takeovers = []
+        failovers = []
         await self.wait_for_deciding_leader()
         self.submit()
         for number in range(self.kills):
             await self.wait_until_settled()
-            takeovers.append(await self.kill_once())
-            click.echo(f"kill {number + 1}: {takeovers[-1]}", err=True)
+            failovers.append(await self.kill_once())
+            click.echo(f"kill {number + 1}: {failovers[-1]}", err=True)
         await self.wait_until_settled()
         commands = [
             await self.command("status"),
@@ -197,7 +197,7 @@
             if spec["shape"] == "sweep" and self.world.status(job) not in ("done", "withdrawn")
         ]
         return Result(
-            takeovers,
+            failovers,
             list(self.world.checker.broken),
             unfinished,
             len(self.world.checker.accepted),
@@ -213,8 +213,8 @@
     from hdrh.histogram import HdrHistogram
 
     histogram = HdrHistogram(1, 120_000, 3)
-    for takeover in result.takeovers:
-        histogram.record_value(int(takeover.seconds * 1000))
+    for failover in result.takeovers:
+        histogram.record_value(int(failover.seconds * 1000))
     values = [histogram.get_value_at_percentile(percentile) for percentile in PERCENTILES]
     chart = pygal.Line(title="Kill of the leader to the next one that decides (ms)")
     chart.x_labels = [f"{percentile} %" for percentile in PERCENTILES]
--- a/tests/reshuffle.py
+++ b/tests/reshuffle.py
@@ -180,7 +180,7 @@
         self.submit()
         await sleep(clock, min(20.0, self.minutes * 15))
         moves, writes = world.ownership.moves, len(world.state.history)
-        self.is_reshuffling, seen = True, len(gaps)
+        self.is_reshuffling, recorded_gaps = True, len(gaps)
         until, next_fault = clock.seconds() + self.minutes * 60, clock.seconds() + 5.0
         while clock.seconds() < until:
             await self.reshuffle()
@@ -190,9 +190,9 @@
                 self.disturb()
                 next_fault = clock.seconds() + self.rng.uniform(8.0, 25.0)
             await sleep(clock, self.rng.uniform(1.5, 3.5))
-            for gap in gaps[seen:]:
+            for gap in gaps[recorded_gaps:]:
                 self._contact(gap)
-            seen = len(gaps)
+            recorded_gaps = len(gaps)
         self.is_submitting = self.is_reshuffling = False
         written_keys = [e.get("put") or e["drop"] for _, e in world.state.history[writes:]]
         await sleep(clock, 20.0)
--- a/tests/standins/net.py
+++ b/tests/standins/net.py
@@ -132,7 +132,7 @@
     def _delay(self) -> float:
         return self.latency * (0.5 + self.rng.random())
 
-    def carry(self, source: str, target: str, deliver: Callable[[], None]) -> None:
+    def send_message(self, source: str, target: str, deliver: Callable[[], None]) -> None:
         """Deliver one message after a random delay, unless its path is cut."""
         mode = self.cuts.get((source, target))
         if mode == "hold":
@@ -198,7 +198,7 @@
             self.occupy_processor(target)
             connection = self._open_connection(source, address)
             if connection is None:
-                self.carry(target, source, lambda: settle(None))
+                self.send_message(target, source, lambda: settle(None))
                 return
             name, _, query_text = path.partition("?")
             query = dict(p.partition("=")[::2] for p in query_text.split("&") if p)
@@ -210,11 +210,11 @@
                 lambda result: (self._close_connection(connection, address), result)[1]
             )
             handling.addCallback(
-                lambda response: self.carry(target, source, lambda: settle(response))
+                lambda response: self.send_message(target, source, lambda: settle(response))
             )
-            handling.addErrback(lambda _: self.carry(target, source, lambda: settle(None)))
+            handling.addErrback(lambda _: self.send_message(target, source, lambda: settle(None)))
 
-        self.carry(source, target, arrive)
+        self.send_message(source, target, arrive)
         return result
 
 
--- a/tests/test_attempt_statuses.py
+++ b/tests/test_attempt_statuses.py
@@ -152,8 +152,8 @@
 def test_a_gang_that_fails_counts_one_failure_however_many_of_its_tasks_fail() -> None:
     controller, job, _ = make(GANG)
     job.gang.observe_state("running")
-    lost = [status(index, AttemptState.ENDED, "error", saved=True) for index in range(2)]
-    controller.observe_statuses(lost)
+    failures = [status(index, AttemptState.ENDED, "error", saved=True) for index in range(2)]
+    controller.observe_statuses(failures)
     assert job.gang.failures == 1
     assert [task.avoided_machines for task in job.tasks.values()] == [{"host-0"}, {"host-1"}]
 
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -233,9 +233,9 @@
 
 def team_record() -> Any:
     waiting = shares.Allocation(8.5, 1.5, 2, 4.5, 0.5, 412)
-    unserved = shares.Allocation(8.5, 1.5, 3, 4.5, 0.5)
+    unmet = shares.Allocation(8.5, 1.5, 3, 4.5, 0.5)
     record = shares.TeamQuota({"rig-2.1": [1.5, 0.5]}, 400)
-    return record.with_allocation("rig-1.3", waiting).with_allocation("rig-3.1", unserved).raw
+    return record.with_allocation("rig-1.3", waiting).with_allocation("rig-3.1", unmet).raw
 
 
 # Messages between controllers, encoded as JSON. In those named "-least", all optional fields are
--- a/tests/test_gang.py
+++ b/tests/test_gang.py
@@ -73,7 +73,7 @@
     assert phase(gang, 4) is GangPhase.WHOLE
 
 
-def test_a_gang_restored_with_a_lost_task_waits_for_a_reported_state() -> None:
+def test_a_gang_restored_with_a_lost_task_waits_for_an_observed_state() -> None:
     gang = Gang()
     assert phase(gang, 3) is GangPhase.UNKNOWN
     gang.observe_state("gathering")
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -30,9 +30,9 @@
         if not moves:
             return total, held_shards
         total += len(moves)
-        to = {move.shard: move.target for move in moves}
+        targets = {move.shard: move.target for move in moves}
         held_shards = [
-            msgspec.structs.replace(shard, holder=to.get(shard.name, shard.holder))
+            msgspec.structs.replace(shard, holder=targets.get(shard.name, shard.holder))
             for shard in held_shards
         ]
     raise AssertionError("the plans do not converge within 200 rounds")
@@ -87,8 +87,10 @@
         assert [shard for shard in after if shard.holder in leaving] == []
     homes = {m.zone for m in members if not m.is_leaving}
     by_name = {m.member: m.zone for m in members}
-    away = [shard for shard in after if shard.zone in homes and by_name[shard.holder] != shard.zone]
-    assert away == [] or len(leaving) == len(members)
+    outside_home = [
+        shard for shard in after if shard.zone in homes and by_name[shard.holder] != shard.zone
+    ]
+    assert outside_home == [] or len(leaving) == len(members)
 
 
 def test_a_shard_in_cooldown_moves_only_on_a_leave_and_a_pinned_one_never() -> None:
@@ -113,7 +115,7 @@
     average = DemandAverage(68.0)
     held_shards = shards("a", 20) + shards("b", 20)
     moved = {"averaged": 0, "last": 0}
-    for way in moved:
+    for demand_source in moved:
         now = 0.0
         for minute in range(30):
             demand = {"a": 200.0, "b": 10.0} if minute % 2 else {"a": 10.0, "b": 200.0}
@@ -123,12 +125,12 @@
                     average.observe(member, amount, now)
                 averaged = {member: average.value(member) for member in demand}
                 moves = plan_moves(
-                    loads(**(averaged if way == "averaged" else demand)), held_shards, 3
+                    loads(**(averaged if demand_source == "averaged" else demand)), held_shards, 3
                 )
-                to = {move.shard: move.target for move in moves}
-                moved[way] += len(moves) if minute > 10 else 0
+                targets = {move.shard: move.target for move in moves}
+                moved[demand_source] += len(moves) if minute > 10 else 0
                 held_shards = [
-                    msgspec.structs.replace(shard, holder=to.get(shard.name, shard.holder))
+                    msgspec.structs.replace(shard, holder=targets.get(shard.name, shard.holder))
                     for shard in held_shards
                 ]
     assert moved["averaged"] <= 4 < 20 < moved["last"], moved
--- a/tests/test_quota_allocations.py
+++ b/tests/test_quota_allocations.py
@@ -39,35 +39,37 @@
 def test_a_malformed_entry_of_another_partition_blocks_starts(
     entry: Any, errors: list[str]
 ) -> None:
-    quota_manager, registration, script = make(ConflictError([KEY]))
+    quota_manager, registration, scripted_state = make(ConflictError([KEY]))
     registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
     registration.mirror.observe(KEY, {"rig-0.1": [8.0, 0.0], "rig-1.1": entry}, 5)
     assert not quota_manager.reserve(job(1.0), [0])
     for _ in range(3):
         quota_manager.tick()
-    assert script.written == [], "a write although an allocation of another partition is unknown"
+    assert scripted_state.written == [], (
+        "a write although an allocation of another partition is unknown"
+    )
     assert len(errors) == 1 and "red" in errors[0] and "rig-1.1" in errors[0]
     registration.mirror.observe(KEY, {"rig-0.1": [8.0, 0.0], "rig-1.1": [2.0, 0.0]}, 6)
     assert quota_manager.reserve(job(1.0), [0])
 
 
 def test_a_malformed_own_entry_is_rewritten() -> None:
-    quota_manager, registration, script = make(6)
+    quota_manager, registration, scripted_state = make(6)
     registration.mirror.observe(KEY, {"rig-0.1": "all", "rig-1.1": [2.0, 0.0]}, 5)
     quota_manager.tick()
-    assert script.written == [(5, {"rig-1.1": [2.0, 0.0]})]
+    assert scripted_state.written == [(5, {"rig-1.1": [2.0, 0.0]})]
 
 
 def test_a_record_that_is_not_a_map_blocks_its_team(errors: list[str]) -> None:
-    quota_manager, registration, script = make()
+    quota_manager, registration, scripted_state = make()
     registration.mirror.observe(KEY, "none", 5)
     assert not quota_manager.reserve(job(1.0), [0])
     quota_manager.tick()
-    assert script.written == [] and len(errors) == 1
+    assert scripted_state.written == [] and len(errors) == 1
 
 
 def test_allocations_above_the_quota_block_their_team(errors: list[str]) -> None:
-    quota_manager, registration, script = make(ConflictError([KEY]), ConflictError([KEY]))
+    quota_manager, registration, scripted_state = make(ConflictError([KEY]), ConflictError([KEY]))
     registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
     registration.mirror.observe(KEY, {"rig-0.1": [8.0, 0.0], "rig-1.1": [6.0, 0.0]}, 5)
     assert not quota_manager.reserve(job(1.0), [0])
@@ -75,7 +77,7 @@
     quota_manager.tick()
     quota_manager.tick()
     assert len(errors) == 1 and "10.0" in errors[0]
-    assert script.written[0][1] == {"rig-0.1": [4.0, 0.0], "rig-1.1": [6.0, 0.0]}, (
+    assert scripted_state.written[0][1] == {"rig-0.1": [4.0, 0.0], "rig-1.1": [6.0, 0.0]}, (
         "the excess must be released"
     )
 
@@ -94,7 +96,7 @@
 
 
 def test_an_allocation_is_never_written_above_the_rest_of_the_quota(errors: list[str]) -> None:
-    quota_manager, registration, script = make(6)
+    quota_manager, registration, scripted_state = make(6)
     registration.mirror.observe("c/folio/rig-1.1", {"owner": "rig-1"}, 4)
     registration.mirror.observe(KEY, {"rig-0.1": [3.0, 0.0], "rig-1.1": [5.0, 0.0]}, 5)
     bound_job = job(1.0, tasks=8)
@@ -104,7 +106,7 @@
     assert quota_manager.excess("rig-0.1", "red") == (5.0, 0.0)
     assert not quota_manager.may_start("rig-0.1", "red")
     quota_manager.tick()
-    assert script.written == [(5, {"rig-0.1": [5.0, 0.0], "rig-1.1": [5.0, 0.0]})]
+    assert scripted_state.written == [(5, {"rig-0.1": [5.0, 0.0], "rig-1.1": [5.0, 0.0]})]
     assert quota_manager.excess("rig-0.1", "red") == (3.0, 0.0)
     assert quota_manager.may_start("rig-0.1", "blue"), "another team is blocked"
     assert len(errors) == 2 and all("rig-0.1" in line for line in errors)
--- a/tests/test_quota_manager.py
+++ b/tests/test_quota_manager.py
@@ -56,15 +56,15 @@
 
 
 def make(*results: int | Exception) -> tuple[QuotaManager, Registration, ScriptedState]:
-    clock, script = SimClock(), ScriptedState(*results)
+    clock, scripted_state = SimClock(), ScriptedState(*results)
     timeouts = Timeouts(settings(), OperatorSettings())
-    registration = Registration(clock, script, settings(), timeouts)  # type: ignore[arg-type]
+    registration = Registration(clock, scripted_state, settings(), timeouts)  # type: ignore[arg-type]
     registration.is_started, registration.partition = True, "rig-0.1"
     registration.renewed_at = registration.mirror.current_as_of = 0.0
     registration.mirror.partitions["rig-0.1"] = JobPartition("rig-0", 3)
-    quota_manager = QuotaManager(registration, script, settings())  # type: ignore[arg-type]
+    quota_manager = QuotaManager(registration, scripted_state, settings())  # type: ignore[arg-type]
     quota_manager.loaded_partitions = lambda: {"rig-0.1"}
-    return quota_manager, registration, script
+    return quota_manager, registration, scripted_state
 
 
 def job(cpus: float, tasks: int = 1) -> Job:
@@ -86,7 +86,7 @@
 def test_quota_released_by_an_indeterminate_write_is_not_used_again() -> None:
     # Version 5 allocates 10. Another partition waits for quota, so a write lowers this to 2 but
     # gets no reply. Then more is requested again, and that write fails as the first was applied.
-    quota_manager, registration, script = make(
+    quota_manager, registration, scripted_state = make(
         OutcomeUnknownError("lost"), ConflictError([KEY]), OutcomeUnknownError("lost")
     )
     registration.mirror.observe(
@@ -95,11 +95,13 @@
     bound_job = job(2.0)
     bind_and_count(quota_manager, bound_job, 1)
     quota_manager.tick()
-    assert script.written == [(5, {"rig-0.1": [2.0, 0.0], "rig-1.1": [0.0, 0.0, 3, 4.0, 0.0]})]
+    assert scripted_state.written == [
+        (5, {"rig-0.1": [2.0, 0.0], "rig-1.1": [0.0, 0.0, 3, 4.0, 0.0]})
+    ]
     assert quota_manager.certain_allocation("rig-0.1", "red") == (2.0, 0.0)
     assert not quota_manager.reserve(job(4.0), [0])
     quota_manager.tick()
-    assert len(script.written) == 2
+    assert len(scripted_state.written) == 2
     assert quota_manager.certain_allocation("rig-0.1", "red") == (2.0, 0.0), (
         "the conflict proves that the first write was applied"
     )
@@ -112,7 +114,7 @@
 
 
 def test_an_indeterminate_write_is_resolved_by_another_write() -> None:
-    quota_manager, registration, script = make(OutcomeUnknownError("lost"), 9)
+    quota_manager, registration, scripted_state = make(OutcomeUnknownError("lost"), 9)
     registration.mirror.observe(KEY, {"rig-0.1": [6.0, 0.0], "rig-1.1": [0.0, 0.0, 3, 4.0, 0.0]}, 5)
     bound_job = job(2.0, tasks=3)
     bind_and_count(quota_manager, bound_job, 3)
@@ -123,5 +125,5 @@
     # another write necessary.
     bind_and_count(quota_manager, bound_job, 2)
     quota_manager.tick()
-    assert len(script.written) == 2
+    assert len(scripted_state.written) == 2
     assert quota_manager.certain_allocation("rig-0.1", "red") == (6.0, 0.0)
--- a/tests/test_random_quotas.py
+++ b/tests/test_random_quotas.py
@@ -47,12 +47,12 @@
     """Crash controllers as machines that were unreachable return."""
     later = world.clock.callLater
     machines = [n for n, w in world.cloud.workers.items() if not w.dead]
-    lost = rng.sample(machines, max(len(machines) // 4, 1))
+    unreachable = rng.sample(machines, max(len(machines) // 4, 1))
     span = world.worker_settings["lease_s"] + rng.choice([1.0, 4.0, 9.0])
     world.cloud.down = True
     later(span + 20.0, setattr, world.cloud, "down", False)
     hangs = rng.random() < 0.5
-    for machine in lost:
+    for machine in unreachable:
         for node in world.names if not hangs else ():
             world.network.cut(node, machine, "drop")
             later(span, world.network.heal, node, machine)
--- a/tests/test_shard_distribution.py
+++ b/tests/test_shard_distribution.py
@@ -20,7 +20,7 @@
 from beamspar.state.control_records import Machine, MachineShard
 from tests.test_quota_manager import settings
 
-SITES = {"a": "east", "b": "east", "c": "west"}
+ZONE_BY_MEMBER = {"a": "east", "b": "east", "c": "west"}
 LIMITS = settings().platform.state.strictest
 
 
@@ -34,14 +34,14 @@
     }
 
 
-def balance(held: dict[str, MachineShard], max_moves: int = 100) -> list[ShardMove]:
-    counts = count_machines(held.values(), SITES)
-    return choose_balancing_moves(held, counts, SITES, max_moves)
+def balance(shards_by_name: dict[str, MachineShard], max_moves: int = 100) -> list[ShardMove]:
+    counts = count_machines(shards_by_name.values(), ZONE_BY_MEMBER)
+    return choose_balancing_moves(shards_by_name, counts, ZONE_BY_MEMBER, max_moves)
 
 
 def test_new_machines_go_to_the_least_loaded_member_of_their_zone() -> None:
     counts = {"a": 3, "b": 1, "c": 0}
-    new = assign_new_machines(machines(4) + machines(2, "west"), 2, counts, SITES)
+    new = assign_new_machines(machines(4) + machines(2, "west"), 2, counts, ZONE_BY_MEMBER)
     assert [(shard.holder, len(shard.machines)) for shard in new] == [("b", 2), ("a", 2), ("c", 2)]
     assert counts == {"a": 5, "b": 3, "c": 2}
 
@@ -49,13 +49,13 @@
 def test_a_shard_has_machines_of_one_zone_type_and_price_class() -> None:
     mixed = machines(1) + machines(1, kind="small") + machines(1, "west")
     mixed.append(Machine("spot", "10.0.0.1:9", "big", "east", spot=True))
-    new = assign_new_machines(mixed, 10, dict.fromkeys(SITES, 0), SITES)
+    new = assign_new_machines(mixed, 10, dict.fromkeys(ZONE_BY_MEMBER, 0), ZONE_BY_MEMBER)
     assert [len(shard.machines) for shard in new] == [1, 1, 1, 1]
 
 
 def test_no_holder_for_new_machines_is_an_error() -> None:
     with pytest.raises(ValueError, match="empty"):
-        assign_new_machines(machines(1), 1, {}, SITES)
+        assign_new_machines(machines(1), 1, {}, ZONE_BY_MEMBER)
 
 
 def test_shard_size_lets_one_transaction_move_all_shards_of_a_controller() -> None:
@@ -72,8 +72,8 @@
 
 
 def test_a_shard_outside_its_zone_moves_back_regardless_of_the_counts() -> None:
-    held = shards("a", 1, zone="west") | shards("c", 5, zone="west")
-    assert balance(held)[0] == ShardMove("a-west-0", "a", "c")
+    shards_by_name = shards("a", 1, zone="west") | shards("c", 5, zone="west")
+    assert balance(shards_by_name)[0] == ShardMove("a-west-0", "a", "c")
 
 
 def test_within_a_zone_only_a_clear_imbalance_moves_shards() -> None:
@@ -87,6 +87,6 @@
 
 
 def test_the_number_of_moves_is_limited_and_only_counted_members_take_part() -> None:
-    held = shards("a", 20) | shards("c", 20, zone="west") | shards("d", 20)
-    moves = balance(held, max_moves=2)
+    shards_by_name = shards("a", 20) | shards("c", 20, zone="west") | shards("d", 20)
+    moves = balance(shards_by_name, max_moves=2)
     assert len(moves) == 2 and {move.source for move in moves} == {"a"}
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -70,7 +70,8 @@
 def test_a_machine_that_dies_during_its_move_is_soon_declared_lost(passes_on: bool) -> None:
     """The new holder waits for the lease that the former holder's last response renewed.
 
-    The new holder waits for that lease as well only if the former one can't pass on its state.
+    It waits for the longest lease that the former holder may have granted only if that holder
+    can't pass on its state.
     """
     world = running()
     shard, source, target = world.choose_move()
