--- a/tests/reshuffle.py
+++ b/tests/reshuffle.py
@@ -3,9 +3,9 @@
     PYTHONPATH=src:. python -m tests.reshuffle --minutes 10 --report target/reshuffle
 
 Five controllers run as real processes under steady batch load. Every few seconds shards are moved
-to random controllers. At random intervals controllers are killed, paused or requested to
-leave, often during moves. Prints one JSON object at the end. With `--report`, also writes the
-history as a columnar file (Parquet) and the distributions as a page with a plot.
+to random controllers. At random intervals controllers are killed, paused or requested to leave,
+often during moves. Prints one JSON object at the end. With `--report`, also writes the history as a
+columnar file (Parquet) and the distributions as a page with a plot.
 """
 
 from __future__ import annotations
@@ -94,14 +94,14 @@
         self.contacts: list[tuple[float, float, bool]] = []
 
     async def send(self, member: str, path: str, message: Any) -> Any:
-        """Return a controller's reply to a message; None if there is none."""
+        """Return a controller's reply to a message, or None if it sends none."""
         try:
-            answer = await self.world.network.request(
+            response = await self.world.network.request(
                 "tool", "POST", f"{member}:81", f"/peer/{path}", orjson.dumps(message), 2.0
             )
         except CallFailedError:
             return None
-        return orjson.loads(answer.body) if answer.status == 200 else None
+        return orjson.loads(response.body) if response.status == 200 else None
 
     def submit(self) -> None:
         """Submit a job of the steady load: an array of short or longer tasks, or a service."""
@@ -180,7 +180,7 @@
         self.submit()
         await sleep(clock, min(20.0, self.minutes * 15))
         moves, writes = world.ownership.moves, len(world.state.history)
-        self.is_reshuffling, seen = True, len(gaps)
+        self.is_reshuffling, recorded_gaps = True, len(gaps)
         until, next_fault = clock.seconds() + self.minutes * 60, clock.seconds() + 5.0
         while clock.seconds() < until:
             await self.reshuffle()
@@ -190,9 +190,9 @@
                 self.disturb()
                 next_fault = clock.seconds() + self.rng.uniform(8.0, 25.0)
             await sleep(clock, self.rng.uniform(1.5, 3.5))
-            for gap in gaps[seen:]:
+            for gap in gaps[recorded_gaps:]:
                 self._contact(gap)
-            seen = len(gaps)
+            recorded_gaps = len(gaps)
         self.is_submitting = self.is_reshuffling = False
         written_keys = [e.get("put") or e["drop"] for _, e in world.state.history[writes:]]
         await sleep(clock, 20.0)
--- a/tests/test_random_quotas.py
+++ b/tests/test_random_quotas.py
@@ -47,12 +47,12 @@
     """Crash controllers as machines that were unreachable return."""
     later = world.clock.callLater
     machines = [n for n, w in world.cloud.workers.items() if not w.dead]
-    lost = rng.sample(machines, max(len(machines) // 4, 1))
+    unreachable = rng.sample(machines, max(len(machines) // 4, 1))
     span = world.worker_settings["lease_s"] + rng.choice([1.0, 4.0, 9.0])
     world.cloud.down = True
     later(span + 20.0, setattr, world.cloud, "down", False)
     hangs = rng.random() < 0.5
-    for machine in lost:
+    for machine in unreachable:
         for node in world.names if not hangs else ():
             world.network.cut(node, machine, "drop")
             later(span, world.network.heal, node, machine)
@@ -132,7 +132,7 @@
 def check_all_released(world: World) -> None:
     """Check that usage is zero once all jobs have ended and each team can fill its quota again."""
     for job in world.checker.accepted:
-        if job not in world.checker.final_answers:
+        if job not in world.checker.final_states:
             world.cancel(job)
     world.run(world.clock.seconds() + 60)
     used = {
