--- a/src/beamspar/cluster/registration.py
+++ b/src/beamspar/cluster/registration.py
@@ -106,7 +106,8 @@
                 log.info("registration failed, will retry: {error}", error=error)
             except ConflictError as error:
                 log.info(
-                    "registration conflicted at the keys {failed}, will retry", failed=error.failed
+                    "registration failed because the keys {failed} have changed, will retry",
+                    failed=error.failed,
                 )
             await sleep(self.clock, self.timeouts.retry_delay_s)
         self.is_started = True
--- a/src/beamspar/jobs/job_controller.py
+++ b/src/beamspar/jobs/job_controller.py
@@ -134,7 +134,8 @@
         self.quota_usage_changed(job)
         self.acceptor.mark_accepts_resolved(job.id)
         if self.mirror.is_cancelled(job.id):
-            # If the job is still live, its cancellation was stored after its record was read.
+            # The cancellation may have been stored after the job's record was read. If the restored
+            # job is already cancelled, this has no effect.
             self.apply_cancellation(job.id)
 
     def on_jobs_loaded(self) -> None:
--- a/src/beamspar/jobs/placer.py
+++ b/src/beamspar/jobs/placer.py
@@ -58,7 +58,8 @@
     """Free capacity of the machines that this member controls, less the reservations so far."""
 
     capacities: list[MachineCapacity]
-    # Names of these machines when the round began: they are preferred among cold machines.
+    # Names of these machines when the placement round began: they are preferred among machines
+    # that don't cache the job's image.
     local: set[str]
 
 
--- a/src/beamspar/jobs/record_refresh.py
+++ b/src/beamspar/jobs/record_refresh.py
@@ -54,7 +54,9 @@
             return
         if item is None:
             log.info(
-                "{job}: its record is gone, so it is finished; removing it from memory", job=job.id
+                "{job}: the record no longer exists, so the job has finished; "
+                "removing it from memory",
+                job=job.id,
             )
             self._job_store.remove_job(job, ended=True)
             return
--- a/src/beamspar/jobs/record_transactions.py
+++ b/src/beamspar/jobs/record_transactions.py
@@ -195,8 +195,10 @@
             )
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
             log.info(
-                "{job}: writing chunks in the new layout failed, will retry: {error}",
+                "{job}: write of chunks {chunks} in the new layout not confirmed, "
+                "will retry: {error}",
                 job=job.id,
+                chunks=chunks,
                 error=error,
             )
             await sleep(self._clock, self._timeouts.retry_delay_s)
--- a/src/beamspar/machines/worker_observation.py
+++ b/src/beamspar/machines/worker_observation.py
@@ -118,7 +118,8 @@
         machine.mark_all_changed()
         if machine.agent_epoch:
             log.info(
-                "{machine}: the worker has begun agent epoch {epoch}",
+                "{machine}: the worker has begun agent epoch {epoch}, "
+                "attempts whose start was sent in an earlier epoch are gone",
                 machine=machine.info.name,
                 epoch=agent_epoch,
             )
--- a/src/beamspar/node/desired_state_delivery.py
+++ b/src/beamspar/node/desired_state_delivery.py
@@ -61,6 +61,11 @@
             )
             batch: AttemptStatusBatch = decode(body, AttemptStatusBatch)
         except (CallFailedError, ValueError) as error:
-            log.debug("desired state for {member} may be lost: {error}", member=member, error=error)
+            log.debug(
+                "sending desired state updates to {member} failed, "
+                "they may not have been applied: {error}",
+                member=member,
+                error=error,
+            )
             return None
         return batch.statuses
--- a/src/beamspar/node/peer_client.py
+++ b/src/beamspar/node/peer_client.py
@@ -71,7 +71,12 @@
         try:
             await self.call(member, path, message, self.timeouts.request_timeout_s)
         except CallFailedError as error:
-            log.debug("message to a peer may be lost: {error}", error=error)
+            log.debug(
+                "sending {path} to {member} failed, the peer may not have processed it: {error}",
+                path=path,
+                member=member,
+                error=error,
+            )
             return False
         return True
 
--- a/src/beamspar/node/user_cancellations.py
+++ b/src/beamspar/node/user_cancellations.py
@@ -54,7 +54,7 @@
                     return response
         except (StateUnavailableError, LeaseExpiredError) as error:
             log.info(
-                "cancellation of {job} not confirmed, the client is to retry: {error}",
+                "cancellation of {job} not confirmed, the client is told to retry: {error}",
                 job=job,
                 error=error,
             )
--- a/src/beamspar/sharing/leave.py
+++ b/src/beamspar/sharing/leave.py
@@ -89,7 +89,7 @@
         value, _ = self.mirror.values.get(keys.LEAVING_MEMBERS_KEY, ({}, 0))
         if key == keys.LEAVING_MEMBERS_KEY and _decode(value) is None:
             log.error(
-                "malformed record {key}, taken as empty: {value}",
+                "malformed record {key}, treated as empty: {value}",
                 key=keys.LEAVING_MEMBERS_KEY,
                 value=value,
             )
--- a/src/beamspar/sharing/planner.py
+++ b/src/beamspar/sharing/planner.py
@@ -160,7 +160,10 @@
         if shard.holder not in group or target is None or target == shard.holder:
             return
         even_share = sum(self.held.values()) / len(self.staying)
-        # Above a multiple of the shard's size, the move can't reverse the imbalance.
+        # A move changes the difference between the two surpluses by twice the shard's size. If the
+        # difference is above MIN_IMBALANCE_SHARDS times that size, the move can't make the target
+        # the one with the larger surplus. A difference that is small relative to an even share is
+        # not worth a move.
         threshold = max(even_share * MIN_IMBALANCE, MIN_IMBALANCE_SHARDS * shard.machines)
         if self.surplus(shard.holder) - self.surplus(target) > threshold:
             self._add(shard, target, MoveReason.LOAD)
--- a/src/beamspar/workload/gang.py
+++ b/src/beamspar/workload/gang.py
@@ -68,7 +68,8 @@
             self.has_started = True
             self.failures = 0
         if state == TaskState.SAVING:
-            # A task that stops alone saves no checkpoint, so all must be stopped together.
+            # A task that is saving is being stopped. The checkpoint is saved only if all tasks stop
+            # together, so the others must be stopped too.
             self.is_stopping = True
 
     def observe_lost_task(self, machine: str, now: float, may_replace: bool) -> None:
